--- a/src/decide/tests.rs
+++ b/src/decide/tests.rs
@@ -1,4 +1,4 @@
-//! Each test builds the state that it needs and calls one function.
+//! Unit tests of the router's decisions. Each test builds the state that it needs and calls one function.
 
 use super::*;
 use rstest::rstest;
@@ -6,7 +6,7 @@
 pub(super) const NOW: Tenths = 1_000_000;
 const KINDS: [&str; 5] = ["any", "bounded", "session", "fresh", "write"];
 
-/// Settings with a command group for each access; what is `extra` is told besides, or instead.
+/// Settings with one command group for each access; `extra` adds to them or overrides them.
 pub(super) fn told(extra: &[(&str, &str)]) -> Told {
     let mut told = Told::new();
     let mut tell = |name: &str, value: &str| _ = told.insert(name.to_owned(), value.to_owned());
@@ -32,7 +32,7 @@
 }
 
 /// A router with one set of three members, `a` the listed primary, and a command group for each access. A primary has
-/// borne out its clock.
+/// confirmed its clock.
 pub(super) fn router(extra: &[(&str, &str)]) -> Router {
     let mut router = Router::start(told(extra), 7, NOW - SECOND).expect("complete settings");
     router.clock.learn(NOW - SECOND, Evidence::of_primary(NOW - SECOND, NOW - SECOND, NOW - SECOND, 0));
@@ -46,7 +46,7 @@
     Entry { node: id.into(), zone: "z".into(), machine: "m".into(), set: 1, phase, started, primary }
 }
 
-/// An open command of the access, known under the key 0.
+/// Adds an open command with the given access under the key 0.
 pub(super) fn open(router: &mut Router, kind: &str) {
     let kind = KINDS.iter().position(|k| *k == kind).expect("a known kind");
     let (ends, patience) = (NOW + 20_000, NOW + 20_000);
@@ -70,17 +70,17 @@
 }
 
 #[rstest]
-#[case::just_begun(1)]
-#[case::long_begun(100)]
-fn a_stream_that_began_lately_has_its_own_rate(#[case] seconds: Tenths) {
+#[case::started_recently(1)]
+#[case::started_long_ago(100)]
+fn rate_since_the_start_of_a_stream_covers_only_the_elapsed_time(#[case] elapsed_seconds: Tenths) {
     let mut sum = Decay::default();
-    (0..seconds * 100).for_each(|i| sum.add(NOW + i * 100, 10 * SECOND, 100.0));
-    let rate = sum.rate_since(NOW + seconds * SECOND, 10 * SECOND, NOW);
+    (0..elapsed_seconds * 100).for_each(|i| sum.add(NOW + i * 100, 10 * SECOND, 100.0));
+    let rate = sum.rate_since(NOW + elapsed_seconds * SECOND, 10 * SECOND, NOW);
     assert!((0.95..1.05).contains(&rate), "{rate}");
 }
 
 #[rstest]
-fn a_member_that_starts_gets_nothing_at_once() {
+fn restarted_member_has_credit_for_less_than_one_command() {
     let mut r = router(&[("rules.warm_after_ms", "1000")]);
     let credits: Vec<f64> = (0..50)
         .map(|_| {
@@ -92,39 +92,43 @@
 }
 
 #[rstest]
-#[case::becomes_primary(State::Unknown, 1, true, 700.0 % 250.0)]
-#[case::is_primary(State::Healthy, 1, true, 700.0)]
+#[case::promoted(State::Unknown, 1, true, 700.0 % 250.0)]
+#[case::already_primary(State::Healthy, 1, true, 700.0)]
 #[case::replica(State::Unknown, 1, false, 700.0)]
 #[case::warm(State::Unknown, 0, true, f64::INFINITY)]
-fn a_cold_member_that_becomes_primary_loses_whole_commands(
+fn promotion_of_a_cold_member_drops_credit_for_whole_commands(
     #[case] state: State,
     #[case] started: Tenths,
     #[case] primary: bool,
-    #[case] left: f64,
+    #[case] commands_left: f64,
 ) {
     let mut r = router(&[("rules.warm_after_ms", "1000000")]);
     let m = &mut r.members[1];
     (m.state, m.started, m.credit, m.credit_at) = (state, started, 7_000.0, NOW);
     r.learn_role(NOW, 1, claim(primary, NOW));
-    assert_eq!(r.cold_credit(NOW, &r.members[1]), 10.0 * left);
+    assert_eq!(r.cold_credit(NOW, &r.members[1]), 10.0 * commands_left);
 }
 
 #[rstest]
 #[case(0.0)]
 #[case(1.0)]
-fn decaying_sum_halves(#[case] halves: f64) {
+fn decaying_sum_halves_after_each_half_life(#[case] half_lives: f64) {
     let mut sum = Decay::default();
     sum.add(NOW, 100, 8.0);
-    assert_eq!(sum.read(NOW + (100.0 * halves) as Tenths, 100), 8.0 / halves.exp2());
+    assert_eq!(sum.read(NOW + (100.0 * half_lives) as Tenths, 100), 8.0 / half_lives.exp2());
 }
 
 #[rstest]
 #[case::miss(Ending::Miss, Some(false), State::TopologyReject)]
 #[case::answer_of_a_primary(Ending::Answered, Some(true), State::Healthy)]
-#[case::connection(Ending::ConnectFailed, None, State::TransportError)]
-#[case::a_reset_is_asked_about(Ending::Reset, None, State::Unknown)]
-#[case::time_out_proves_nothing(Ending::TimedOut, None, State::Unknown)]
-fn endings_rank_members(#[case] ending: Ending, #[case] role: Option<bool>, #[case] state: State) {
+#[case::connect_failed(Ending::ConnectFailed, None, State::TransportError)]
+#[case::reset_awaits_a_probe(Ending::Reset, None, State::Unknown)]
+#[case::single_timeout_changes_nothing(Ending::TimedOut, None, State::Unknown)]
+fn dispatch_ending_sets_the_member_state(
+    #[case] ending: Ending,
+    #[case] role: Option<bool>,
+    #[case] state: State,
+) {
     let mut r = router(&[]);
     open(&mut r, "write");
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
@@ -134,12 +138,16 @@
 
 #[rstest]
 #[case::listed_primary_first([State::Unknown; 3], &[], Some(0))]
-#[case::walks_past_the_tried([State::TopologyReject, State::Unknown, State::Unknown], &[0], Some(1))]
-#[case::state_before_list([State::TopologyReject, State::TopologyReject, State::Unknown], &[], Some(2))]
-#[case::broken_but_listed([State::TransportError, State::TopologyReject, State::TopologyReject], &[], Some(0))]
-#[case::broken([State::Unknown, State::TransportError, State::TransportError], &[0], None)]
+#[case::skips_members_already_tried([State::TopologyReject, State::Unknown, State::Unknown], &[0], Some(1))]
+#[case::state_outranks_listed_role([State::TopologyReject, State::TopologyReject, State::Unknown], &[], Some(2))]
+#[case::listed_primary_is_tried_though_broken([State::TransportError, State::TopologyReject, State::TopologyReject], &[], Some(0))]
+#[case::other_broken_members_are_skipped([State::Unknown, State::TransportError, State::TransportError], &[0], None)]
 #[case::round_over([State::Unknown; 3], &[0, 1, 2], None)]
-fn write_walks_by_rank(#[case] states: [State; 3], #[case] tried: &[Node], #[case] first: Option<Node>) {
+fn held_write_tries_members_by_rank(
+    #[case] states: [State; 3],
+    #[case] tried: &[Node],
+    #[case] first: Option<Node>,
+) {
     let mut r = router(&[]);
     open(&mut r, "write");
     r.open.get_mut(&0).unwrap().tried = tried.to_vec();
@@ -151,8 +159,12 @@
 
 #[rstest]
 #[case::misses(false, PAUSE, PAUSE)]
-#[case::broken(true, PAUSE, 2 * PAUSE - 1)]
-fn held_round_pauses(#[case] broken: bool, #[case] least: Tenths, #[case] most: Tenths) {
+#[case::transport_errors(true, PAUSE, 2 * PAUSE - 1)]
+fn round_without_a_primary_is_followed_by_a_pause(
+    #[case] broken: bool,
+    #[case] least: Tenths,
+    #[case] most: Tenths,
+) {
     let mut r = router(&[]);
     open(&mut r, "write");
     let cmd = r.open.get_mut(&0).unwrap();
@@ -162,7 +174,7 @@
 }
 
 #[rstest]
-fn held_writes_wait_on_one_scout() {
+fn only_one_held_write_per_set_searches_for_the_primary() {
     let mut r = router(&[]);
     open(&mut r, "write");
     r.sets.get_mut(&1).unwrap().scout = Some(9);
@@ -170,7 +182,7 @@
 }
 
 #[rstest]
-fn half_the_dispatches_end_a_round() {
+fn search_uses_at_most_half_of_the_attempts() {
     let mut r = router(&[]);
     open(&mut r, "write");
     r.open.get_mut(&0).unwrap().dispatches = 3;
@@ -178,32 +190,36 @@
 }
 
 #[rstest]
-#[case::fresh_enough(NOW - 2_999, true)]
+#[case::within_the_bound(NOW - 2_999, true)]
 #[case::at_the_bound(NOW - 3_000, false)]
-#[case::old(NOW - 9_000, false)]
-fn bounded_reads_need_a_proven_position(#[case] position: Tenths, #[case] lawful: bool) {
+#[case::beyond_the_bound(NOW - 9_000, false)]
+fn bounded_read_requires_a_position_within_the_bound(#[case] position: Tenths, #[case] allowed: bool) {
     let mut r = router(&[]);
     open(&mut r, "bounded");
     r.members[1].position = position;
-    assert_eq!(r.lawful_for(NOW, 0, 1) > 0, lawful);
+    assert_eq!(r.lawful_for(NOW, 0, 1) > 0, allowed);
 }
 
 #[rstest]
 #[case::behind_the_token(-1, false)]
 #[case::at_the_token(0, true)]
-fn session_reads_need_their_token(#[case] past: Tenths, #[case] lawful: bool) {
+fn session_read_requires_a_position_at_its_token(#[case] past: Tenths, #[case] allowed: bool) {
     let mut r = router(&[]);
     open(&mut r, "session");
     r.members[1].position = NOW + past;
-    assert_eq!(r.lawful_for(NOW, 0, 1) > 0, lawful);
+    assert_eq!(r.lawful_for(NOW, 0, 1) > 0, allowed);
 }
 
 #[rstest]
-#[case::carried("carried", Some(500), NOW + 1 - 500)]
-#[case::carried_none("carried", Some(0), 0)]
-#[case::carried_left_out("carried", None, NOW + 1)]
+#[case::carried_with_age("carried", Some(500), NOW + 1 - 500)]
+#[case::carried_without_a_write("carried", Some(0), 0)]
+#[case::carried_token_missing("carried", None, NOW + 1)]
 #[case::remembered("remembered", None, 77)]
-fn token_becomes_a_position(#[case] mode: &str, #[case] age: Option<Tenths>, #[case] needs: Tenths) {
+fn session_token_sets_the_required_position(
+    #[case] mode: &str,
+    #[case] age: Option<Tenths>,
+    #[case] needs: Tenths,
+) {
     let mut r = router(&[("family_info.token_mode", mode)]);
     r.sessions.write("s".into(), 77, 0, SESSIONS_LEAST);
     let (id, command_group, session) = ("x".into(), "session".into(), Some("s".into()));
@@ -225,24 +241,30 @@
 }
 
 #[rstest]
-#[case::untouched(None, true)]
+#[case::not_dispatched(None, true)]
 #[case::may_have_run(Some((0, NOW)), false)]
-fn mutating_is_not_sent_again(#[case] ran: Option<(Node, Tenths)>, #[case] lawful: bool) {
+fn mutating_command_that_may_have_run_is_not_resent(
+    #[case] ran: Option<(Node, Tenths)>,
+    #[case] allowed: bool,
+) {
     let mut r = router(&[]);
     open(&mut r, "write");
     r.open.get_mut(&0).unwrap().maybe_ran = ran;
-    assert_eq!(r.lawful_for(NOW, 0, 1) > 0, lawful);
+    assert_eq!(r.lawful_for(NOW, 0, 1) > 0, allowed);
 }
 
 #[rstest]
 #[case::miss(Ending::Miss, None)]
 #[case::full(Ending::Full, None)]
-#[case::connection(Ending::ConnectFailed, None)]
+#[case::connect_failed(Ending::ConnectFailed, None)]
 #[case::never_sent(Ending::NeverSent, None)]
 #[case::error(Ending::Error, Some((1, NOW)))]
-#[case::time_out(Ending::TimedOut, Some((1, NOW)))]
+#[case::timed_out(Ending::TimedOut, Some((1, NOW)))]
 #[case::reset(Ending::Reset, Some((1, NOW)))]
-fn endings_prove_what_ran(#[case] ending: Ending, #[case] ran: Option<(Node, Tenths)>) {
+fn ending_determines_whether_the_command_may_have_run(
+    #[case] ending: Ending,
+    #[case] ran: Option<(Node, Tenths)>,
+) {
     let mut r = router(&[]);
     open(&mut r, "write");
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
@@ -253,25 +275,25 @@
 #[rstest]
 #[case::in_window("token", "cell", 10, true)]
 #[case::past_window("token", "cell", 60_000, false)]
-fn keyed_keeps_to_its_window(
+fn keyed_command_is_resent_only_within_its_window(
     #[case] effect: &str,
     #[case] group: &str,
     #[case] age: Tenths,
-    #[case] ok: bool,
+    #[case] allowed: bool,
 ) {
     let class = |name: &str| format!("request_classes.4.{name}");
     let (a, b, c) = (class("semantics"), class("group"), class("window_ms"));
     let mut r = router(&[(&a, effect), (&b, group), (&c, "5000")]);
     open(&mut r, "write");
     r.open.get_mut(&0).unwrap().maybe_ran = Some((0, NOW - age));
-    assert_eq!(r.lawful_for(NOW, 0, 1) > 0, ok);
+    assert_eq!(r.lawful_for(NOW, 0, 1) > 0, allowed);
 }
 
 #[rstest]
-#[case::drain_grace_but_for_a_hold_up("any", None, NOW, 3_500)]
-#[case::age("bounded", None, NOW - 2_000, 1_000)]
-#[case::window("write", Some(NOW - 48_000), NOW, 1_990)]
-fn a_dispatch_says_until_when_it_may_be_written(
+#[case::drain_grace_less_the_assumed_stall("any", None, NOW, 3_500)]
+#[case::staleness_bound("bounded", None, NOW - 2_000, 1_000)]
+#[case::keyed_window("write", Some(NOW - 48_000), NOW, 1_990)]
+fn dispatch_carries_its_write_deadline(
     #[case] kind: &str,
     #[case] ran: Option<Tenths>,
     #[case] position: Tenths,
@@ -289,10 +311,10 @@
 }
 
 #[rstest]
-#[case::refused_connections(Ending::ConnectFailed, NOW + 10_000)]
+#[case::connect_failed(Ending::ConnectFailed, NOW + 10_000)]
 #[case::never_sent(Ending::NeverSent, NOW + 10_000)]
-#[case::a_miss(Ending::Miss, NOW + 20_000)]
-fn patience_grows_once_something_was_written(#[case] ending: Ending, #[case] patience: Tenths) {
+#[case::miss(Ending::Miss, NOW + 20_000)]
+fn wait_limit_is_extended_once_a_dispatch_was_written(#[case] ending: Ending, #[case] patience: Tenths) {
     let mut r = router(&[]);
     open(&mut r, "write");
     let cmd = r.open.get_mut(&0).unwrap();
@@ -302,61 +324,61 @@
 }
 
 #[rstest]
-#[case::in_time(NOW + 1, 0)]
-#[case::out_of_patience(NOW, 1)]
-fn a_waiting_command_out_of_patience_is_told_to_come_back(#[case] patience: Tenths, #[case] answers: usize) {
+#[case::before_the_limit(NOW + 1, 0)]
+#[case::at_the_limit(NOW, 1)]
+fn waiting_command_is_throttled_at_its_wait_limit(#[case] patience: Tenths, #[case] throttles: usize) {
     let mut r = router(&[]);
     open(&mut r, "write");
     r.settle(NOW - 1, 0);
     r.open.get_mut(&0).unwrap().patience = patience;
     r.settle(NOW, 0);
-    assert_eq!(r.ready.iter().filter(|d| matches!(d, Decision::Throttle { .. })).count(), answers);
+    assert_eq!(r.ready.iter().filter(|d| matches!(d, Decision::Throttle { .. })).count(), throttles);
 }
 
 #[rstest]
 #[case::in_window(10, 0)]
 #[case::past_window(60_000, 1)]
-fn keyed_past_its_window_is_answered_at_once(#[case] age: Tenths, #[case] answers: usize) {
+fn keyed_command_past_its_window_fails_immediately(#[case] age: Tenths, #[case] failures: usize) {
     let class = |name: &str| format!("request_classes.4.{name}");
     let (a, b, c) = (class("semantics"), class("group"), class("window_ms"));
     let mut r = router(&[(&a, "token"), (&b, "cell"), (&c, "5000")]);
     open(&mut r, "write");
     r.open.get_mut(&0).unwrap().maybe_ran = Some((0, NOW - age));
     r.settle(NOW, 0);
-    assert_eq!(r.ready.iter().filter(|d| matches!(d, Decision::Fail { .. })).count(), answers);
+    assert_eq!(r.ready.iter().filter(|d| matches!(d, Decision::Fail { .. })).count(), failures);
 }
 
 #[rstest]
-#[case::one_in_ten_is_later(2.4, true)]
-#[case::one_in_seven_is_later(2.0, false)]
-fn what_waits_is_given_up_before_it_is_hopeless(#[case] left: f64, #[case] waits: bool) {
+#[case::one_in_ten_would_be_late(2.4, true)]
+#[case::one_in_seven_would_be_late(2.0, false)]
+fn waiting_command_is_given_up_when_a_timely_answer_is_unlikely(#[case] left: f64, #[case] waits: bool) {
     let mut r = router(&[]);
     open(&mut r, "any");
     r.open.get_mut(&0).unwrap().ends = NOW + (r.usual(NOW, 0) * left) as Tenths;
-    // Settled when it came, and again when it has waited.
+    // The first call queues the command, the second decides whether it may go on waiting.
     (0..2).for_each(|_| r.settle(NOW, 0));
     assert_eq!(r.open.contains_key(&0), waits);
 }
 
 #[rstest]
-#[case::untouched(None, true)]
+#[case::not_dispatched(None, true)]
 #[case::may_have_run(Some((0, NOW)), false)]
-fn given_up_writes_are_throttled_only_when_harmless(
+fn given_up_write_is_throttled_only_if_safe_to_repeat(
     #[case] ran: Option<(Node, Tenths)>,
-    #[case] harmless: bool,
+    #[case] safe_to_repeat: bool,
 ) {
     let mut r = router(&[]);
     open(&mut r, "write");
     r.open.get_mut(&0).unwrap().maybe_ran = ran;
     r.give_up(NOW, 0, GaveUp::Deadline);
-    assert_eq!(matches!(r.ready[0], Decision::Throttle { .. }), harmless);
+    assert_eq!(matches!(r.ready[0], Decision::Throttle { .. }), safe_to_repeat);
 }
 
 #[rstest]
 #[case::within_the_bound(1_000, 0, true)]
-#[case::behind_it(4_000, 0, false)]
-#[case::tried_again(4_000, 1_100, true)]
-fn a_miss_shuts_only_reads_that_need_as_much(
+#[case::beyond_the_bound(4_000, 0, false)]
+#[case::retried_after_the_estimated_catch_up(4_000, 1_100, true)]
+fn miss_excludes_a_replica_only_from_reads_that_need_newer_data(
     #[case] behind: Tenths,
     #[case] later: Tenths,
     #[case] fresh: bool,
@@ -372,13 +394,9 @@
 
 #[rstest]
 #[case::late_benefit("true", "0.5", 2_500)]
-#[case::none_when_late("true", "0", 6_000)]
+#[case::no_late_benefit("true", "0", 6_000)]
 #[case::not_allowed("false", "0", 0)]
-fn throttled_clients_are_told_when_to_come_back(
-    #[case] allowed: &str,
-    #[case] late: &str,
-    #[case] expected: Tenths,
-) {
+fn throttle_carries_the_retry_delay(#[case] allowed: &str, #[case] late: &str, #[case] expected: Tenths) {
     let heeded = ("permissions.max_retry_after_ms", "600");
     let mut r =
         router(&[("permissions.retry_after", allowed), heeded, ("request_classes.0.late_value", late)]);
@@ -388,10 +406,14 @@
 }
 
 #[rstest]
-#[case::first_tries(false, false, 0)]
-#[case::repeat(true, false, 1)]
+#[case::first_try(false, false, 0)]
+#[case::client_retry(true, false, 1)]
 #[case::beyond_its_share(false, true, 2)]
-fn repeats_and_excess_wait_behind(#[case] repeat: bool, #[case] excess: bool, #[case] rank: u8) {
+fn client_retries_and_traffic_above_the_share_queue_last(
+    #[case] repeat: bool,
+    #[case] excess: bool,
+    #[case] rank: u8,
+) {
     let settings = [("projects.count", "1"), ("projects.0.name", "p"), ("projects.0.share", "0.5")];
     let mut r = router(&settings);
     for _ in 0..20 {
@@ -406,31 +428,35 @@
 }
 
 #[rstest]
-#[case::drains(Phase::Draining, "false", true)]
-#[case::gone(Phase::Removed, "false", true)]
-#[case::gone_but_not_binding(Phase::Removed, "true", false)]
-fn told_members_get_nothing_new(#[case] phase: Phase, #[case] soft: &str, #[case] shut: bool) {
+#[case::draining(Phase::Draining, "false", true)]
+#[case::removed(Phase::Removed, "false", true)]
+#[case::soft_removal(Phase::Removed, "true", false)]
+fn draining_or_removed_member_gets_no_new_dispatch(
+    #[case] phase: Phase,
+    #[case] soft: &str,
+    #[case] excluded: bool,
+) {
     let mut r = router(&[("rules.soft_removal", soft)]);
     r.members_changed(NOW, false, &[entry("b", phase, 0)]);
     open(&mut r, "any");
-    assert_eq!(r.lawful_for(NOW, 0, 1) > 0, !shut);
+    assert_eq!(r.lawful_for(NOW, 0, 1) > 0, !excluded);
 }
 
 #[rstest]
-#[case::left_out_of_a_full_list(true, true)]
-#[case::left_out_of_a_change(false, false)]
-fn absent_members_are_gone(#[case] whole: bool, #[case] shut: bool) {
+#[case::full_list(true, true)]
+#[case::incremental_change(false, false)]
+fn member_missing_from_a_full_list_is_removed(#[case] whole: bool, #[case] removed: bool) {
     let mut r = router(&[]);
     r.members_changed(NOW, whole, &[entry("a", Phase::Up, 0)]);
-    assert_eq!(r.knows("b"), !shut);
+    assert_eq!(r.knows("b"), !removed);
 }
 
 #[rstest]
-#[case::nothing_out(None, None, "false", false)]
-#[case::a_dispatch_out(Some((1, NOW)), None, "false", true)]
+#[case::nothing_in_flight(None, None, "false", false)]
+#[case::dispatch_in_flight(Some((1, NOW)), None, "false", true)]
 #[case::may_have_run_there(None, Some((1, NOW)), "false", true)]
-#[case::not_binding_and_not_broken(None, None, "true", true)]
-fn members_that_are_gone_are_forgotten(
+#[case::soft_removal_of_a_working_member(None, None, "true", true)]
+fn removed_member_is_forgotten_once_nothing_refers_to_it(
     #[case] out: Option<(Node, Tenths)>,
     #[case] ran: Option<(Node, Tenths)>,
     #[case] soft: &str,
@@ -445,31 +471,35 @@
 }
 
 #[rstest]
-#[case::gone("b", Phase::Removed, &["b"])]
-#[case::never_known("x", Phase::Removed, &["x"])]
+#[case::removed("b", Phase::Removed, &["b"])]
+#[case::unknown_id("x", Phase::Removed, &["x"])]
 #[case::draining("b", Phase::Draining, &[])]
 #[case::new("x", Phase::Up, &[])]
-fn the_host_is_told_whom_to_forget(#[case] id: &str, #[case] phase: Phase, #[case] forgotten: &[&str]) {
+fn removed_members_are_reported_to_the_host(
+    #[case] id: &str,
+    #[case] phase: Phase,
+    #[case] forgotten: &[&str],
+) {
     let mut r = router(&[]);
     r.members_changed(NOW, false, &[entry(id, phase, 0)]);
-    let told =
+    let reported =
         r.ready.iter().filter_map(|d| if let Decision::Forget { node } = d { Some(&**node) } else { None });
-    assert_eq!(told.collect::<Vec<&str>>(), forgotten);
+    assert_eq!(reported.collect::<Vec<&str>>(), forgotten);
 }
 
-/// Besides the set of three, one of two: `d` and `e`.
+/// A second set has the two members `d` and `e`.
 #[rstest]
-#[case::a_row(false, &[("b", 1, Phase::Draining)], &[1])]
-#[case::a_new_member(false, &[("x", 2, Phase::Up)], &[2])]
-#[case::a_member_gone(false, &[("d", 2, Phase::Removed)], &[2])]
-#[case::rows_of_both(false, &[("b", 1, Phase::Up), ("d", 2, Phase::Up)], &[1, 2])]
-#[case::nothing(false, &[], &[])]
-#[case::one_absent(true, &[("a", 1, Phase::Up), ("b", 1, Phase::Up), ("d", 2, Phase::Up), ("e", 2, Phase::Up)], &[1, 2])]
-#[case::a_set_absent(true, &[("a", 1, Phase::Up)], &[1, 2])]
-fn a_change_of_the_list_touches_the_sets_that_it_names(
+#[case::changed_row(false, &[("b", 1, Phase::Draining)], &[1])]
+#[case::added_member(false, &[("x", 2, Phase::Up)], &[2])]
+#[case::removed_member(false, &[("d", 2, Phase::Removed)], &[2])]
+#[case::rows_of_both_sets(false, &[("b", 1, Phase::Up), ("d", 2, Phase::Up)], &[1, 2])]
+#[case::empty_change(false, &[], &[])]
+#[case::member_missing_from_a_full_list(true, &[("a", 1, Phase::Up), ("b", 1, Phase::Up), ("d", 2, Phase::Up), ("e", 2, Phase::Up)], &[1, 2])]
+#[case::set_missing_from_a_full_list(true, &[("a", 1, Phase::Up)], &[1, 2])]
+fn list_change_marks_only_the_affected_sets(
     #[case] whole: bool,
     #[case] rows: &[(&str, i64, Phase)],
-    #[case] touched: &[i64],
+    #[case] affected: &[i64],
 ) {
     let entries = |rows: &[(&str, i64, Phase)]| -> Vec<Entry> {
         rows.iter().map(|(id, set, phase)| Entry { set: *set, ..entry(id, *phase, 0) }).collect()
@@ -478,13 +508,13 @@
     r.members_changed(NOW, false, &entries(&[("d", 2, Phase::Up), ("e", 2, Phase::Up)]));
     r.dirty.clear();
     r.members_changed(NOW, whole, &entries(rows));
-    assert_eq!(r.dirty.into_iter().collect::<Vec<i64>>(), touched);
+    assert_eq!(r.dirty.into_iter().collect::<Vec<i64>>(), affected);
 }
 
 #[rstest]
-#[case::joined(&["a", "b", "c", "d"], &[1, 2, 3, 0])]
-#[case::one_less(&["b", "c"], &[1, 0])]
-fn ties_follow_the_sets_members(#[case] listed: &[&str], #[case] ties: &[usize]) {
+#[case::member_joined(&["a", "b", "c", "d"], &[1, 2, 3, 0])]
+#[case::member_left(&["b", "c"], &[1, 0])]
+fn tie_ranks_are_recomputed_on_membership_change(#[case] listed: &[&str], #[case] ties: &[usize]) {
     let mut r = router(&[("me", "3")]);
     let entries: Vec<Entry> = listed.iter().map(|id| entry(id, Phase::Up, 0)).collect();
     r.members_changed(NOW, true, &entries);
@@ -493,27 +523,27 @@
 }
 
 #[rstest]
-fn a_member_that_comes_back_under_its_id_is_known_again() {
+fn removed_member_that_is_listed_again_is_known() {
     let mut r = router(&[]);
     r.members_changed(NOW, false, &[entry("b", Phase::Removed, 0), entry("c", Phase::Removed, 0)]);
     r.members_changed(NOW, false, &[entry("b", Phase::Up, NOW)]);
     r.members_changed(NOW, false, &[entry("a", Phase::Up, 0)]);
-    assert!(r.knows("b"), "forgotten by the place that it had before");
+    assert!(r.knows("b"), "still treated as forgotten because of its former slot");
     assert_eq!((r.sets[&1].nodes.len(), r.vacant.len()), (2, 1));
 }
 
 #[rstest]
 #[case::most_break(4, 2, 1, NOW, Some(2_048))]
-#[case::three_broke(3, 0, 1, NOW, None)]
+#[case::only_three_broke(3, 0, 1, NOW, None)]
 #[case::few_break(6, 94, 1, NOW, None)]
-#[case::they_break_later(4, 0, AT_ONCE + 1, NOW, None)]
+#[case::broke_later(4, 0, AT_ONCE + 1, NOW, None)]
 #[case::long_ago(4, 2, 1, NOW + 4 * SHARE_HALF, None)]
-fn connections_of_an_age_that_breaks_at_once_are_not_kept(
+fn idle_limit_is_learned_from_connections_that_break_immediately(
     #[case] broken: usize,
     #[case] whole: usize,
     #[case] took: Tenths,
     #[case] now: Tenths,
-    #[case] most: Option<Tenths>,
+    #[case] idle_limit: Option<Tenths>,
 ) {
     let mut r = router(&[]);
     for ending in [vec![Ending::Reset; broken], vec![Ending::Answered; whole]].concat() {
@@ -521,11 +551,11 @@
         r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
         r.dispatch_ended(NOW, "cmd", DispatchEnd { took, idled: Some(3_000), ..ended(ending, None) });
     }
-    assert_eq!(r.idle_most(now), most);
+    assert_eq!(r.idle_most(now), idle_limit);
 }
 
 #[rstest]
-fn members_under_ever_new_ids_take_the_places_of_those_gone() {
+fn slots_of_removed_members_are_reused_for_new_ids() {
     let mut r = router(&[]);
     for i in 0..100 {
         let (id, before) = (format!("n{i}"), format!("n{}", i - 1));
@@ -537,7 +567,7 @@
 #[rstest]
 #[case::remembered(NOW - SESSION_KEPT + 2, NOW - SESSION_KEPT + 2)]
 #[case::forgotten(NOW - SESSION_KEPT - 5, NOW - SESSION_KEPT)]
-fn a_forgotten_session_counts_as_written_when_it_was_forgotten(#[case] wrote: Tenths, #[case] needs: Tenths) {
+fn forgotten_session_counts_as_written_at_the_retention_limit(#[case] wrote: Tenths, #[case] needs: Tenths) {
     let mut r = router(&[("family_info.token_mode", "remembered")]);
     (1..SESSIONS_LEAST).for_each(|i| r.sessions.write(format!("{i}"), 1, 0, SESSIONS_LEAST));
     r.sessions.write("s".into(), wrote, 0, SESSIONS_LEAST);
@@ -553,11 +583,11 @@
     assert_eq!(r.open[&0].needs, needs);
 }
 
-/// This router's clock is behind theirs: a commit looks as if it were yet to come.
+/// The router's clock is behind the members' clock, so the position of a new commit appears to lie in the future.
 #[rstest]
-#[case::a_little(1_500)]
-#[case::an_hour(3_600 * SECOND)]
-fn a_commit_that_looks_yet_to_come_is_remembered(#[case] ahead: Tenths) {
+#[case::slightly_ahead(1_500)]
+#[case::hour_ahead(3_600 * SECOND)]
+fn commit_position_ahead_of_the_router_clock_is_remembered(#[case] ahead: Tenths) {
     let mut r = router(&[("family_info.token_mode", "remembered")]);
     r.clock = MemberClock::default();
     open(&mut r, "write");
@@ -568,9 +598,9 @@
     assert!(r.sessions.written(&Some("s".into()), 0) > NOW - 20 + ahead);
 }
 
-/// A session whose last write is not told: it may be of just now, by the members' clock.
+/// Without a token the session's last write may be as recent as the members' clock allows.
 #[rstest]
-fn a_token_that_is_left_out_is_as_late_as_the_members_clock_may_be() {
+fn missing_session_token_requires_the_latest_possible_member_time() {
     let mut r = router(&[("family_info.token_mode", "carried")]);
     r.clock.learn(NOW, Evidence::of_any(NOW + SECOND, NOW));
     let (id, command_group) = ("x".into(), "session".into());
@@ -585,24 +615,24 @@
 #[case::credit_left(NOW - 10, 2_500.0, 0.0, true)]
 #[case::credit_spent(NOW - 10, 2_400.0, 0.0, false)]
 #[case::credit_grown(NOW - 10, 2_400.0, 9e7, true)]
-fn cold_members_have_a_credit(
+fn cold_member_is_limited_by_its_credit(
     #[case] started: Tenths,
     #[case] credit: f64,
     #[case] usual: f64,
-    #[case] ok: bool,
+    #[case] allowed: bool,
 ) {
     let mut r = router(&[("rules.start_capacity", "0.2"), ("rules.warm_after_ms", "18000")]);
     open(&mut r, "any");
     let m = &mut r.members[1];
     (m.started, m.credit, m.credit_at) = (started, credit, NOW - 100);
     r.done_work.add(NOW, USUAL_HALF, usual);
-    assert_eq!(r.lawful_for(NOW, 0, 1) > 0, ok);
+    assert_eq!(r.lawful_for(NOW, 0, 1) > 0, allowed);
 }
 
 #[rstest]
-#[case::seen_to_die(true, NOW)]
-#[case::silent_only(false, 0)]
-fn members_seen_to_die_come_back_cold(#[case] died: bool, #[case] started: Tenths) {
+#[case::died(true, NOW)]
+#[case::only_silent(false, 0)]
+fn member_known_to_have_died_is_cold_on_recovery(#[case] died: bool, #[case] started: Tenths) {
     let mut r = router(&[]);
     (r.members[1].state, r.members[1].died) = (State::TransportError, died);
     r.probe_ended(NOW, "b", probed(Ending::Answered, Report::default()));
@@ -610,7 +640,7 @@
 }
 
 #[rstest]
-fn turns_pass_over_replicas() {
+fn reads_go_to_the_replica_with_the_lowest_turn() {
     let mut r = router(&[]);
     open(&mut r, "any");
     r.members[0].state = State::Healthy;
@@ -621,7 +651,7 @@
 #[rstest]
 #[case::first_has_room(0, Some(1))]
 #[case::first_is_full(NOW + 1, None)]
-fn long_reads_keep_to_one_replica(#[case] shy_until: Tenths, #[case] node: Option<Node>) {
+fn long_reads_use_only_the_first_replica(#[case] shy_until: Tenths, #[case] node: Option<Node>) {
     let mut r = router(&[("request_classes.0.aim_ms", "2000")]);
     open(&mut r, "any");
     (r.members[0].state, r.members[0].shy_until) = (State::Healthy, NOW + 1);
@@ -630,15 +660,15 @@
 }
 
 #[rstest]
-#[case::in_hand_well_inside_the_bound("700", false)]
-#[case::beside_the_bound("800", true)]
-fn a_read_is_long_that_may_outlast_the_tightest_bound(#[case] target: &str, #[case] long: bool) {
+#[case::just_below_the_bound("700", false)]
+#[case::just_above_the_bound("800", true)]
+fn read_counts_as_long_if_it_may_outlast_the_tightest_bound(#[case] target: &str, #[case] long: bool) {
     let r = router(&[("request_classes.0.aim_ms", target)]);
     assert_eq!(r.outlasts(0), long);
 }
 
 #[rstest]
-fn the_turns_cost_stays_with_the_long_reads_where_their_replica_lags() {
+fn turn_surcharge_stays_with_the_long_read_replica_while_it_lags() {
     let mut r = router(&[]);
     open(&mut r, "bounded");
     r.members[0].state = State::Healthy;
@@ -649,9 +679,9 @@
 }
 
 #[rstest]
-#[case::crossing_is_free("0", 1.0)]
-#[case::crossing_has_a_price("0.05", 3.0)]
-fn turns_in_another_zone_cost_by_the_price_of_crossing(#[case] price: &str, #[case] turn: f64) {
+#[case::no_penalty("0", 1.0)]
+#[case::with_penalty("0.05", 3.0)]
+fn turn_cost_includes_the_cross_zone_penalty(#[case] price: &str, #[case] turn: f64) {
     let mut r = router(&[("zone", "y"), ("penalties.cross_zone", price)]);
     open(&mut r, "any");
     r.members[0].state = State::Healthy;
@@ -659,10 +689,10 @@
 }
 
 #[rstest]
-#[case::primary_when_none_qualifies(NOW - 9_000, NOW, Some(0))]
-#[case::replica_when_one_does(NOW - 9, NOW, Some(1))]
-#[case::one_being_checked_is_waited_for(NOW - 9_000, NOW - SECOND, None)]
-fn reads_fall_to_the_primary_last(
+#[case::no_replica_qualifies(NOW - 9_000, NOW, Some(0))]
+#[case::replica_qualifies(NOW - 9, NOW, Some(1))]
+#[case::probe_of_a_replica_is_awaited(NOW - 9_000, NOW - SECOND, None)]
+fn reads_use_the_primary_as_a_last_resort(
     #[case] position: Tenths,
     #[case] checked: Tenths,
     #[case] node: Option<Node>,
@@ -675,10 +705,14 @@
 }
 
 #[rstest]
-#[case::in_time(100, State::Unknown, None)]
-#[case::too_long(1_000, State::Unknown, Some(0))]
-#[case::broken(100, State::TransportError, Some(0))]
-fn checks_are_waited_for_a_while(#[case] since: Tenths, #[case] state: State, #[case] node: Option<Node>) {
+#[case::within_the_limit(100, State::Unknown, None)]
+#[case::past_the_limit(1_000, State::Unknown, Some(0))]
+#[case::member_broken(100, State::TransportError, Some(0))]
+fn read_waits_a_limited_time_for_a_probe(
+    #[case] since: Tenths,
+    #[case] state: State,
+    #[case] node: Option<Node>,
+) {
     let mut r = router(&[]);
     open(&mut r, "bounded");
     (r.members[0].state, r.members[2].shut) = (State::Healthy, true);
@@ -690,7 +724,7 @@
 #[rstest]
 #[case::its_turn(0.0, 1)]
 #[case::not_its_turn(9.0, 0)]
-fn a_name_that_never_answered_is_asked_beside_the_known(#[case] turn: f64, #[case] probes: usize) {
+fn unproven_member_is_only_probed_while_others_serve(#[case] turn: f64, #[case] probes: usize) {
     let mut r = router(&[]);
     open(&mut r, "any");
     r.members[0].state = State::Healthy;
@@ -701,18 +735,18 @@
 #[rstest]
 #[case::never_answered(false, BACKOFF_MAX)]
 #[case::answered_before(true, PAUSE)]
-fn a_name_that_never_answered_rests_long(#[case] met: bool, #[case] least: Tenths) {
+fn unproven_member_gets_the_longest_backoff(#[case] met: bool, #[case] least: Tenths) {
     let mut r = router(&[]);
     (r.members[1].met, r.members[1].fails) = (met, 1);
     r.probe_ended(NOW, "b", probed(Ending::TimedOut, Report::default()));
     assert!((NOW + least..NOW + 2 * least).contains(&r.members[1].retry_at));
 }
 
-/// With a probe that is lost just before they are back, all within the 4 s that a router may idle for.
+/// A router may stay without a working member for 4 s, and one probe may be lost just before the members come back.
 #[rstest]
-#[case::never_met(false, 0)]
-#[case::for_long(true, 9)]
-fn while_no_member_works_one_is_asked_within_a_while(#[case] met: bool, #[case] fails: u32) {
+#[case::never_answered(false, 0)]
+#[case::broken_for_long(true, 9)]
+fn some_member_is_probed_soon_while_none_works(#[case] met: bool, #[case] fails: u32) {
     let mut r = router(&[]);
     for node in 0..3 {
         (r.members[node].met, r.members[node].fails) = (met, fails);
@@ -722,14 +756,15 @@
     let at = NOW + 5 * SECOND / 2;
     assert_eq!(r.pick_reader(at, 1, 0), None);
     r.seek(at, 1);
-    assert!(r.ready.iter().any(|d| matches!(d, Decision::Probe { .. })), "nobody is asked 2.5 s later");
+    assert!(r.ready.iter().any(|d| matches!(d, Decision::Probe { .. })), "no member is probed 2.5 s later");
 }
 
-/// What was set before the command was sent is due when its dispatch ends. It has no time for a third offer.
+/// The settle task that was scheduled before the command was sent is due when its dispatch ends. The command has no time
+/// left for a third offer.
 #[rstest]
 #[case::not_yet_due(NOW + 9)]
 #[case::due(NOW + 11)]
-fn a_further_attempt_is_offered_though_an_old_settling_is_due(#[case] ends: Tenths) {
+fn retry_is_offered_although_an_older_settle_task_is_due(#[case] ends: Tenths) {
     let mut r = router(&[]);
     while r.next_decision(NOW).is_some() {}
     let (id, command_group) = ("cmd".into(), "write".into());
@@ -745,10 +780,10 @@
 }
 
 #[rstest]
-#[case::beside_one_that_works(State::Unknown, NOW - 3 * SECOND, false)]
-#[case::beside_none(State::TransportError, NOW - 3 * SECOND, true)]
-#[case::asked_lately(State::TransportError, NOW - SECOND, false)]
-fn a_broken_member_rests_less_where_none_works(
+#[case::others_work(State::Unknown, NOW - 3 * SECOND, false)]
+#[case::none_works(State::TransportError, NOW - 3 * SECOND, true)]
+#[case::probed_recently(State::TransportError, NOW - SECOND, false)]
+fn broken_member_is_probed_again_sooner_while_none_works(
     #[case] others: State,
     #[case] asked_at: Tenths,
     #[case] rested: bool,
@@ -761,10 +796,10 @@
 }
 
 #[rstest]
-#[case::first_settled_later(NOW + 500)]
-#[case::first_settled_in_the_same_turn(NOW)]
-#[case::first_settled_before(NOW - 1)]
-fn a_command_that_comes_back_is_settled_once(#[case] before: Tenths) {
+#[case::previous_task_later(NOW + 500)]
+#[case::previous_task_at_the_same_time(NOW)]
+#[case::previous_task_earlier(NOW - 1)]
+fn rescheduled_command_has_only_one_settle_task(#[case] before: Tenths) {
     let mut r = router(&[]);
     open(&mut r, "write");
     r.settle_at(before, 0);
@@ -773,9 +808,9 @@
     assert_eq!(settles, [&(NOW, Task::Settle(0))]);
 }
 
-/// The miss of a write comes in the turn in which its own first settling is due, past its patience.
+/// The miss of a write arrives when the write's first settle task is due, after its wait limit has passed.
 #[rstest]
-fn a_write_that_was_missed_late_is_offered_to_the_known_primary() {
+fn write_missed_past_its_wait_limit_goes_to_the_known_primary() {
     let mut r = router(&[]);
     open(&mut r, "write");
     r.agenda.clear();
@@ -791,7 +826,7 @@
 }
 
 #[rstest]
-fn a_seeking_round_asks_each_in_turn() {
+fn primary_search_probes_the_least_recently_probed_member() {
     let mut r = router(&[]);
     open(&mut r, "write");
     (r.members[0].asked_at, r.members[0].checked_at) = (NOW, 0);
@@ -804,7 +839,7 @@
 #[rstest]
 #[case::none_proven(NOW - 9_000, 1)]
 #[case::one_proven(NOW - 9, 0)]
-fn waiting_reads_have_replicas_checked(#[case] position: Tenths, #[case] probes: usize) {
+fn waiting_read_probes_a_replica_if_none_is_proven_fresh(#[case] position: Tenths, #[case] probes: usize) {
     let mut r = router(&[]);
     open(&mut r, "bounded");
     (r.members[1].position, r.members[1].turn) = (position, -1.0);
@@ -813,12 +848,12 @@
 }
 
 #[rstest]
-#[case::position_run_out(State::Unknown, NOW - 2_000, NOW - 1_999, true)]
-#[case::asked_lately(State::Unknown, NOW - 1_000, NOW - 4_000, false)]
+#[case::position_expired(State::Unknown, NOW - 2_000, NOW - 1_999, true)]
+#[case::probed_recently(State::Unknown, NOW - 1_000, NOW - 4_000, false)]
 #[case::far_behind(State::Unknown, NOW - 2_000, NOW - 90_000, false)]
 #[case::never_reported(State::Unknown, NOW - 2_000, 0, true)]
-#[case::broken_before_its_backoff(State::TransportError, 0, 1, false)]
-fn members_are_asked_about_by_need(
+#[case::broken_within_its_backoff(State::TransportError, 0, 1, false)]
+fn probe_is_due_by_the_age_of_the_position(
     #[case] state: State,
     #[case] checked_at: Tenths,
     #[case] position: Tenths,
@@ -832,7 +867,7 @@
 #[rstest]
 #[case::newer_than_the_note(NOW + 1, State::Healthy)]
 #[case::older_than_the_note(NOW - 1, State::TopologyReject)]
-fn note_outweighs_an_older_report(#[case] position: Tenths, #[case] state: State) {
+fn answer_note_overrides_an_older_report(#[case] position: Tenths, #[case] state: State) {
     let mut r = router(&[]);
     (r.members[1].noted_at, r.members[1].state) = (NOW, State::TopologyReject);
     r.members[1].roles.claims_replica(NOW, NOW);
@@ -843,7 +878,7 @@
 #[rstest]
 #[case::one_heavy_command(1, State::Healthy)]
 #[case::several_overdue(3, State::TransportError)]
-fn silence_is_told_from_one_heavy_command(#[case] overdue: u32, #[case] state: State) {
+fn silent_member_is_distinguished_from_one_heavy_command(#[case] overdue: u32, #[case] state: State) {
     let mut r = router(&[]);
     open(&mut r, "write");
     (r.members[0].state, r.members[0].heard) = (State::Healthy, NOW - 9_000);
@@ -856,8 +891,8 @@
 
 #[rstest]
 #[case::probe_due(NOW - 90_000, 1)]
-#[case::answered_a_probe_since(NOW, 0)]
-fn a_late_dispatch_earns_one_probe(#[case] checked_at: Tenths, #[case] probes: usize) {
+#[case::probe_answered_since(NOW, 0)]
+fn overdue_dispatch_triggers_at_most_one_probe(#[case] checked_at: Tenths, #[case] probes: usize) {
     let mut r = router(&[]);
     open(&mut r, "any");
     let sent = NOW - 3_000;
@@ -868,7 +903,7 @@
 }
 
 #[rstest]
-fn one_member_a_pause_is_asked_for_the_primary() {
+fn primary_search_sends_one_probe_per_pause() {
     let mut r = router(&[]);
     r.members[0].checked_at = NOW;
     (0..2).for_each(|_| r.seek(NOW, 1));
@@ -877,8 +912,8 @@
 
 #[rstest]
 #[case::refused_at_once(1, State::Healthy)]
-#[case::not_reached(2_500, State::TransportError)]
-fn refused_connection_is_not_death(#[case] took: Tenths, #[case] state: State) {
+#[case::unreachable(2_500, State::TransportError)]
+fn connect_failure_breaks_a_member_unless_refused_at_once(#[case] took: Tenths, #[case] state: State) {
     let mut r = router(&[("permissions.dial_timeout_ms", "250")]);
     open(&mut r, "write");
     r.members[0].state = State::Healthy;
@@ -888,12 +923,12 @@
 }
 
 #[rstest]
-#[case::it_works("true", State::Healthy, &[Ending::Answered], State::Healthy, false)]
-#[case::one_probe_broke_too("true", State::Healthy, &[Ending::Reset, Ending::Answered], State::Healthy, false)]
-#[case::it_died("true", State::Healthy, &[Ending::ConnectFailed; 2], State::TransportError, true)]
-#[case::it_was_broken_before("true", State::TransportError, &[], State::TransportError, true)]
-#[case::nobody_may_ask("false", State::Healthy, &[], State::TransportError, true)]
-fn a_connection_that_breaks_is_not_a_death(
+#[case::probe_answered("true", State::Healthy, &[Ending::Answered], State::Healthy, false)]
+#[case::second_probe_answered("true", State::Healthy, &[Ending::Reset, Ending::Answered], State::Healthy, false)]
+#[case::probes_failed("true", State::Healthy, &[Ending::ConnectFailed; 2], State::TransportError, true)]
+#[case::broken_before("true", State::TransportError, &[], State::TransportError, true)]
+#[case::probes_not_allowed("false", State::Healthy, &[], State::TransportError, true)]
+fn reset_connection_alone_does_not_mark_a_member_dead(
     #[case] may_probe: &str,
     #[case] before: State,
     #[case] probes: &[Ending],
@@ -910,18 +945,18 @@
 }
 
 #[rstest]
-#[case::connections_scarce(5.0, true)]
+#[case::scarce(5.0, true)]
 #[case::enough(0.0, false)]
-fn idle_connections_are_let_go_while_scarce(#[case] refusals: f64, #[case] gone: bool) {
+fn idle_connections_are_closed_while_scarce(#[case] refusals: f64, #[case] closed: bool) {
     let mut r = router(&[]);
     (r.agenda, r.dirty) = Default::default();
     r.scarce.add(NOW, USUAL_HALF, refusals);
     r.used.insert(1);
-    assert_eq!(r.next_decision(NOW) == Some(Decision::LetGo { node: "b".into() }), gone);
+    assert_eq!(r.next_decision(NOW) == Some(Decision::LetGo { node: "b".into() }), closed);
 }
 
 #[rstest]
-fn connections_of_a_forgotten_member_are_not_let_go_by_name() {
+fn no_decision_closes_connections_of_a_forgotten_member() {
     let mut r = router(&[]);
     r.scarce.add(NOW, USUAL_HALF, 2.0);
     r.used.insert(1);
@@ -931,9 +966,9 @@
 }
 
 #[rstest]
-#[case::probes_answer(NOW - 10, true)]
-#[case::nothing_answers(NOW - 50_000, false)]
-fn lost_dispatches_leave_the_window(#[case] checked_at: Tenths, #[case] left: bool) {
+#[case::probe_answered(NOW - 10, true)]
+#[case::nothing_answered(NOW - 50_000, false)]
+fn lost_dispatch_is_removed_from_the_window(#[case] checked_at: Tenths, #[case] left: bool) {
     let mut r = router(&[]);
     open(&mut r, "write");
     let sent = NOW - 10_000;
@@ -945,9 +980,9 @@
 }
 
 #[rstest]
-#[case::first(0, State::Healthy)]
-#[case::second(1, State::TransportError)]
-fn one_lost_probe_proves_nothing(#[case] fails: u32, #[case] state: State) {
+#[case::first_loss(0, State::Healthy)]
+#[case::second_loss(1, State::TransportError)]
+fn single_lost_probe_does_not_break_a_member(#[case] fails: u32, #[case] state: State) {
     let mut r = router(&[]);
     (r.members[0].state, r.members[0].fails) = (State::Healthy, fails);
     r.probe_ended(NOW, "a", probed(Ending::TimedOut, Report::default()));
@@ -955,11 +990,11 @@
 }
 
 #[rstest]
-#[case::one_out("2", 1, 0, true)]
-#[case::its_part_out("2", 2, 0, false)]
-#[case::no_more_connections("2", 1, 1, false)]
+#[case::one_in_flight("2", 1, 0, true)]
+#[case::router_share_in_flight("2", 2, 0, false)]
+#[case::connections_refused("2", 1, 1, false)]
 #[case::many_routers("100", 0, 0, false)]
-fn a_slow_primary_is_kept_busy_by_all_routers_together(
+fn slow_primary_keeps_a_minimum_in_flight_across_all_routers(
     #[case] routers: &str,
     #[case] out: u64,
     #[case] refused: u32,
@@ -974,7 +1009,7 @@
 }
 
 #[rstest]
-fn full_member_gets_half_its_window() {
+fn window_of_a_full_member_is_halved() {
     let mut r = router(&[]);
     open(&mut r, "any");
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
@@ -999,7 +1034,7 @@
 #[case::late_answers(1.0, 0, true)]
 #[case::late_answers_cheapest_group(1.0, 4, false)]
 #[case::early_answers(0.1, 4, true)]
-fn late_answers_slow_the_pace(#[case] ratio: f64, #[case] rank: usize, #[case] sent: bool) {
+fn late_answers_reduce_the_pace(#[case] ratio: f64, #[case] rank: usize, #[case] sent: bool) {
     let mut r = router(&[]);
     (r.pace, r.paced_at) = (1.0, NOW - SECOND);
     r.asked_work.add(NOW, SLOW_HALF, 1e5);
@@ -1010,18 +1045,18 @@
 }
 
 #[rstest]
-#[case::answers_in_time(1.0, 0.1, false)]
-#[case::answers_late(1.0, 1.0, true)]
-#[case::unknown_while_the_whole_is_slow(1.0, f64::NAN, true)]
-#[case::unknown_while_the_whole_is_well(0.1, f64::NAN, false)]
-fn the_pace_holds_for_sets_that_are_slow_themselves(#[case] all: f64, #[case] own: f64, #[case] paced: bool) {
+#[case::set_answers_in_time(1.0, 0.1, false)]
+#[case::set_answers_late(1.0, 1.0, true)]
+#[case::unmeasured_set_while_overall_slow(1.0, f64::NAN, true)]
+#[case::unmeasured_set_while_overall_fast(0.1, f64::NAN, false)]
+fn pace_limits_only_sets_that_are_slow(#[case] all: f64, #[case] own: f64, #[case] paced: bool) {
     let mut r = router(&[]);
     open(&mut r, "any");
     let number = r.open[&0].set;
     (0..50).for_each(|_| r.slow.add(NOW, SLOW_HALF, all));
     let set = r.sets.get_mut(&number).unwrap();
     (0..6).filter(|_| !own.is_nan()).for_each(|_| set.slow.add(NOW, SET_HALF, own));
-    // Far behind its pace, with commands of a set whose answers may tell otherwise.
+    // The router has no allowance left, so the pace alone would hold the command back.
     (r.pace, r.paced_at, r.allowance) = (PACE_LEAST, NOW, -1e9);
     r.settle(NOW, 0);
     r.serve(NOW, number);
@@ -1031,8 +1066,12 @@
 #[rstest]
 #[case::first_error(false, 1.0, false)]
 #[case::second_error(true, 1.0, true)]
-#[case::nothing_cures_errors(false, 0.0, true)]
-fn errors_earn_one_dispatch_where_that_helps(#[case] erred: bool, #[case] cured: f64, #[case] done: bool) {
+#[case::retries_never_succeed(false, 0.0, true)]
+fn error_allows_one_more_dispatch_if_retries_succeed(
+    #[case] erred: bool,
+    #[case] cured: f64,
+    #[case] given_up: bool,
+) {
     let mut r = router(&[]);
     open(&mut r, "any");
     (0..20).for_each(|_| r.cured.add(NOW, USUAL_HALF, cured));
@@ -1040,13 +1079,13 @@
     (cmd.out, cmd.erred) = (BTreeMap::from([(0, (1, NOW))]), erred);
     r.dispatch_ended(NOW, "cmd", ended(Ending::Error, None));
     r.settle(NOW, 0);
-    assert_eq!(r.ready.iter().any(|d| matches!(d, Decision::Throttle { .. })), done);
+    assert_eq!(r.ready.iter().any(|d| matches!(d, Decision::Throttle { .. })), given_up);
 }
 
 #[rstest]
 #[case::no_long_reads(0.0, 1.0)]
-#[case::a_quarter_of_the_work(25.0, 2.0)]
-fn turns_cost_more_where_long_reads_go(#[case] long: f64, #[case] turn: f64) {
+#[case::quarter_of_the_work(25.0, 2.0)]
+fn turns_cost_more_at_the_long_read_replica(#[case] long: f64, #[case] turn: f64) {
     let mut r = router(&[]);
     open(&mut r, "any");
     r.members[0].state = State::Healthy;
@@ -1058,21 +1097,21 @@
 
 #[rstest]
 #[case::one(1.0, true)]
-#[case::a_half(0.5, false)]
-fn window_below_one_is_a_pause(#[case] window: f64, #[case] room: bool) {
+#[case::half(0.5, false)]
+fn window_below_one_pauses_dispatches(#[case] window: f64, #[case] has_room: bool) {
     let mut r = router(&[]);
     open(&mut r, "any");
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
     r.members[1].window = window;
     r.dispatch_ended(NOW, "cmd", DispatchEnd { took: 2_000, ..ended(Ending::Answered, None) });
-    assert_eq!(r.has_room(NOW, 1, 1.0, 0.0), room);
+    assert_eq!(r.has_room(NOW, 1, 1.0, 0.0), has_room);
 }
 
 #[rstest]
 #[case::first_failure(0, "automatic")]
-#[case::never_past_the_clock_where_lists_are_pushed(9, "automatic")]
-#[case::nor_where_they_are_asked_for(9, "manual")]
-fn failed_list_is_asked_for_again(#[case] fails: u32, #[case] mode: &str) {
+#[case::many_failures_with_pushed_lists(9, "automatic")]
+#[case::many_failures_with_polled_lists(9, "manual")]
+fn failed_list_fetch_is_retried_within_a_second(#[case] fails: u32, #[case] mode: &str) {
     let mut r = router(&[("rules.ask_every_ms", "10000"), ("membership_mode", mode)]);
     r.list_fails = fails;
     r.list_failed(NOW);
@@ -1080,41 +1119,41 @@
 }
 
 #[rstest]
-#[case::departed("left")]
-#[case::unknown("never seen")]
-fn news_of_what_is_over_changes_nothing(#[case] id: &str) {
+#[case::client_left("left")]
+#[case::never_seen("never seen")]
+fn ending_of_an_unknown_command_is_ignored(#[case] id: &str) {
     let mut r = router(&[]);
     r.dispatch_ended(NOW, id, ended(Ending::Answered, Some(true)));
     assert_eq!(r.members[0].state, State::Unknown);
 }
 
 #[rstest]
-fn unreadable_setting_is_named() {
+fn error_names_the_invalid_setting() {
     let told = Told::from([("request_classes.count".to_owned(), "many".to_owned())]);
     let why = Router::start(told, 1, NOW).err().expect("no start");
     assert!(why.contains("request_classes.count") && why.contains("many"));
 }
 
 #[rstest]
-#[case::first_listed_by_many("300", "d", 0, 0)]
-#[case::first_listed_by_few("3", "d", 0, 1)]
-#[case::started_again("300", "a", NOW - 10, 1)]
-fn many_routers_ask_about_members_that_start_again_not_when_first_listed(
+#[case::newly_listed_many_routers("300", "d", 0, 0)]
+#[case::newly_listed_few_routers("3", "d", 0, 1)]
+#[case::restarted_many_routers("300", "a", NOW - 10, 1)]
+fn many_routers_probe_restarted_but_not_newly_listed_members(
     #[case] balancers: &str,
     #[case] id: &str,
     #[case] started: Tenths,
-    #[case] asks: usize,
+    #[case] probes: usize,
 ) {
     let mut r = router(&[("balancers", balancers)]);
     r.agenda.clear();
     r.members_changed(NOW, false, &[entry(id, Phase::Up, started)]);
-    assert_eq!(r.agenda.iter().filter(|(_, task)| matches!(task, Task::Ask(_))).count(), asks);
+    assert_eq!(r.agenda.iter().filter(|(_, task)| matches!(task, Task::Ask(_))).count(), probes);
 }
 
 #[rstest]
 #[case::few_routers("3", 0.3)]
 #[case::many_routers("300", 0.01)]
-fn time_outs_narrow_a_window_down_to_the_fleets_least(#[case] balancers: &str, #[case] least: f64) {
+fn timeouts_do_not_shrink_a_window_below_the_minimum(#[case] balancers: &str, #[case] least: f64) {
     let mut r = router(&[("balancers", balancers)]);
     open(&mut r, "any");
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
@@ -1124,20 +1163,20 @@
 }
 
 #[rstest]
-#[case::refuses_beside_an_answered_probe(1, 3)]
+#[case::refused_but_probe_answered(1, 3)]
 #[case::never_refused(0, 0)]
-fn idle_connections_are_let_go_where_working_members_refuse(#[case] refused: u32, #[case] let_go: usize) {
+fn idle_connections_are_closed_when_a_working_member_refuses(#[case] refused: u32, #[case] closed: usize) {
     let mut r = router(&[]);
     for _ in 0..2 {
         r.members[1].refused = refused;
         r.probe_ended(NOW, "b", probed(Ending::Answered, Report::default()));
     }
     let all = std::iter::from_fn(|| r.next_decision(NOW));
-    assert_eq!(all.filter(|d| matches!(d, Decision::LetGo { .. })).count(), let_go);
+    assert_eq!(all.filter(|d| matches!(d, Decision::LetGo { .. })).count(), closed);
 }
 
 #[rstest]
-fn a_forgotten_member_has_no_connection_to_let_go() {
+fn forgotten_member_causes_only_a_forget_decision() {
     let mut r = router(&[]);
     r.scarce.add(NOW, USUAL_HALF, 9.0);
     r.used.insert(1);
@@ -1148,7 +1187,7 @@
 }
 
 #[rstest]
-fn equal_turns_go_by_rotated_ids() {
+fn equal_turns_are_ordered_by_tie_rank() {
     let mut r = router(&[]);
     open(&mut r, "any");
     r.members[0].state = State::Healthy;
@@ -1157,12 +1196,12 @@
 }
 
 #[rstest]
-#[case::writes_have_it(1_200, true, false)]
-#[case::reads_too(2_800, true, true)]
-fn small_windows_of_a_primary_spare_less_for_reads(
-    #[case] past: Tenths,
-    #[case] room: bool,
-    #[case] read: bool,
+#[case::room_for_writes_only(1_200, true, false)]
+#[case::room_for_reads_too(2_800, true, true)]
+fn small_window_of_a_primary_pauses_reads_longer_than_writes(
+    #[case] elapsed: Tenths,
+    #[case] has_room: bool,
+    #[case] read_sent: bool,
 ) {
     let mut r = router(&[]);
     open(&mut r, "any");
@@ -1170,15 +1209,18 @@
     (r.members[0].state, r.members[0].window) = (State::Healthy, 0.25);
     r.open.get_mut(&0).unwrap().out.insert(0, (0, NOW));
     r.dispatch_ended(NOW, "cmd", ended(Ending::Answered, Some(true)));
-    assert_eq!(r.has_room(NOW + past, 0, 1.0, 0.0), room);
-    assert_eq!(r.pick_reader(NOW + past, 1, 0).is_some(), read);
+    assert_eq!(r.has_room(NOW + elapsed, 0, 1.0, 0.0), has_room);
+    assert_eq!(r.pick_reader(NOW + elapsed, 1, 0).is_some(), read_sent);
 }
 
 #[rstest]
 #[case::never_noted(None, true)]
 #[case::noted_as_primary(Some(true), true)]
 #[case::noted_as_replica_before(Some(false), false)]
-fn a_report_excuses_no_old_read_after_a_note(#[case] noted: Option<bool>, #[case] lawful: bool) {
+fn primary_report_permits_no_old_read_after_a_replica_note(
+    #[case] noted: Option<bool>,
+    #[case] allowed: bool,
+) {
     let mut r = router(&[]);
     open(&mut r, "bounded");
     r.members[1].state = State::Healthy;
@@ -1187,23 +1229,23 @@
         false => r.members[1].roles.claims_replica(NOW - 2, NOW - 2),
     });
     r.learn_report(NOW - 1, NOW - 1, 1, Report { primary: Some(true), position: Some(NOW - 90 * SECOND) });
-    assert_eq!(r.lawful_for(NOW, 0, 1) > 0, lawful);
+    assert_eq!(r.lawful_for(NOW, 0, 1) > 0, allowed);
 }
 
 #[rstest]
-fn no_router_sends_at_once_to_a_member_that_has_just_started() {
+fn restarted_member_is_sent_nothing_immediately() {
     let mut r = router(&[]);
     open(&mut r, "bounded");
     r.members[1].position = NOW;
-    let mut lawful = |_: &u32| {
+    let mut allowed = |_: &u32| {
         r.restarted(NOW, NOW, 1);
         r.lawful_for(NOW, 0, 1) > 0
     };
-    assert_eq!((0..100).filter(|n| lawful(n)).count(), 0);
+    assert_eq!((0..100).filter(|n| allowed(n)).count(), 0);
 }
 
 #[rstest]
-fn the_pace_rises_faster_than_it_falls() {
+fn pace_increases_faster_than_it_decreases() {
     let mut r = router(&[]);
     (r.pace, r.paced_at) = (0.5, NOW - SECOND);
     r.in_pace(NOW, 0);
@@ -1213,7 +1255,7 @@
 #[rstest]
 #[case::permitted("true", true)]
 #[case::not_permitted("false", false)]
-fn what_nobody_waits_for_is_called_off_as_far_as_it_may_be(#[case] cancel: &str, #[case] written: bool) {
+fn client_departure_calls_off_dispatches_as_permitted(#[case] cancel: &str, #[case] written: bool) {
     let mut r = router(&[("permissions.cancel", cancel)]);
     open(&mut r, "any");
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
@@ -1223,49 +1265,46 @@
 }
 
 #[rstest]
-#[case::nothing_came(|_: &mut Router| (), true)]
-#[case::drained(|r: &mut Router| r.members_changed(NOW + 1, false, &[entry("b", Phase::Draining, 0)]), false)]
-#[case::gone(|r: &mut Router| r.members_changed(NOW + 1, false, &[entry("b", Phase::Removed, 0)]), false)]
+#[case::no_change(|_: &mut Router| (), true)]
+#[case::draining(|r: &mut Router| r.members_changed(NOW + 1, false, &[entry("b", Phase::Draining, 0)]), false)]
+#[case::removed(|r: &mut Router| r.members_changed(NOW + 1, false, &[entry("b", Phase::Removed, 0)]), false)]
 #[case::restarted(|r: &mut Router| r.members_changed(NOW + 1, false, &[entry("b", Phase::Up, NOW)]), false)]
-#[case::restarted_in_this_moment(|r: &mut Router| r.members_changed(NOW, false, &[entry("b", Phase::Up, NOW)]), false)]
-#[case::back_from_its_death(|r: &mut Router| r.restarted(NOW + 1, NOW + 1, 1), false)]
-#[case::back_in_this_moment(|r: &mut Router| r.restarted(NOW, NOW, 1), false)]
-#[case::its_client_left(|r: &mut Router| r.command_left("cmd"), false)]
-#[case::over(|r: &mut Router| r.open.get_mut(&0).unwrap().ends = NOW + 2, false)]
-fn what_waited_for_its_connection_is_written_only_if_it_still_may(
-    #[case] comes: impl Fn(&mut Router),
-    #[case] may: bool,
-) {
+#[case::restarted_at_the_same_time(|r: &mut Router| r.members_changed(NOW, false, &[entry("b", Phase::Up, NOW)]), false)]
+#[case::recovered_after_death(|r: &mut Router| r.restarted(NOW + 1, NOW + 1, 1), false)]
+#[case::recovered_at_the_same_time(|r: &mut Router| r.restarted(NOW, NOW, 1), false)]
+#[case::client_left(|r: &mut Router| r.command_left("cmd"), false)]
+#[case::deadline_passed(|r: &mut Router| r.open.get_mut(&0).unwrap().ends = NOW + 2, false)]
+fn dispatch_is_checked_again_before_its_write(#[case] change: impl Fn(&mut Router), #[case] allowed: bool) {
     let mut r = router(&[]);
     open(&mut r, "any");
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
-    comes(&mut r);
-    assert_eq!(r.may_write(NOW + 2, "cmd", 0), may);
+    change(&mut r);
+    assert_eq!(r.may_write(NOW + 2, "cmd", 0), allowed);
 }
 
 #[rstest]
-#[case::the_list_is_heard(0, NOW - 5, State::Unknown, true)]
-#[case::turned_away_without_a_list(1, NOW - 5, State::Unknown, false)]
-#[case::never_turned_away(1, 0, State::Unknown, true)]
-#[case::the_primary_would_have_handed_over(1, NOW - 5, State::Healthy, true)]
-fn without_a_list_a_replica_that_turns_dispatches_away_may_be_draining(
+#[case::list_is_current(0, NOW - 5, State::Unknown, true)]
+#[case::rejected_without_a_list(1, NOW - 5, State::Unknown, false)]
+#[case::never_rejected(1, 0, State::Unknown, true)]
+#[case::primary_would_have_handed_over(1, NOW - 5, State::Healthy, true)]
+fn rejecting_replica_may_be_draining_while_list_fetches_fail(
     #[case] list_fails: u32,
     #[case] turned_away: Tenths,
     #[case] state: State,
-    #[case] lawful: bool,
+    #[case] allowed: bool,
 ) {
     let mut r = router(&[]);
     open(&mut r, "any");
     r.list_fails = list_fails;
     (r.members[1].turned_away, r.members[1].state) = (turned_away, state);
-    assert_eq!(r.lawful_for(NOW, 0, 1) > 0, lawful);
+    assert_eq!(r.lawful_for(NOW, 0, 1) > 0, allowed);
 }
 
 #[rstest]
-#[case::turned_away(Ending::Full, NOW - 9, 0, NOW)]
-#[case::answered_what_was_sent_before(Ending::Answered, NOW - 9, NOW - 5, NOW - 5)]
-#[case::answered_what_was_sent_later(Ending::Answered, NOW - 2, NOW - 5, 0)]
-fn a_later_answer_shows_that_a_member_takes_work_again(
+#[case::rejected(Ending::Full, NOW - 9, 0, NOW)]
+#[case::answered_an_earlier_dispatch(Ending::Answered, NOW - 9, NOW - 5, NOW - 5)]
+#[case::answered_a_later_dispatch(Ending::Answered, NOW - 2, NOW - 5, 0)]
+fn answer_to_a_later_dispatch_clears_the_rejection(
     #[case] ending: Ending,
     #[case] sent: Tenths,
     #[case] before: Tenths,
@@ -1280,7 +1319,7 @@
 }
 
 #[rstest]
-fn two_command_groups_of_one_name_end_the_start() {
+fn duplicate_command_group_name_prevents_the_start() {
     let told = [
         ("count", "2"),
         ("0.name", "a"),
@@ -1289,7 +1328,7 @@
         ("1.hard_limit_ms", "9"),
     ];
     let told = told.map(|(name, value)| (format!("request_classes.{name}"), value.to_owned())).into();
-    let why = Router::start(told, 7, NOW).err().expect("not to be told apart");
+    let why = Router::start(told, 7, NOW).err().expect("the duplicate name is rejected");
     assert_eq!(why, "expected another name for request_classes.1, found 'a' at 0 too");
 }
 
@@ -1303,14 +1342,14 @@
 #[case::hold_off("permissions.retry_after", "false")]
 #[case::name("request_classes.4.name", "other")]
 #[case::dropped("request_classes.count", "4")]
-fn a_command_in_hand_keeps_the_group_it_came_in_with(#[case] name: &str, #[case] value: &str) {
+fn open_command_keeps_its_group_across_reconfiguration(#[case] name: &str, #[case] value: &str) {
     let mut r = router(&[]);
     open(&mut r, "write");
     let group = r.groups.places[4].clone();
-    r.reconfigure(told(&[(name, value)])).expect("settings that are whole");
+    r.reconfigure(told(&[(name, value)])).expect("complete settings");
     assert_eq!(r.groups.places[r.open[&0].kind], group);
     assert_ne!(r.groups.named.get("write"), Some(&4));
-    assert_eq!(r.order[0], 4, "it has its turn: {:?}", r.order);
+    assert_eq!(r.order[0], 4, "the group of the open command stays first in the order: {:?}", r.order);
 }
 
 #[rstest]
@@ -1322,48 +1361,48 @@
 #[case::many_routers("balancers", "100", |r: &Router, _: usize| r.least < WINDOW_LEAST)]
 #[case::checks("family_info.server_checks", "wait", |r: &Router, _: usize| r.node_checks)]
 #[case::cancel("permissions.cancel", "false", |r: &Router, _: usize| !r.allows("permissions.cancel"))]
-fn new_settings_hold_for_what_comes(
+fn new_settings_apply_to_later_commands(
     #[case] name: &str,
     #[case] value: &str,
-    #[case] holds: fn(&Router, usize) -> bool,
+    #[case] applied: fn(&Router, usize) -> bool,
 ) {
     let mut r = router(&[]);
-    r.reconfigure(told(&[(name, value)])).expect("settings that are whole");
-    assert!(holds(&r, r.groups.named["write"]));
+    r.reconfigure(told(&[(name, value)])).expect("complete settings");
+    assert!(applied(&r, r.groups.named["write"]));
 }
 
 #[rstest]
-#[case::no_count("request_classes.count", "many")]
-#[case::no_name("request_classes.count", "6")]
-#[case::name_twice("request_classes.4.name", "any")]
-#[case::no_time("request_classes.4.hard_limit_ms", "soon")]
-#[case::no_number("rules.drain_grace_ms", "half a second")]
-#[case::less_than_nothing("rules.fall_ms", "-1")]
-#[case::endless("rules.warm_after_ms", "inf")]
+#[case::invalid_count("request_classes.count", "many")]
+#[case::missing_name("request_classes.count", "6")]
+#[case::duplicate_name("request_classes.4.name", "any")]
+#[case::invalid_time("request_classes.4.hard_limit_ms", "soon")]
+#[case::invalid_number("rules.drain_grace_ms", "half a second")]
+#[case::negative("rules.fall_ms", "-1")]
+#[case::infinite("rules.warm_after_ms", "inf")]
 #[case::not_a_number("penalties.cross_zone", "NaN")]
-#[case::attempts("permissions.max_attempts", "1.5")]
-#[case::share("projects.count", "1")]
-fn wrong_settings_change_nothing(#[case] name: &str, #[case] value: &str) {
+#[case::fractional_attempts("permissions.max_attempts", "1.5")]
+#[case::missing_share("projects.count", "1")]
+fn rejected_settings_leave_the_router_unchanged(#[case] name: &str, #[case] value: &str) {
     let mut r = router(&[]);
     let before = (r.told.clone(), r.groups.places.clone(), r.groups.named.clone(), r.order.clone());
-    let wrong = r.reconfigure(told(&[("request_classes.0.aim_ms", "77"), (name, value)]));
-    assert!(wrong.is_err());
+    let result = r.reconfigure(told(&[("request_classes.0.aim_ms", "77"), (name, value)]));
+    assert!(result.is_err());
     assert_eq!((r.told, r.groups.places, r.groups.named, r.order), before);
 }
 
 #[rstest]
-#[case::same(&[], 5)]
-#[case::other_target(&[("request_classes.0.aim_ms", "77")], 5)]
+#[case::unchanged(&[], 5)]
+#[case::changed_target(&[("request_classes.0.aim_ms", "77")], 5)]
 #[case::renamed(&[("request_classes.0.name", "other")], 5)]
-fn places_of_command_groups_are_used_again(#[case] change: &[(&str, &str)], #[case] most: usize) {
+fn command_group_slots_are_reused(#[case] change: &[(&str, &str)], #[case] most: usize) {
     let mut r = router(&[]);
     (0..100)
-        .for_each(|i| r.reconfigure(told(if i % 2 == 0 { change } else { &[] })).expect("whole settings"));
+        .for_each(|i| r.reconfigure(told(if i % 2 == 0 { change } else { &[] })).expect("complete settings"));
     assert!(r.groups.places.len() <= most, "{}", r.groups.places.len());
 }
 
 #[rstest]
-fn what_was_measured_goes_on_under_its_name() {
+fn measurements_survive_reconfiguration_under_their_name() {
     let share = |share| [("projects.count", "1"), ("projects.0.name", "acme"), ("projects.0.share", share)];
     let mut r = router(&share("0.5"));
     r.beyond_share(NOW, "acme");
@@ -1371,25 +1410,25 @@
     let (usual, counted) = (r.usual(NOW, 0), r.shares["acme"].1);
     let (count, name, share) = ("projects.count", "projects.0.name", "projects.0.share");
     let change = [(count, "1"), (name, "acme"), (share, "0.2"), ("request_classes.0.importance", "3")];
-    r.reconfigure(told(&change)).expect("settings that are whole");
+    r.reconfigure(told(&change)).expect("complete settings");
     assert_eq!((r.usual(NOW, r.groups.named["any"]), r.shares["acme"]), (usual, (0.2, counted)));
 }
 
 #[rstest]
-#[case::dearer("3")]
-#[case::cheaper("0.1")]
-fn commands_in_hand_leave_the_others_their_places_in_the_pace(#[case] benefit: &str) {
+#[case::higher_benefit("3")]
+#[case::lower_benefit("0.1")]
+fn open_commands_do_not_shift_other_groups_in_the_pace_order(#[case] benefit: &str) {
     let mut r = router(&[]);
     open(&mut r, "write");
     let change = told(&[("request_classes.4.importance", benefit)]);
     let behind = |r: &Router| r.order.iter().rev().position(|place| *place == r.groups.named["any"]);
-    let alone = Router::start(change.clone(), 7, NOW).expect("settings that are whole");
-    r.reconfigure(change).expect("settings that are whole");
+    let alone = Router::start(change.clone(), 7, NOW).expect("complete settings");
+    r.reconfigure(change).expect("complete settings");
     assert_eq!(behind(&r), behind(&alone));
 }
 
-/// A write is out at the member `b`, and its connection can't be opened here.
-fn not_dialled(r: &mut Router) {
+/// A write was dispatched to the member `b`, but this machine can't open its connection.
+fn fail_local_dial(r: &mut Router) {
     open(r, "write");
     let cmd = r.open.get_mut(&0).unwrap();
     (cmd.dispatches, cmd.tried) = (1, vec![1]);
@@ -1398,10 +1437,10 @@
 }
 
 #[rstest]
-fn a_dial_that_fails_here_is_no_attempt_and_tells_nothing_of_the_member() {
+fn local_dial_failure_counts_neither_as_an_attempt_nor_against_the_member() {
     let mut r = router(&[]);
     r.members[1].state = State::Healthy;
-    not_dialled(&mut r);
+    fail_local_dial(&mut r);
     let (cmd, m) = (&r.open[&0], &r.members[1]);
     assert_eq!((cmd.attempts(), cmd.maybe_ran, cmd.broken_round, cmd.tried.len()), (0, None, false, 0));
     assert_eq!((m.state, m.refused, m.fails, m.died), (State::Healthy, 0, 0, false));
@@ -1409,22 +1448,19 @@
 }
 
 #[rstest]
-#[case::not_yet(0, None)]
+#[case::during_the_pause(0, None)]
 #[case::after_the_pause(20, Some(1))]
-fn a_member_that_cannot_be_dialled_is_dialled_again_after_a_pause(
-    #[case] later: Tenths,
-    #[case] node: Option<Node>,
-) {
+fn local_dial_failure_is_retried_after_a_pause(#[case] later: Tenths, #[case] expected: Option<Node>) {
     let mut r = router(&[]);
     (r.members[0].state, r.members[2].state) = (State::TopologyReject, State::TopologyReject);
     (r.members[0].noted_at, r.members[2].noted_at) = (NOW, NOW);
-    not_dialled(&mut r);
-    assert_eq!(r.scout(NOW + later, 1, 0), node);
-    assert!(r.sets[&1].round_at <= NOW, "the round goes on");
+    fail_local_dial(&mut r);
+    assert_eq!(r.scout(NOW + later, 1, 0), expected);
+    assert!(r.sets[&1].round_at <= NOW, "the round is not over");
 }
 
 #[rstest]
-fn a_probe_that_cannot_be_dialled_is_no_silence_and_is_made_again() {
+fn probe_with_a_local_dial_failure_is_repeated_and_not_held_against_the_member() {
     let mut r = router(&[]);
     (r.members[1].refused, r.members[1].probing) = (1, true);
     r.probe_ended(NOW, "b", probed(Ending::NotDialled, Report::default()));
@@ -1434,7 +1470,7 @@
 }
 
 #[rstest]
-fn dials_that_fail_here_for_long_count_as_a_member_out_of_reach() {
+fn persistent_local_dial_failures_make_the_member_unreachable() {
     let mut r = router(&[]);
     for _ in 0..16 {
         assert_eq!(r.members[1].state, State::Unknown);
@@ -1444,7 +1480,7 @@
 }
 
 #[rstest]
-fn an_open_connection_ends_the_pause_between_dials() {
+fn successful_dial_ends_the_dial_pause() {
     let mut r = router(&[]);
     r.probe_ended(NOW, "b", probed(Ending::NotDialled, Report::default()));
     r.probe_ended(NOW, "b", probed(Ending::Answered, Report::default()));
@@ -1454,7 +1490,7 @@
 #[rstest]
 #[case::newer_than_its_last_answer(NOW + 5)]
 #[case::older_than_its_last_answer(NOW - 5_000)]
-fn a_report_of_a_demotion_ends_a_primarys_excuse(#[case] position: Tenths) {
+fn demotion_report_ends_the_age_exemption_of_a_primary(#[case] position: Tenths) {
     let mut r = router(&[]);
     open(&mut r, "session");
     r.learn_role(NOW, 0, claim(true, NOW));
@@ -1462,20 +1498,20 @@
     let out = (0, NOW);
     r.open.get_mut(&0).unwrap().out.insert(0, out);
     r.open.get_mut(&0).unwrap().needs = NOW + 10;
-    assert!(r.may_write(NOW + 20, "cmd", 0), "a primary has it all");
-    // Its connection is still being opened when a probe tells.
+    assert!(r.may_write(NOW + 20, "cmd", 0), "a primary has all commits");
+    // The probe's report arrives while the connection of the dispatch is still being opened.
     r.probe_ended(
         NOW + 30,
         "a",
         probed(Ending::Answered, Report { primary: Some(false), position: Some(position) }),
     );
-    assert!(!r.may_write(NOW + 40, "cmd", 0), "a replica may lack what the session wrote");
+    assert!(!r.may_write(NOW + 40, "cmd", 0), "a replica may lack the session's writes");
 }
 
 #[rstest]
-#[case::asked_since(10, true)]
-#[case::asked_before(11, false)]
-fn an_answer_as_primary_renews_the_excuse_that_a_report_ended(#[case] took: Tenths, #[case] renews: bool) {
+#[case::requested_at_the_report(10, true)]
+#[case::requested_before_the_report(11, false)]
+fn later_primary_answer_restores_the_age_exemption(#[case] took: Tenths, #[case] renews: bool) {
     let mut r = router(&[]);
     open(&mut r, "session");
     r.learn_role(NOW, 0, claim(true, NOW));
@@ -1488,14 +1524,14 @@
 }
 
 #[rstest]
-#[case::never(None, false, false)]
-#[case::by_an_answer(Some(0), false, true)]
-#[case::by_a_report_that_may_be_old(Some(REPORT_DELAY), false, false)]
-#[case::by_a_report_where_the_clock_is_theirs(Some(REPORT_DELAY), true, true)]
-fn a_bounded_read_needs_a_clock_that_a_primary_has_borne_out(
+#[case::never_confirmed(None, false, false)]
+#[case::confirmed_by_an_answer(Some(0), false, true)]
+#[case::report_of_unknown_age(Some(REPORT_DELAY), false, false)]
+#[case::report_with_a_shared_clock(Some(REPORT_DELAY), true, true)]
+fn bounded_read_requires_a_clock_confirmed_by_a_primary(
     #[case] age: Option<Tenths>,
     #[case] exact: bool,
-    #[case] lawful: bool,
+    #[case] allowed: bool,
 ) {
     let mut r = router(&[]);
     open(&mut r, "bounded");
@@ -1503,65 +1539,71 @@
     r.clock = MemberClock::default();
     exact.then(|| r.shares_clock());
     age.into_iter().for_each(|age| _ = r.clock.learn(NOW, Evidence::of_primary(NOW, NOW, NOW, age)));
-    assert_eq!(r.lawful_for(NOW, 0, 1) > 0, lawful);
+    assert_eq!(r.lawful_for(NOW, 0, 1) > 0, allowed);
 }
 
 #[rstest]
-fn a_primary_that_a_clock_behind_calls_yet_to_come_is_known_all_the_same() {
+fn report_with_a_future_position_still_identifies_the_primary() {
     let mut r = router(&[]);
     r.learn_report(NOW, NOW, 1, Report { primary: Some(true), position: Some(NOW + 36_000 * SECOND) });
     assert_eq!((r.members[1].state, r.members[1].position), (State::Healthy, 0));
 }
 
 #[rstest]
-#[case::clock_right(0, 20)]
+#[case::clock_exact(0, 20)]
 #[case::clock_behind(3_600, 20)]
 #[case::clock_ahead(-60, 20)]
-fn a_member_that_has_just_started_is_cold_whatever_the_clock_says(
-    #[case] apart: Tenths,
-    #[case] ago: Tenths,
+fn newly_started_member_is_cold_despite_a_clock_offset(
+    #[case] offset_seconds: Tenths,
+    #[case] uptime: Tenths,
 ) {
     let mut r = router(&[("rules.warm_after_ms", "18000")]);
     r.clock = MemberClock::default();
-    let theirs = NOW + apart * SECOND;
-    r.members_changed(NOW, false, &[entry("b", Phase::Up, theirs - ago)]);
+    let member_now = NOW + offset_seconds * SECOND;
+    r.members_changed(NOW, false, &[entry("b", Phase::Up, member_now - uptime)]);
     assert!(r.cold_credit(NOW, &r.members[1]).is_finite());
     let answer = |r: &mut Router, at: Tenths| {
-        r.learn_report(at, at, 0, Report { primary: Some(true), position: Some(at + apart * SECOND) })
+        r.learn_report(
+            at,
+            at,
+            0,
+            Report { primary: Some(true), position: Some(at + offset_seconds * SECOND) },
+        )
     };
     answer(&mut r, NOW);
     for at in (1..6).map(|i| NOW + i * SECOND / 6) {
         answer(&mut r, at);
-        assert!(r.cold_credit(at, &r.members[1]).is_finite(), "cold while the clock becomes known");
+        assert!(r.cold_credit(at, &r.members[1]).is_finite(), "cold while the clock offset is being learned");
     }
-    assert!(r.cold_credit(NOW + SECOND, &r.members[1]).is_finite(), "cold once the clock is known");
-    assert!(r.cold_credit(NOW + 19 * SECOND, &r.members[1]).is_infinite(), "warm in its time");
+    assert!(r.cold_credit(NOW + SECOND, &r.members[1]).is_finite(), "cold once the clock offset is known");
+    assert!(r.cold_credit(NOW + 19 * SECOND, &r.members[1]).is_infinite(), "warm after the warm-up time");
 }
 
 #[rstest]
 #[case::past(NOW - 1, NOW - 1)]
-#[case::yet_to_come(NOW + 10_000, 0)]
-#[case::endless(Tenths::MAX, 0)]
-#[case::before_all_time(Tenths::MIN, 0)]
-fn a_position_yet_to_come_is_none(#[case] told: Tenths, #[case] want: Tenths) {
+#[case::future(NOW + 10_000, 0)]
+#[case::maximum(Tenths::MAX, 0)]
+#[case::minimum(Tenths::MIN, 0)]
+fn future_position_is_ignored(#[case] reported: Tenths, #[case] expected: Tenths) {
     for primary in [None, Some(true), Some(false)] {
         let mut r = router(&[]);
         open(&mut r, "bounded");
         r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW - 100));
-        let end = DispatchEnd { note: Note { primary, position: told }, ..ended(Ending::Answered, primary) };
+        let end =
+            DispatchEnd { note: Note { primary, position: reported }, ..ended(Ending::Answered, primary) };
         r.dispatch_ended(NOW, "cmd", end);
-        // What it tells as the primary says nothing of it as a replica.
-        let want = if primary == Some(true) { 0 } else { want };
-        assert_eq!(r.members[1].position, want, "{primary:?} in a note");
+        // A position that a member reports as the primary proves nothing of its data as a replica.
+        let expected = if primary == Some(true) { 0 } else { expected };
+        assert_eq!(r.members[1].position, expected, "{primary:?} in a note");
         let mut r = router(&[]);
-        r.probe_ended(NOW, "b", probed(Ending::Answered, Report { primary, position: Some(told) }));
-        assert_eq!(r.members[1].position, want, "{primary:?} in a report");
-        assert_eq!(r.clock.now(NOW), NOW, "one moves no clock");
+        r.probe_ended(NOW, "b", probed(Ending::Answered, Report { primary, position: Some(reported) }));
+        assert_eq!(r.members[1].position, expected, "{primary:?} in a report");
+        assert_eq!(r.clock.now(NOW), NOW, "a single position does not move the clock");
     }
 }
 
 #[rstest]
-fn the_host_may_log_why_a_command_is_given_up_and_which_states_change() {
+fn events_record_state_changes_and_give_up_reasons() {
     let mut r = router(&[]);
     open(&mut r, "write");
     r.learn_role(NOW, 0, claim(true, NOW));
@@ -1579,12 +1621,12 @@
     assert_eq!(r.take_events(), []);
 }
 
-/// After a slow time the usual latency stays high for a while, and what has little time left is given up once it has waited. A check
-/// that is out when it comes is waited for all the same: its answer comes within a few milliseconds.
+/// After a slow period the usual latency stays high for a while, so a read with little time left is given up once it has
+/// waited. It still waits for a probe that is in flight when it arrives: the answer comes within a few milliseconds.
 #[rstest]
-#[case::in_a_slow_time(1_500.0)]
-#[case::in_a_usual_time(500.0)]
-fn a_read_with_little_time_left_waits_for_the_check_that_is_out(#[case] usual: f64) {
+#[case::high_latency(1_500.0)]
+#[case::usual_latency(500.0)]
+fn read_with_little_time_left_waits_for_a_probe_in_flight(#[case] usual: f64) {
     let mut r = router(&[]);
     let kind = r.groups.named["bounded"];
     (0..100).for_each(|_| r.groups.places[kind].latency.add(NOW, USUAL_HALF, usual));
@@ -1596,9 +1638,9 @@
     r.command_arrived(NOW, cmd).unwrap();
     let mut decisions: Vec<Decision> = std::iter::from_fn(|| r.next_decision(NOW)).collect();
     decisions.retain(|d| matches!(d, Decision::Probe { node } if &**node == "b"));
-    assert_eq!(decisions.len(), 1, "its position is asked for");
+    assert_eq!(decisions.len(), 1, "the replica is probed for its position");
     let refused = std::iter::from_fn(|| r.next_decision(NOW + 2 * r.tick)).next();
-    assert_eq!(refused, None, "not given up while the check is out");
+    assert_eq!(refused, None, "not given up while the probe is in flight");
     let report = Report { primary: Some(false), position: Some(NOW) };
     r.probe_ended(NOW + 30, "b", probed(Ending::Answered, report));
     let sent = std::iter::from_fn(|| r.next_decision(NOW + 30))
