--- a/src/decide/tests.rs
+++ b/src/decide/tests.rs
@@ -4,7 +4,7 @@
 use rstest::rstest;
 
 pub(super) const NOW: Tenths = 1_000_000;
-const KINDS: [&str; 5] = ["any", "bounded", "session", "fresh", "write"];
+const ACCESSES: [&str; 5] = ["any", "bounded", "session", "fresh", "write"];
 
 /// Settings with one command group for each access; `extra` adds to them or overrides them.
 pub(super) fn told(extra: &[(&str, &str)]) -> Told {
@@ -13,7 +13,7 @@
     tell("request_classes.count", "5");
     tell("family_info.class_read", "any,bounded,session,fresh,write");
     tell("family_info.lag_allowed_ms", "0,300,0,0,0");
-    for (i, kind) in KINDS.iter().enumerate() {
+    for (i, kind) in ACCESSES.iter().enumerate() {
         tell(&format!("request_classes.{i}.name"), kind);
         tell(&format!("request_classes.{i}.aim_ms"), "250");
         tell(&format!("request_classes.{i}.hard_limit_ms"), "3000");
@@ -48,7 +48,7 @@
 
 /// Adds an open command with the given access under the key 0.
 pub(super) fn open(router: &mut Router, kind: &str) {
-    let kind = KINDS.iter().position(|k| *k == kind).expect("a known kind");
+    let kind = ACCESSES.iter().position(|k| *k == kind).expect("a known access");
     let (ends, patience) = (NOW + 20_000, NOW + 20_000);
     let cmd = Open { id: "cmd".into(), kind, set: 1, ends, patience, needs: NOW, ..Open::default() };
     router.by_id.insert("cmd".into(), 0);
@@ -775,7 +775,7 @@
         Command { id, command_group, customer, set: 1, time_left, token_age, session, repeat: false };
     r.command_arrived(NOW, command).expect("a known group");
     let sent = std::iter::from_fn(|| r.next_decision(NOW)).any(|d| matches!(d, Decision::Dispatch { .. }));
-    assert!(sent, "a first dispatch");
+    assert!(sent, "the first dispatch is sent");
     r.dispatch_ended(ends, "cmd", ended(Ending::Miss, Some(false)));
     let decided: Vec<Decision> = std::iter::from_fn(|| r.next_decision(ends)).collect();
     assert!(decided.iter().any(|d| matches!(d, Decision::Dispatch { .. })), "{decided:?}");
@@ -1132,8 +1132,8 @@
 #[rstest]
 fn error_names_the_invalid_setting() {
     let told = Told::from([("request_classes.count".to_owned(), "many".to_owned())]);
-    let why = Router::start(told, 1, NOW).err().expect("no start");
-    assert!(why.contains("request_classes.count") && why.contains("many"));
+    let error = Router::start(told, 1, NOW).err().expect("no start");
+    assert!(error.contains("request_classes.count") && error.contains("many"));
 }
 
 #[rstest]
@@ -1330,8 +1330,8 @@
         ("1.hard_limit_ms", "9"),
     ];
     let told = told.map(|(name, value)| (format!("request_classes.{name}"), value.to_owned())).into();
-    let why = Router::start(told, 7, NOW).err().expect("the duplicate name is rejected");
-    assert_eq!(why, "expected another name for request_classes.1, found 'a' at 0 too");
+    let error = Router::start(told, 7, NOW).err().expect("the duplicate name is rejected");
+    assert_eq!(error, "expected another name for request_classes.1, found 'a' at 0 too");
 }
 
 #[rstest]
