--- a/crates/router/src/nodes.rs
+++ b/crates/router/src/nodes.rs
@@ -1,5 +1,6 @@
-//! Connections to nodes: one command or probe at a time on each, kept and used again, latest first. Nothing is
-//! ever written twice here; giving something up closes its connection.
+//! Connections to members. Each connection carries one command or probe at a time and is pooled for reuse, the most
+//! recently used first. No statement is ever written twice here. Giving up a statement that has begun to be written
+//! closes its connection.
 
 mod answer;
 mod job;
@@ -28,18 +29,19 @@
 use vetchkeel_log::log;
 use vetchkeel_pgwire as pgwire;
 
-/// What a node sends behind its answer, or the end, comes within this time. Both are written one after the
-/// other, so it does not depend on how far away a node is.
+/// A connection is not reused until this long after its last answer: trailing bytes or the end of the stream arrive
+/// within this time. The member sends them right after the answer, so the time does not depend on the round-trip time.
 const REST: Tenths = 10;
-/// An answer that has begun and stops for this long is not going to be whole.
+/// An answer that has begun and then makes no progress for this long is treated as truncated.
 const STOPPED_SHORT: Tenths = 1_000;
-/// Bytes of a connection from its opening, or its rest, to the end of an answer; a value has 64 KiB at most.
+/// Maximum bytes received on a connection from its opening, or from its last idle period, to the end of an answer. A
+/// value has 64 KiB at most.
 const HEARD_MOST: usize = 256 * 1024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Dialling,
-    /// The startup packet is written, its answer not whole yet.
+    /// The startup packet is written, but the answer to it is not complete yet.
     Greeting,
     Open,
 }
@@ -50,17 +52,17 @@
     stream: Rc<TcpStream>,
     token: Option<RegistrationToken>,
     stage: Stage,
-    /// What is still to be written of the startup packet.
+    /// The rest of the startup packet that is still to be written.
     opening: Vec<u8>,
-    /// A part of it is written.
+    /// Whether a part of the startup packet has been written.
     opening_begun: bool,
     retry: Backoff,
     job: Option<Job>,
     input: Vec<u8>,
-    /// Reads that found something, and bytes since it last carried nothing.
+    /// Reads that returned data, and bytes received since the connection was last idle.
     reads: u64,
     heard: usize,
-    /// Since when it has carried nothing.
+    /// When the connection was opened or last became idle.
     idle_since: Tenths,
 }
 
@@ -68,17 +70,18 @@
 struct Member {
     address: Option<SocketAddr>,
     started: Tenths,
-    /// Kept connections, the one used last at the end.
+    /// Idle pooled connections, the most recently used at the end.
     idle: Vec<ConnKey>,
 }
 
+/// The members of the router's list and the connections to them.
 pub struct Nodes {
     members: BTreeMap<Id, Member>,
     conns: SlotMap<ConnKey, Conn>,
-    /// Those that can be written to, once all that came is heard.
+    /// Connections that are ready for writing; they are written once all input of this turn has been processed.
     writable: Vec<ConnKey>,
     dial_limit: Tenths,
-    /// How long a kept connection may idle by the settings, and by what the module has learned.
+    /// The longest idle time of a pooled connection by the settings, and by what the module has learned.
     keep: Tenths,
     idle_most: Tenths,
     probe: Rc<Statement>,
@@ -96,7 +99,8 @@
         nodes
     }
 
-    /// For what begins from now on. A kept connection that has idled for too long by now is found so when it is wanted.
+    /// Applies new settings to work that begins from now on. A pooled connection that has exceeded the new idle limit is
+    /// closed when it is next considered for reuse.
     pub fn reconfigure(&mut self, told: &Told) {
         let text = |name: &str| told.get(name).map(String::as_str).unwrap_or_default();
         let probe = if text("report.via") == "probe" { "SHOW load" } else { "SELECT 1" };
@@ -108,6 +112,7 @@
         self.idle_most = self.idle_most.min(self.keep);
     }
 
+    /// Limits the idle time to what the module has learned, if that is shorter than by the settings.
     pub fn limit_idle(&mut self, learned: Option<Tenths>) {
         self.idle_most = learned.map_or(self.keep, |most| most.min(self.keep));
     }
@@ -116,7 +121,7 @@
         self.conns.len()
     }
 
-    /// Some can be written to.
+    /// Whether any connection is ready for writing.
     pub fn has_writable(&self) -> bool {
         !self.writable.is_empty()
     }
@@ -126,26 +131,27 @@
     }
 }
 
-/// Begins to open a connection.
+/// Starts a non-blocking connect.
 pub fn dial(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
     socket.set_tcp_nodelay(true)?;
     match socket.connect(&address.into()) {
-        // One that is interrupted goes on.
+        // An interrupted connect continues in the background.
         Err(e) if !matches!(e.raw_os_error(), Some(libc::EINPROGRESS | libc::EINTR)) => Err(e),
         _ => Ok(socket.into()),
     }
 }
 
-/// What a dial that failed so tells.
+/// Classifies a failed dial: a fault of this machine or of the connection.
 fn dial_cause(error: &io::Error) -> Cause {
     if is_local(error) { Cause::Local } else { Cause::Broken }
 }
 
 impl Conn {
-    /// Writes what is left of the startup packet. Danger: the system may take a part of it, and what comes before the rest would
-    /// be taken for the greeting. So once a write was short the last byte goes alone, behind a look that finds nothing.
+    /// Writes the rest of the startup packet. Danger: the system may accept only a part of it, and bytes that arrive before
+    /// the rest is written would be read as the answer to it. So after a short write the last byte is written separately,
+    /// right after a check that nothing is unread.
     fn write_opening(&mut self) -> io::Result<()> {
         while !self.opening.is_empty() {
             let last_byte_left = self.opening.len() == 1;
@@ -167,13 +173,13 @@
         Ok(())
     }
 
-    /// A part of its greeting or of an answer has come, and more has to.
+    /// Whether a part of the startup answer or of a query's answer has arrived and the rest is still to come.
     fn awaits_more(&self) -> bool {
         let answer = self.job.as_ref().is_some_and(|job| job.answer.messages > 0 || !self.input.is_empty());
         answer || (self.stage == Stage::Greeting && self.reads > 0)
     }
 
-    /// Open, and carries something that is not written whole.
+    /// Whether the connection is open and carries a statement that is not completely written.
     fn unwritten(&self) -> bool {
         let job = self.job.as_ref().filter(|_| self.stage == Stage::Open);
         job.is_some_and(|j| j.reached(self.stage) == Reached::Writing)
@@ -181,13 +187,14 @@
 }
 
 impl Program {
+    /// Sends a health probe to a member.
     pub fn probe(&mut self, node: &Id) {
         let limit_at = self.now + self.nodes.dial_limit;
         self.begin(node, Work::Probe, self.nodes.probe.clone(), limit_at, limit_at);
     }
 
-    /// Puts work on a kept connection, or on one that it begins to open. What is not written whole by `until`
-    /// is not written any more.
+    /// Assigns work to a pooled connection, or to a new one that it starts to dial. A statement that is not completely
+    /// written by `until` is not written any more.
     pub fn begin(
         &mut self,
         node: &Id,
@@ -209,7 +216,7 @@
                 self.drop_conn(key, MemberClose::Idle);
                 continue;
             }
-            // One that has ended meanwhile, or holds bytes nobody asked for, can't be used again.
+            // A connection that has ended meanwhile, or that holds unsolicited bytes, cannot be reused.
             let looked_at = self.clock.now();
             match unread(&conn.stream) {
                 Ok(Unread::Nothing) => {
@@ -229,14 +236,14 @@
                 self.nodes.conns[key].job = Some(job);
             }
             Err(e) => {
-                log!("node {node}: cannot be dialled: {e}");
+                log!("node {node}: cannot open a connection: {e}");
                 let cause = dial_cause(&e);
                 self.ended(node.clone(), job, Err(Failure { reached: Reached::Dialling, cause }));
             }
         }
     }
 
-    /// Takes the connection that idles for the shortest time, but for its rest.
+    /// Takes the most recently used idle connection that has been idle for at least the reuse delay.
     fn rested(&mut self, node: &Id) -> Option<ConnKey> {
         let Nodes { members, conns, .. } = &mut self.nodes;
         let idle = &mut members.get_mut(node)?.idle;
@@ -245,7 +252,8 @@
         Some(idle.remove(at))
     }
 
-    /// Room comes from the connection that idles longest, else from a client in spite of its answer.
+    /// Frees a descriptor by closing the connection that has been idle longest. Without one it closes a client, even if that
+    /// may not have received its last answer yet.
     fn free_descriptor(&mut self) -> bool {
         let idle = self.nodes.members.values().filter_map(|m| m.idle.first().copied());
         match idle.min_by_key(|key| self.deadlines.time(Due::Idle(*key))) {
@@ -256,7 +264,7 @@
     }
 
     fn open_conn(&mut self, node: &Id) -> io::Result<ConnKey> {
-        // What was lent to clients is wanted back.
+        // Clients may use descriptors that are reserved for members while these are free; they are reclaimed here.
         let lent = self.nodes.count() + self.clients.count() >= self.limits.room;
         let full = self.nodes.count() >= self.limits.nodes || (lent && !self.make_room(false));
         if full && !self.free_descriptor() {
@@ -265,7 +273,7 @@
         let address = self.nodes.members.get(node).and_then(|m| m.address);
         let address = address.ok_or_else(|| io::Error::other("no address"))?;
         let dialled = dial(address).or_else(|e| match e.raw_os_error() {
-            // The system holds this process to less than it was told.
+            // The system allows this process fewer descriptors than its limits assume.
             Some(libc::EMFILE) if self.free_descriptor() => dial(address),
             _ => Err(e),
         });
@@ -306,9 +314,9 @@
         Ok(key)
     }
 
-    /// The system says that the connection is ready. Danger: a read may be refused for a moment all the same, and
-    /// no further event tells of what lies there. So one that should have found something, or more of what
-    /// is still awaited, is made again a few times.
+    /// Handles a readiness event of a connection. Danger: a read may still fail transiently, and with edge-triggered polling
+    /// no further event reports the unread data. So a read that returned nothing, or that left an answer incomplete, is
+    /// retried a few times.
     pub fn conn_event(&mut self, key: ConnKey, readable: bool) {
         let before = self.nodes.conns.get(key).map(|c| c.reads);
         self.conn_ready(key);
@@ -338,14 +346,14 @@
         }
     }
 
-    /// A system call on the connection failed for a moment. Danger: no event may tell when it succeeds.
+    /// Schedules a retry of a system call that failed transiently. Danger: there may be no event when it would succeed.
     fn retry_conn(&mut self, key: ConnKey) {
         let Some(conn) = self.nodes.conns.get_mut(key) else { return };
         let at = self.now + conn.retry.wait();
         self.deadlines.set(Due::RetryConn(key), at);
     }
 
-    /// The answer is whole, or the dial has come up with nothing left to carry: the connection is kept.
+    /// Returns a connection to the pool once its answer is complete, or once it is open and carries no work.
     fn keep(&mut self, key: ConnKey) {
         self.deadlines.clear(Due::Work(key));
         let Some(conn) = self.nodes.conns.get_mut(key) else { return };
@@ -366,14 +374,14 @@
         }
     }
 
-    /// Ends a connection; what it carried ends by how far that had come.
+    /// Closes a connection and reports how its work ended, which depends on how far the work had come.
     pub fn break_conn(&mut self, key: ConnKey, cause: Cause) {
         let Some(conn) = self.nodes.conns.get_mut(key) else { return };
         let (node, stage, job) = (conn.node.clone(), conn.stage, conn.job.take());
         self.drop_conn(key, MemberClose::Attempt(cause));
         let Some(job) = job else { return };
         let reached = job.reached(stage);
-        // A whole answer counts, whatever became of the connection behind it; so does an error.
+        // A complete answer counts, and so does an error, even if the connection failed after it.
         let result = match (job.answer.verdict(), cause) {
             (Ok(()), Cause::Broken | Cause::Limit) if reached == Reached::Written => Ok(()),
             (Err(code @ Cause::Code(_)), Cause::Broken) => Err(Failure { reached, cause: code }),
@@ -382,7 +390,7 @@
         self.ended(node, job, result);
     }
 
-    /// Closes a connection that carries nothing, or whose work has been taken off it.
+    /// Closes a connection that carries no work, or whose work has been removed from it.
     pub fn drop_conn(&mut self, key: ConnKey, reason: MemberClose) {
         let Some(conn) = self.nodes.conns.remove(key) else { return };
         self.counters.members_closed.add(reason);
@@ -397,7 +405,7 @@
         }
     }
 
-    /// Work is over: the module is told at the next turn's start.
+    /// Queues the outcome of finished work; the module receives it at the start of the next turn.
     fn ended(&mut self, node: Id, job: Job, result: Result<(), Failure>) {
         let Answer { raw, value, mut note, mut report, .. } = job.answer;
         if job.work == Work::Probe && result.is_ok() && report.position.is_none() {
@@ -432,7 +440,7 @@
                 answer: raw,
             },
             Work::Probe => {
-                // A machine that vanished leaves kept connections open and silent, and resets them once it is back.
+                // A machine that disappears leaves pooled connections open without a reply, and resets them once it is back.
                 if matches!(outcome, Ending::ConnectFailed | Ending::TimedOut | Ending::Reset) {
                     self.let_go(&node);
                 }
@@ -442,7 +450,7 @@
         self.news.push_back(news);
     }
 
-    /// Calls off a dispatch that is out; unless `written`, only one that is not written whole.
+    /// Cancels a dispatch that is in flight. Unless `written` is set, only one that is not completely written.
     pub fn call_off(&mut self, key: CommandKey, dispatch: u32, written: bool) {
         let work = Work::Dispatch(key, dispatch);
         let goes = |j: &Job, at: Stage| j.work == work && (written || j.reached(at) != Reached::Written);
@@ -452,18 +460,18 @@
         }
     }
 
-    /// What a connection carries that is written whole.
+    /// The work of a connection, if its statement is completely written.
     fn begun_work(&self, key: ConnKey) -> Option<Work> {
         let conn = self.nodes.conns.get(key)?;
         let job = conn.job.as_ref().filter(|job| job.reached(conn.stage) == Reached::Written)?;
         Some(job.work)
     }
 
-    /// A dial goes on without its work, and an open connection that nothing was written to is kept; any other is
-    /// closed.
+    /// Removes the work from a connection. A connection that is still dialling continues without it, and an open one that
+    /// nothing was written to is pooled. Any other connection is closed.
     pub fn give_up_work(&mut self, key: ConnKey, cause: Cause) {
         let before = self.begun_work(key);
-        // Danger: an answer that lies there unread says what its member is by now.
+        // Danger: an answer that has arrived but is still unread shows the current state of its member, so it is read first.
         if before.is_some() {
             self.read_conn(key);
             if self.begun_work(key) != before {
@@ -485,20 +493,21 @@
         }
     }
 
-    /// Closes the kept connections to a node.
+    /// Closes the idle pooled connections to a member.
     pub fn let_go(&mut self, node: &str) {
         let idle = self.nodes.members.get_mut(node).map(|m| std::mem::take(&mut m.idle)).unwrap_or_default();
         idle.into_iter().for_each(|key| self.drop_conn(key, MemberClose::LetGo));
     }
 
-    /// Forgets a node; what runs there may finish.
+    /// Removes a member. Statements that are in flight there may finish.
     pub fn forget_node(&mut self, node: &Id) {
         self.invariants.forgotten(node);
         self.let_go(node);
         self.nodes.members.remove(node);
     }
 
-    /// A list names a member. Kept connections to where it no longer is are closed; what runs may finish.
+    /// Updates a member from a member list. If its address or its start time has changed, or it is gone, its pooled
+    /// connections are closed. Completely written statements may finish.
     pub fn member_told(&mut self, node: &Id, address: Option<SocketAddr>, started: Tenths, gone: bool) {
         let member = self.nodes.members.entry(node.clone()).or_default();
         let moved = address.is_some() && member.address != address;
@@ -508,7 +517,7 @@
         if changed {
             self.let_go(node);
         }
-        // Danger: what is not written whole would run at whoever is there now.
+        // Danger: a statement that is not completely written yet would run on whichever server now has the old address.
         let elsewhere = |c: &Conn| c.node == *node && moved && Some(c.address) != address;
         let asked = |c: &Conn| c.job.as_ref().is_some_and(|j| j.reached(c.stage) == Reached::Written);
         let left = self.nodes.conns.iter().filter(|(_, c)| elsewhere(c) && !asked(c)).map(|(key, _)| key);
--- a/crates/router/src/nodes/answer.rs
+++ b/crates/router/src/nodes/answer.rs
@@ -1,20 +1,20 @@
-//! What a node answers: message by message into one answer, and what of it is believed.
+//! Assembles a member's answer from its messages, and decides which role and position reports in it are used.
 
 use crate::ending::{Cause, Failure};
 use std::ops::Range;
 use vetchkeel::{Note, Report, Tenths};
 use vetchkeel_pgwire as pgwire;
 
-/// What the node has answered so far.
+/// What the member has answered so far.
 #[derive(Default)]
 pub(super) struct Answer {
-    /// Row description, row and completion as the node gave them.
+    /// Row description, row and command completion, byte for byte as the member sent them.
     pub(super) raw: Vec<u8>,
-    /// Messages taken so far, whole.
+    /// Complete messages processed so far.
     pub(super) messages: u32,
     pub(super) described: bool,
     pub(super) rows: usize,
-    /// The one column of the first row, within `raw`.
+    /// Range within `raw` of the only column of the first row.
     pub(super) value: Range<usize>,
     pub(super) complete: bool,
     pub(super) code: Option<[u8; 5]>,
@@ -24,7 +24,7 @@
 }
 
 impl Answer {
-    /// Takes one message; true when the answer is over.
+    /// Processes one message. Returns true when the answer has ended.
     pub(super) fn take(&mut self, kind: u8, body: &[u8], whole: &[u8], fields: &[String]) -> bool {
         self.messages += 1;
         match kind {
@@ -66,13 +66,14 @@
             b'Z' => return true,
             _ => self.garbled = true,
         }
-        // Nothing that follows could make an answer of it.
+        // No later message can make a malformed answer valid.
         self.garbled
     }
 
+    /// The result of the answer so far: success, an error code, or malformed.
     pub(super) fn verdict(&self) -> Result<(), Cause> {
         match self.code {
-            // An error behind a row is neither the one nor the other.
+            // An error after a row description is neither a valid answer nor a valid error.
             Some(code) if !self.described && !self.garbled => Err(Cause::Code(code)),
             None if self.complete && !self.garbled => Ok(()),
             _ => Err(Cause::Garbled),
@@ -80,7 +81,7 @@
     }
 }
 
-/// The role that a parameter tells: true for a primary. None for any other word, and any other parameter.
+/// The role in a parameter message: true for a primary, false for a replica. None for any other value or parameter.
 pub(super) fn role(body: &[u8]) -> Option<bool> {
     match pgwire::parameter(body)? {
         ("role", "primary") => Some(true),
@@ -96,7 +97,7 @@
         let Some(value) = value.trim().parse::<f64>().ok().filter(|v| v.is_finite()) else { continue };
         match name.trim() {
             name if !fields.iter().any(|f| f == name) => {}
-            // Seconds to tenths of a millisecond, less one millisecond in case the text was rounded up.
+            // Converts seconds to tenths of a millisecond, less one millisecond in case the text was rounded up.
             "x0" => report.position = Some((value * 10_000.0).floor() as Tenths - 10),
             "x1" => report.primary = Some(value == 1.0).filter(|p| *p || value == 0.0),
             _ => {}
@@ -105,7 +106,7 @@
     report
 }
 
-/// Nothing in a spoilt answer is believed.
+/// Discards the role and position that a malformed answer reports.
 pub(super) fn believed(result: &Result<(), Failure>, note: Note, report: Report) -> (Note, Report) {
     match result {
         Err(Failure { cause: Cause::Garbled, .. }) => (Note::default(), Report::default()),
--- a/crates/router/src/nodes/answer/tests.rs
+++ b/crates/router/src/nodes/answer/tests.rs
@@ -6,9 +6,9 @@
 
 #[rstest]
 #[case::good(Ok(()), NOW, Some(NOW), Some(true))]
-#[case::turned_away(Err(Cause::Code(*b"25006")), NOW, Some(NOW), Some(true))]
-#[case::spoilt(Err(Cause::Garbled), 0, None, None)]
-fn nothing_in_a_spoilt_answer_is_believed(
+#[case::read_only_error(Err(Cause::Code(*b"25006")), NOW, Some(NOW), Some(true))]
+#[case::malformed(Err(Cause::Garbled), 0, None, None)]
+fn reports_of_a_malformed_answer_are_discarded(
     #[case] result: Result<(), Cause>,
     #[case] applied: Tenths,
     #[case] reported: Option<Tenths>,
@@ -23,11 +23,11 @@
 }
 
 #[rstest]
-#[case::whole("x0=100.0,x1=1", Some(999_990), Some(true))]
-#[case::no_numbers("x0=soon,x1=yes", None, None)]
-#[case::neither_role("x0=nan,x1=7", None, None)]
-#[case::other_fields("x3=1,x1=0,,=,x0", None, Some(false))]
-fn a_report_is_read_as_far_as_it_is_one(
+#[case::valid("x0=100.0,x1=1", Some(999_990), Some(true))]
+#[case::not_numeric("x0=soon,x1=yes", None, None)]
+#[case::not_finite_and_unknown_role("x0=nan,x1=7", None, None)]
+#[case::unconfigured_fields("x3=1,x1=0,,=,x0", None, Some(false))]
+fn invalid_report_fields_are_ignored(
     #[case] text: &str,
     #[case] position: Option<Tenths>,
     #[case] primary: Option<bool>,
--- a/crates/router/src/nodes/job.rs
+++ b/crates/router/src/nodes/job.rs
@@ -1,4 +1,4 @@
-//! What one connection carries: an attempt or a probe, from its decision to its end, and the writing of its statement.
+//! The work of one connection: an attempt or a probe from the decision to its end, and the writing of its statement.
 
 use super::answer::Answer;
 use super::{Conn, Stage};
@@ -14,47 +14,47 @@
 use vetchkeel::Tenths;
 use vetchkeel_pgwire as pgwire;
 
-/// From a look that finds nothing at a connection to the end of the write behind it. What lies there after a longer time may
-/// have come before the statement was whole.
+/// Maximum time from a check that nothing is unread on a connection to the end of the write that follows it. Bytes found
+/// after a longer time may have arrived before the statement was completely written.
 const LOOK_TO_WRITTEN_MOST: Tenths = 50;
 
-/// What ends the text of a query.
+/// The NUL that terminates the text of a query.
 const LAST_BYTE: [u8; 1] = [0];
 
-/// How far a write has brought a statement.
+/// Progress of writing a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Progress {
     Whole,
-    /// The system takes no more for now.
+    /// The system accepts no more bytes for now.
     Blocked,
-    /// Bytes lie there before the statement is whole: they answer nothing that was asked.
+    /// Bytes are unread before the statement is completely written, so they cannot be its answer.
     Unasked,
-    /// Whole; but the write was held up, and bytes lie there that came before its end, as far as the system tells.
+    /// Completely written, but the write was delayed, and unread bytes arrived before its end as far as the system reports.
     Doubtful,
 }
 
-/// Something that one connection carries to its end.
+/// An attempt or a probe that a connection carries.
 pub(super) struct Job {
     pub(super) work: Work,
     pub(super) statement: Rc<Statement>,
-    /// What stands in place of the statement's wait; set when writing begins, and until it is written itself.
+    /// The text that replaces the statement's wait. Set when writing begins, and updated until it is written itself.
     pub(super) wait: Option<String>,
     pub(super) since: Tenths,
-    /// How long its connection had idled; None for a new one.
+    /// How long its connection had been idle; None for a new connection.
     pub(super) idled: Option<Tenths>,
     pub(super) limit_at: Tenths,
-    /// Until when its last byte may be written.
+    /// Latest time at which its last byte may be written.
     pub(super) until: Tenths,
-    /// What a report's fields were called when it began.
+    /// The configured names of the load report's fields when the work began.
     pub(super) fields: Rc<[String]>,
     pub(super) written: usize,
-    /// Before the last look at its connection that found nothing there.
+    /// A time just before the last check that found nothing unread on its connection.
     pub(super) looked_at: Tenths,
     pub(super) answer: Answer,
 }
 
 impl Job {
-    /// Something of its answer has come.
+    /// Whether a part of its answer has arrived.
     pub(super) fn begun(&self, conn: &Conn) -> bool {
         self.answer.described || self.answer.code.is_some() || !conn.input.is_empty()
     }
@@ -72,8 +72,8 @@
         5 + self.statement.text.len() - self.statement.wait_at.len() + wait + 1
     }
 
-    /// Danger: a statement that is held before its wait is written would tell a time that has passed. Its head has
-    /// told how long it is, so the wait stays as wide as it was.
+    /// Sets the wait to the time that is left. Danger: a statement that is delayed before its wait is written would carry a
+    /// time that has passed. The message header already contains the length, so the wait keeps its width.
     fn tell_wait(&mut self, now: Tenths) {
         let at = &self.statement.wait_at;
         let width = match &self.wait {
@@ -84,9 +84,10 @@
         self.wait = Some(if at.is_empty() { String::new() } else { format!("{left:0width$}") });
     }
 
-    /// Writes on. Danger: the system may take a part, and between two parts, or within a write, any time may pass. What comes
-    /// from the member in it would be taken for the answer. So once a write was short the last byte is held back and goes alone,
-    /// behind a look that finds nothing; and after a hold-up only what has come behind the last byte may be an answer.
+    /// Continues to write the statement. Danger: the system may accept only a part, and any time may pass between two parts
+    /// or within a write. Bytes that arrive from the member in that time would be read as the answer. So after a short write
+    /// the last byte is held back and written separately, right after a check that nothing is unread; and after a delay only
+    /// bytes that arrived after the last byte was sent may be the answer.
     pub(super) fn write(&mut self, stream: &TcpStream, clock: &Clock) -> io::Result<Progress> {
         self.tell_wait(clock.now());
         let size = self.size();
@@ -120,7 +121,7 @@
         self.written > 0 && self.written + 1 == self.size()
     }
 
-    /// All of it at first; then all but the last byte; then that.
+    /// Writes everything at first; after a short write all but the last byte; then the last byte.
     fn write_part(&self, mut stream: &TcpStream) -> io::Result<usize> {
         let Statement { text, wait_at } = &*self.statement;
         let wait = self.wait.as_deref().unwrap_or_default();
--- a/crates/router/src/nodes/reading.rs
+++ b/crates/router/src/nodes/reading.rs
@@ -1,4 +1,4 @@
-//! The reading of what members send: bytes to messages, messages to greetings and answers.
+//! Reads from members: parses bytes into messages, and messages into startup replies and answers.
 
 use super::{HEARD_MOST, STOPPED_SHORT, Stage, answer};
 use crate::Program;
@@ -17,8 +17,8 @@
             let Some(conn) = self.nodes.conns.get_mut(key) else { return };
             match (&*conn.stream).read(&mut self.scratch) {
                 Ok(0) => over = true,
-                // What comes unasked, or before all is written, leaves the connection out of step. Danger: half
-                // a line would be the beginning of the next answer.
+                // Bytes that are unsolicited, or that arrive before the statement is completely written, put the
+                // connection out of step. Danger: a partial message would be read as the beginning of the next answer.
                 Ok(_) if conn.stage == Stage::Open && (conn.job.is_none() || conn.unwritten()) => {
                     return self.break_conn(key, Cause::Garbled);
                 }
@@ -34,7 +34,7 @@
                 Err(_) => over = true,
             }
             self.take_messages(key);
-            // Danger: an answer that never ends holds up all others.
+            // Danger: an answer that never ends would delay all other connections.
             if let Some(conn) = self.nodes.conns.get(key).filter(|conn| conn.heard > HEARD_MOST) {
                 let whole = conn.job.as_ref().is_some_and(|j| j.answer.verdict().is_ok());
                 return self.break_conn(key, if whole { Cause::Broken } else { Cause::Garbled });
@@ -46,14 +46,14 @@
         if let Some(conn) = self.nodes.conns.get(key)
             && let Some(job) = conn.job.as_ref().filter(|job| conn.stage == Stage::Open && job.begun(conn))
         {
-            // What follows a whole answer does not put it off.
+            // Bytes after a complete answer do not extend its deadline.
             let before = self.deadlines.time(Due::Work(key)).filter(|_| job.answer.verdict().is_ok());
             let limit_at = before.unwrap_or(job.limit_at);
             self.deadlines.set(Due::Work(key), limit_at.min(self.now + STOPPED_SHORT));
         }
     }
 
-    /// Takes all messages that are whole.
+    /// Processes all complete messages in the input.
     fn take_messages(&mut self, key: ConnKey) {
         let Some(conn) = self.nodes.conns.get_mut(key) else { return };
         let mut at = 0;
@@ -80,7 +80,7 @@
                         conn.stage = Stage::Open;
                         self.deadlines.clear(Due::Dial(key));
                         match job {
-                            // It answers what it was not asked yet.
+                            // These bytes precede the query, which is not sent yet.
                             Some(_) if at < conn.input.len() => Some(Err(Cause::Garbled)),
                             Some(_) => None,
                             None => Some(Ok(())),
@@ -106,7 +106,7 @@
         match done {
             None => {}
             Some(Ok(())) => self.keep(key),
-            // After an error that leaves the node ready for more the connection is as good as before.
+            // After an error that leaves the member ready for the next query, the connection can be reused.
             Some(Err(cause @ Cause::Code(_))) if conn.stage == Stage::Open => {
                 if let Some(job) = conn.job.take() {
                     let node = conn.node.clone();
--- a/crates/router/src/nodes/writing.rs
+++ b/crates/router/src/nodes/writing.rs
@@ -1,4 +1,4 @@
-//! The writing of statements to members: when, what is looked at before, and what a statement that is written whole may see.
+//! Writes statements to members: the checks before a write, and the age of the data that a written statement may read.
 
 use super::Conn;
 use super::job::{Job, Progress};
@@ -10,9 +10,10 @@
 use vetchkeel_log::{log, log_trace};
 
 impl Program {
-    /// Danger: after the process stood still, a node that can be written to is heard before what takes the
-    /// command back. So it is written once the module has heard all, a list or a cancel that came during this turn as well;
-    /// and what came from the node by then is read before, as it would be taken for the answer.
+    /// Writes to all connections that are ready. Danger: after the process was stopped, the event that a member is writable
+    /// may be processed before the event that cancels the command. So statements are written only once the module has
+    /// received all input, including a list or a cancel that arrived during this turn. Bytes that arrived from the member by
+    /// then are read first, as they would otherwise be read as the answer.
     pub fn write_nodes(&mut self) {
         if !self.nodes.writable.is_empty() {
             self.hear_watch();
@@ -29,8 +30,9 @@
         }
     }
 
-    /// Danger: between a decision and its write the process may be held up, and again and again within one turn. So the
-    /// clock is read at the write, and once more behind it, and what came during a hold-up is heard.
+    /// Writes the work of a connection. Danger: the process may be delayed between a decision and its write, repeatedly within
+    /// one turn. So the clock is read at the write and once more after it, and input that arrived during a delay is
+    /// processed first.
     pub(super) fn write_work(&mut self, key: ConnKey) {
         self.catch_up();
         self.read_clock();
@@ -41,7 +43,7 @@
         }
         let Some(conn) = self.nodes.conns.get_mut(key) else { return };
         let Some(job) = &mut conn.job else { return };
-        // The deadline may be due and not yet heard of; and what waited may not be written any more.
+        // The deadline may have passed without being processed yet, and a held write may no longer be allowed.
         let may = match job.work {
             Work::Dispatch(command, dispatch) => self.commands.may_write(now, command, dispatch),
             Work::Probe => true,
@@ -65,7 +67,7 @@
         }
     }
 
-    /// The work of a connection has just been written whole.
+    /// Handles work whose statement has just been completely written.
     fn is_written(&mut self, key: ConnKey) {
         let now = self.clock.now();
         let Some(conn) = self.nodes.conns.get(key) else { return };
