--- a/crates/router/src/capture.rs
+++ b/crates/router/src/capture.rs
@@ -1,5 +1,5 @@
-//! The load capture: a record of each command that has ended. Built in only with the feature `capture`, and then on only
-//! where an operator file asks for it; without the feature nothing of it is left.
+//! The load capture: a record of each command that has ended. It is compiled only with the feature `capture` and enabled
+//! only by an operator file. Without the feature its functions do nothing.
 
 #[cfg(feature = "capture")]
 pub use on::{Begun, Capture};
@@ -7,7 +7,7 @@
 #[cfg(not(feature = "capture"))]
 pub use off::{Begun, Capture};
 
-/// What a command says of itself, as far as a capture keeps it.
+/// The properties of a command that a capture records.
 #[cfg_attr(not(feature = "capture"), allow(dead_code))]
 pub struct Asked<'a> {
     pub command_group: &'a str,
@@ -17,10 +17,10 @@
     pub time_left: vetchkeel::Tenths,
 }
 
-/// How it ended for its client.
+/// How a command ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// With a value of so many bytes.
+    /// Answered with a value of this many bytes.
     Answered(usize),
     Throttled,
     Failed,
@@ -72,12 +72,12 @@
     use vetchkeel_log::log;
     use vetchkeel_operator::OperatorFile;
 
-    /// What is known of an open command; none where nothing is captured.
+    /// The record of a command in progress and its start time; None if capture is off.
     pub struct Begun(Option<Box<(Record, Tenths)>>);
 
     pub struct Capture(Option<Recorder>);
 
-    /// Sessions are told apart, and their keys not kept (FNV-1a).
+    /// Hashes a session key (FNV-1a), so that sessions can be told apart without recording their keys.
     fn session(key: &str) -> u64 {
         let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
         key.bytes().fold(0xcbf2_9ce4_8422_2325, mix).max(1)
@@ -103,7 +103,8 @@
     }
 
     impl Capture {
-        /// On where VETCHKEEL_CAPTURE names an operator file. `{name}` in its path becomes this router's name.
+        /// Enables the capture if VETCHKEEL_CAPTURE names an operator file. `{name}` in the capture's path is replaced with
+        /// this router's name.
         pub fn open(name: &str) -> Result<Capture, String> {
             match std::env::var_os("VETCHKEEL_CAPTURE") {
                 None => Ok(Capture(None)),
@@ -141,14 +142,14 @@
             recorder.record(Record { ending, bytes, dispatches, latency, ..begun.0.clone() });
         }
 
-        /// Writes what is left.
+        /// Writes the records that are still buffered.
         pub fn finish(self) {
             match self.0.map(Recorder::finish) {
                 None => {}
                 Some(Ok(w)) => {
                     log!("capture: {} commands in {} bytes, {} dropped", w.records, w.bytes, w.dropped)
                 }
-                Some(Err(why)) => log!("capture: cannot be written: {why}"),
+                Some(Err(why)) => log!("capture: writing the file failed: {why}"),
             }
         }
     }
--- a/crates/router/src/ending.rs
+++ b/crates/router/src/ending.rs
@@ -1,5 +1,5 @@
-//! Errors of an attempt, as values that carry how far it had come, and the one function from there to the
-//! module's `Ending`.
+//! Errors of an attempt, as values that include how far the attempt had come, and the single function that maps them to
+//! the module's `Ending`.
 
 use std::fmt;
 use vetchkeel::Ending;
@@ -7,33 +7,35 @@
 /// How far an attempt had come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reached {
-    /// No open connection yet.
+    /// The connection is not open yet.
     Dialling,
-    /// On an open connection, but for its last byte.
+    /// The connection is open, but the last byte of the statement is not written.
     Writing,
-    /// The last byte was written: it may run.
+    /// The last byte was written, so the statement may run.
     Written,
 }
 
+/// Why an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// Refused, reset, closed, or not to be opened.
+    /// The connection was refused, reset or closed, or could not be opened.
     Broken,
-    /// This machine had nothing to open a connection with.
+    /// This machine lacked a resource for opening a connection.
     Local,
-    /// Not open within the time for dialling.
+    /// The connection was not open within the dial timeout.
     DialLimit,
-    /// Past its own limit.
+    /// The work passed its own time limit.
     Limit,
     CalledOff,
-    /// Written when its member's data may have been too old for it.
+    /// When the statement was written, the member's data may have been too old for it.
     TooOld,
-    /// The node answered with this SQLSTATE.
+    /// The member answered with this SQLSTATE.
     Code([u8; 5]),
-    /// The node answered with something that is no answer.
+    /// The member sent bytes that are not a valid answer.
     Garbled,
 }
 
+/// How an attempt failed: how far it had come, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
     pub reached: Reached,
@@ -51,7 +53,7 @@
     }
 }
 
-/// What a failure proves. Whatever is not known to be harmless may have run.
+/// Maps a failure to what it proves. Unless the failure shows that a statement did not run, it may have run.
 pub fn ending(failure: Failure) -> Ending {
     use Cause::*;
     match (failure.cause, failure.reached) {
@@ -68,7 +70,7 @@
     }
 }
 
-/// The same of a probe: of one that got no connection in its time only the silence is known.
+/// Does the same for a probe. A probe that got no connection in time counts as timed out.
 pub fn probe_ending(failure: Failure) -> Ending {
     match ending(failure) {
         Ending::NeverSent => Ending::TimedOut,
--- a/crates/router/src/ending/tests.rs
+++ b/crates/router/src/ending/tests.rs
@@ -9,22 +9,22 @@
 #[case::limit_before_written(Reached::Writing, Cause::Limit, Ending::NeverSent)]
 #[case::called_off_before_written(Reached::Dialling, Cause::CalledOff, Ending::NeverSent)]
 #[case::broken_before_written(Reached::Writing, Cause::Broken, Ending::ConnectFailed)]
-#[case::broken_after(Reached::Written, Cause::Broken, Ending::Reset)]
-#[case::limit_after(Reached::Written, Cause::Limit, Ending::TimedOut)]
-#[case::called_off_after(Reached::Written, Cause::CalledOff, Ending::CalledOff)]
-#[case::full(Reached::Written, Cause::Code(*b"53300"), Ending::Full)]
-#[case::no_primary(Reached::Written, Cause::Code(*b"25006"), Ending::Miss)]
-#[case::behind(Reached::Written, Cause::Code(*b"72000"), Ending::Miss)]
-#[case::error(Reached::Written, Cause::Code(*b"XX000"), Ending::Error)]
-#[case::starting_up_after(Reached::Written, Cause::Code(*b"57P03"), Ending::Error)]
-#[case::no_answer_at_all(Reached::Written, Cause::Garbled, Ending::Error)]
-fn endings_follow_from_how_far_it_came(#[case] reached: Reached, #[case] cause: Cause, #[case] want: Ending) {
+#[case::broken_after_written(Reached::Written, Cause::Broken, Ending::Reset)]
+#[case::limit_after_written(Reached::Written, Cause::Limit, Ending::TimedOut)]
+#[case::called_off_after_written(Reached::Written, Cause::CalledOff, Ending::CalledOff)]
+#[case::full_after_written(Reached::Written, Cause::Code(*b"53300"), Ending::Full)]
+#[case::read_only_member(Reached::Written, Cause::Code(*b"25006"), Ending::Miss)]
+#[case::replica_behind(Reached::Written, Cause::Code(*b"72000"), Ending::Miss)]
+#[case::internal_error(Reached::Written, Cause::Code(*b"XX000"), Ending::Error)]
+#[case::starting_up_after_written(Reached::Written, Cause::Code(*b"57P03"), Ending::Error)]
+#[case::malformed_answer(Reached::Written, Cause::Garbled, Ending::Error)]
+fn ending_depends_on_cause_and_progress(#[case] reached: Reached, #[case] cause: Cause, #[case] want: Ending) {
     assert_eq!(ending(Failure { reached, cause }), want);
 }
 
 #[rstest]
 #[case::no_connection(Reached::Dialling, Cause::Limit, Ending::TimedOut)]
 #[case::refused(Reached::Dialling, Cause::Broken, Ending::ConnectFailed)]
-fn a_silent_probe_timed_out(#[case] reached: Reached, #[case] cause: Cause, #[case] want: Ending) {
+fn probe_without_connection_in_time_is_timed_out(#[case] reached: Reached, #[case] cause: Cause, #[case] want: Ending) {
     assert_eq!(probe_ending(Failure { reached, cause }), want);
 }
--- a/crates/router/src/transient.rs
+++ b/crates/router/src/transient.rs
@@ -1,25 +1,26 @@
-//! System calls that fail for a moment: which errors pass by themselves, and when such a call is made again.
+//! Transient failures of system calls: which errors are transient, and the backoff before a retry.
 
 use std::io::{self, ErrorKind};
 use vetchkeel::Tenths;
 
-/// The first wait before a call is made again, and the longest.
+/// The first and the longest delay before a retry.
 const WAIT_LEAST: Tenths = 10;
 const WAIT_MOST: Tenths = 640;
 
-/// Whether the same call may succeed a moment later though nothing else happens: the system has no room or no memory
-/// for it just now. The connection is as good as before. An interrupted call is made again at once and is none of these.
+/// Whether the same call may succeed a moment later without any other event: the system lacks buffer space or memory for it
+/// at present. The connection remains usable. An interrupted call is retried at once and does not count as transient.
 pub fn is_transient(error: &io::Error) -> bool {
     error.kind() == ErrorKind::WouldBlock
         || matches!(error.raw_os_error(), Some(libc::ENOBUFS | libc::ENOMEM))
 }
 
-/// Whether a dial failed for want of something on this machine: a port, a socket, a buffer, a route, leave to send. What
-/// is at the other end is not known.
+/// Whether a dial failed because this machine lacked a port, a socket, a buffer, a route or the permission to send. Such a
+/// failure shows nothing about the other end.
 pub fn is_local(error: &io::Error) -> bool {
     is_transient(error) || error.raw_os_error().is_none_or(|code| LOCAL.contains(&code))
 }
 
+/// Errors that show a lack of resources, routes or permissions on this machine.
 const LOCAL: [i32; 8] = [
     libc::EADDRNOTAVAIL,
     libc::EADDRINUSE,
@@ -31,7 +32,7 @@
     libc::EPERM,
 ];
 
-/// The waits between calls that fail for a moment: each is twice as long as the one before, up to a bound.
+/// Exponential backoff between retries: each delay is twice as long as the one before, up to a maximum.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff(Tenths);
 
@@ -42,19 +43,19 @@
 }
 
 impl Backoff {
-    /// How long to wait this time.
+    /// Returns the next delay and doubles the one after it.
     pub fn wait(&mut self) -> Tenths {
         let wait = self.0;
         self.0 = (2 * wait).min(WAIT_MOST);
         wait
     }
 
-    /// The longest wait has been reached.
+    /// Whether the maximum delay has been reached.
     pub fn is_spent(&self) -> bool {
         self.0 == WAIT_MOST
     }
 
-    /// A call has succeeded.
+    /// Resets the delay after a call has succeeded.
     pub fn reset(&mut self) {
         *self = Backoff::default();
     }
--- a/crates/router/src/transient/tests.rs
+++ b/crates/router/src/transient/tests.rs
@@ -9,7 +9,7 @@
 #[case(libc::EPIPE, false)]
 #[case(libc::ECONNRESET, false)]
 #[case(libc::ETIMEDOUT, false)]
-fn what_passes_by_itself(#[case] error: i32, #[case] transient: bool) {
+fn transient_errors_are_recognised(#[case] error: i32, #[case] transient: bool) {
     assert_eq!(is_transient(&io::Error::from_raw_os_error(error)), transient);
 }
 
@@ -21,12 +21,12 @@
 #[case(libc::ECONNREFUSED, false)]
 #[case(libc::EHOSTUNREACH, false)]
 #[case(libc::ETIMEDOUT, false)]
-fn which_failed_dials_tell_nothing_of_the_member(#[case] error: i32, #[case] local: bool) {
+fn local_dial_failures_are_recognised(#[case] error: i32, #[case] local: bool) {
     assert_eq!(is_local(&io::Error::from_raw_os_error(error)), local);
 }
 
 #[rstest]
-fn waits_double_up_to_a_bound_and_begin_anew_after_success() {
+fn backoff_doubles_up_to_maximum_and_resets_after_success() {
     let mut backoff = Backoff::default();
     let waits: Vec<Tenths> = (0..9).map(|_| backoff.wait()).collect();
     assert_eq!(waits, [10, 20, 40, 80, 160, 320, 640, 640, 640]);
