--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -1,6 +1,6 @@
-//! The fleet: which other routers are there, and the configuration that control machines hold for all of them. Built in
-//! only with the feature `fleet`, and then each on only where an operator file asks for it. No decision about commands
-//! depends on the other routers yet: what changes is counted and told in the log.
+//! The fleet: the membership of the other routers, and the configuration that control machines hold for all routers. Both
+//! are compiled only with the feature `fleet`, and each is enabled only by an operator file. No decision about commands
+//! depends on the other routers yet: changes are only counted and logged.
 
 #[cfg(feature = "fleet")]
 mod configuration;
@@ -21,7 +21,7 @@
 #[cfg(not(feature = "fleet"))]
 pub use off::{Configuration, Fleet};
 
-/// A name that both the membership and the link take.
+/// Parses a name that is valid for both the membership and the link.
 #[cfg(feature = "fleet")]
 fn name_of(text: &str) -> Option<vetchkeel_membership::Name> {
     vetchkeel_link::Name::new(text)?;
@@ -33,7 +33,7 @@
     use crate::Program;
     use calloop::LoopHandle;
 
-    /// The file's settings alone.
+    /// Stands in for the control machines' settings: only the file's settings apply.
     pub struct Configuration;
 
     impl Configuration {
@@ -100,11 +100,11 @@
     use vetchkeel_log::log;
     use vetchkeel_membership::Change;
 
-    /// Changes that wait for the loop; at the bound the view is told whole as soon as there is room.
+    /// Maximum changes queued for the loop. When the queue is full, the full view is sent as soon as there is room.
     const TOLD: usize = 256;
-    /// Orders that wait for the thread.
+    /// Maximum requests queued for the thread.
     const ORDERS: usize = 8;
-    /// How often the loop looks whether the thread is at work.
+    /// How often the loop checks the thread's heartbeat.
     const LOOK: Duration = Duration::from_secs(1);
 
     #[derive(Default)]
@@ -132,7 +132,7 @@
         over: bool,
     }
 
-    /// This router's part in its fleet; alone where it has none.
+    /// This router's participation in its fleet. Without an operator file it takes part in none.
     #[derive(Default)]
     pub struct Fleet {
         asked: bool,
@@ -142,8 +142,8 @@
     }
 
     impl Fleet {
-        /// On where VETCHKEEL_FLEET names an operator file. A wrong file is an error; an address that can't be had is
-        /// not: the router serves alone, and says so.
+        /// Enables the fleet if VETCHKEEL_FLEET names an operator file. An invalid file is an error. An address that cannot
+        /// be bound is not: the router serves without the fleet and logs it.
         pub fn open(name: &str, seed: u64, handle: &LoopHandle<'static, Program>) -> Result<Fleet, String> {
             let Some(path) = std::env::var_os("VETCHKEEL_FLEET") else { return Ok(Fleet::default()) };
             let place = file::read(Path::new(&path))?;
@@ -167,15 +167,16 @@
         fn alone(&mut self, why: &str) {
             self.counters.stopped += 1;
             self.view = View::default();
-            log!("fleet: the thread has ended: {why}; this router goes on alone until its next start");
+            log!("fleet: the thread has ended: {why}; this router continues without the fleet until its next start");
         }
 
-        /// Takes in what the thread told, and whether it still works. Never waits.
+        /// Processes the thread's updates and checks whether it still runs. Never blocks.
         fn look(&mut self) {
             let Some(mut joined) = self.joined.take() else { return };
-            // Danger: asked first. A thread that ends after its ring was read would be taken for one with nothing to say.
+            // Danger: this is checked before the ring is read. Otherwise the last updates of a thread that ends after the
+            // ring was read would be lost.
             let ended = joined.outside.ended().cloned();
-            // As many as there may be at once: the loop has other work.
+            // At most one full queue per call, because the loop has other work.
             for _ in 0..TOLD {
                 match joined.outside.next() {
                     None => break,
@@ -196,7 +197,7 @@
                     joined.over = true;
                     match ended {
                         Ended::Done if joined.leaving => log!("fleet: left"),
-                        Ended::Done => self.alone("it had nothing more to do"),
+                        Ended::Done => self.alone("it finished without a request to leave"),
                         Ended::Failed(why) => self.alone(&why),
                         Ended::Panicked => self.alone("it panicked"),
                     }
@@ -210,11 +211,11 @@
             match change {
                 Change::Joined(i) => {
                     c.joined += 1;
-                    log!("fleet: {} is there, at {}, start {}", i.name, i.address, i.start);
+                    log!("fleet: {} has joined, at {}, start {}", i.name, i.address, i.start);
                 }
                 Change::Restarted(i) => {
                     c.restarted += 1;
-                    log!("fleet: {} has started again, at {}, start {}", i.name, i.address, i.start);
+                    log!("fleet: {} has restarted, at {}, start {}", i.name, i.address, i.start);
                 }
                 Change::Suspected(name) => {
                     c.suspected += 1;
@@ -222,11 +223,11 @@
                 }
                 Change::Returned(name) => {
                     c.returned += 1;
-                    log!("fleet: {name} is back");
+                    log!("fleet: {name} is alive again");
                 }
                 Change::Died(name) => {
                     c.died += 1;
-                    log!("fleet: {name} is held dead");
+                    log!("fleet: {name} is considered dead");
                 }
                 Change::Left(name) => {
                     c.left += 1;
@@ -234,34 +235,34 @@
                 }
                 Change::Doubting(level) => {
                     c.doubted += 1;
-                    log!("fleet: this router doubts itself: {level} of 8");
+                    log!("fleet: local health of this router: {level} of 8 (0 is healthy)");
                 }
                 Change::Raised(start) => {
                     c.raised += 1;
-                    log!("fleet: an earlier life of this router had a later clock; counted as start {start}");
+                    log!("fleet: an earlier process of this router had a later clock; this one counts as start {start}");
                 }
                 Change::Superseded(i) => {
                     c.superseded += 1;
                     log!(
-                        "fleet: another router has this name, at {}, start {}: silent from now on",
+                        "fleet: another router has this name, at {}, start {}: this router sends nothing from now on",
                         i.address,
                         i.start
                     );
                 }
                 Change::Crowded(name) => {
                     c.crowded += 1;
-                    log!("fleet: {name} was not taken in: the fleet is full");
+                    log!("fleet: {name} was not added: the fleet is full");
                 }
                 Change::Missed(_) => {}
             }
         }
 
-        /// Says good-bye. The thread ends by it; the router goes on with its clients.
+        /// Announces to the fleet that this router leaves. The thread then ends; the router continues to serve its clients.
         pub fn leave(&mut self) {
             if let Some(joined) = &mut self.joined {
                 joined.leaving = true;
                 if !joined.outside.order(Order::Leave) {
-                    log!("fleet: the thread takes no orders: the others will hold this router dead");
+                    log!("fleet: the thread's request queue is full: the other routers will consider this router dead");
                 }
                 let _ = joined.waker.wake();
             }
@@ -303,7 +304,7 @@
 
     impl Joined {
         fn start(host: Host, handle: &LoopHandle<'static, Program>) -> Result<Joined, String> {
-            let (ping, pinged) = make_ping().map_err(|e| format!("no way to wake the loop: {e}"))?;
+            let (ping, pinged) = make_ping().map_err(|e| format!("cannot create a wake-up for the event loop: {e}"))?;
             let hear = |program: &mut Program| program.guarded("the fleet", |p| p.fleet.look(), |_| {});
             let source = handle.insert_source(pinged, move |(), (), program| hear(program));
             source.map_err(|e| e.to_string())?;
@@ -319,19 +320,19 @@
                 move || ping.ping(),
                 move |i, wake| host.run(i, wake),
             );
-            let outside = outside.map_err(|e| format!("no thread: {e}"))?;
+            let outside = outside.map_err(|e| format!("cannot start a thread: {e}"))?;
             Ok(Joined { outside, waker, leaving: false, watch: Watch::default(), over: false })
         }
 
-        /// Whether the thread is at work.
+        /// Checks the thread's heartbeat and logs a change.
         fn look(&mut self, count: &mut u64) {
             let (now, age) = self.outside.beat.ages();
             match self.watch.look(now, age) {
                 None => {}
-                Some(Pulse::Back) => log!("fleet: the thread works again"),
+                Some(Pulse::Back) => log!("fleet: the thread responds again"),
                 Some(Pulse::Hung(age)) => {
                     *count += 1;
-                    log!("fleet: the thread has not worked for {age} ms; this router goes on without it");
+                    log!("fleet: the thread has not responded for {age} ms; this router continues without it");
                 }
             }
         }
--- a/crates/router/src/fleet/duty.rs
+++ b/crates/router/src/fleet/duty.rs
@@ -1,5 +1,5 @@
-//! A thread for one duty, joined to the router's loop by two rings of one producer and one consumer each. Neither side ever
-//! waits for the other.
+//! A background thread that is connected to the router's event loop by two single-producer, single-consumer rings. Neither
+//! side ever blocks on the other.
 
 use rtrb::{Consumer, Producer, RingBuffer};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -7,16 +7,16 @@
 use std::sync::{Arc, OnceLock};
 use std::time::Instant;
 
-/// How a thread came to its end.
+/// How a thread ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// It had nothing more to do.
+    /// Its function returned without an error.
     Done,
     Failed(String),
     Panicked,
 }
 
-/// When the thread was last seen at work, in milliseconds since its start.
+/// The time of the thread's last heartbeat, in milliseconds since its start.
 #[derive(Clone)]
 pub struct Beat {
     since: Instant,
@@ -28,50 +28,53 @@
         Beat { since: Instant::now(), at: Arc::default() }
     }
 
+    /// Records a heartbeat now.
     pub fn beat(&self) {
         self.at.store(self.since.elapsed().as_millis() as u64, Relaxed);
     }
 
-    /// Milliseconds since the start, and since the last beat.
+    /// Milliseconds since the start, and since the last heartbeat.
     pub fn ages(&self) -> (u64, u64) {
         let now = self.since.elapsed().as_millis() as u64;
         (now, now.saturating_sub(self.at.load(Relaxed)))
     }
 }
 
-/// What is to be told of a thread.
+/// A change in a thread's health that is to be logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pulse {
-    /// It was not seen at work for so many milliseconds.
+    /// There was no heartbeat for this many milliseconds.
     Hung(u64),
+    /// Heartbeats have resumed.
     Back,
 }
 
-/// Whether a thread is at work, judged by the age of its beats.
+/// Detects a hung thread by the age of its last heartbeat.
 #[derive(Debug, Default)]
 pub struct Watch {
-    /// Since when it is found idle. Milliseconds.
+    /// Time of the first check that found the heartbeat overdue. Milliseconds.
     idle: Option<u64>,
     hung: bool,
 }
 
 impl Watch {
-    /// So old a beat makes a thread count as hung. It beats every 200 ms. Milliseconds.
+    /// Age in milliseconds from which a heartbeat is overdue. The thread sends one every 200 ms.
     pub const HUNG: u64 = 5_000;
-    /// If it is found so for this long. Milliseconds.
+    /// How long in milliseconds the heartbeat has to stay overdue before the thread counts as hung.
     pub const SECOND_LOOK: u64 = 1_000;
 
     pub fn is_hung(&self) -> bool {
         self.hung
     }
 
-    /// What is new with a beat of this age. Both in milliseconds, `now` of any clock that does not go back.
+    /// Returns the change for a heartbeat of this age. Both are in milliseconds; `now` is from any monotonic clock.
     pub fn look(&mut self, now: u64, age: u64) -> Option<Pulse> {
         if age < Watch::HUNG {
             self.idle = None;
             return std::mem::take(&mut self.hung).then_some(Pulse::Back);
         }
-        // Danger: a whole process that was stopped finds the last beat old. The thread gets the time of a second look.
+        // Danger: after the whole process was stopped, the last heartbeat is old. So the thread gets time for a new one
+        // before a second check.
         let idle = *self.idle.get_or_insert(now);
         let hung = !self.hung && now.saturating_sub(idle) >= Watch::SECOND_LOOK;
         self.hung |= hung;
@@ -79,15 +82,15 @@
     }
 }
 
-/// The thread's ends.
+/// The thread's ends of the rings.
 pub struct Inside<Told, Order> {
     pub told: Producer<Told>,
-    /// Abandoned: the loop has ended.
+    /// Abandoned once the loop has ended.
     pub orders: Consumer<Order>,
     pub beat: Beat,
 }
 
-/// The loop's ends.
+/// The loop's ends of the rings.
 pub struct Outside<Told, Order> {
     told: Consumer<Told>,
     orders: Producer<Order>,
@@ -96,7 +99,7 @@
 }
 
 impl<Told: Send + 'static, Order: Send + 'static> Outside<Told, Order> {
-    /// Starts the thread. `wake` is called on it once more after it has ended, however it did.
+    /// Starts the thread. `wake` is called on it once more after `run` has returned or panicked.
     pub fn start(
         name: &str,
         (told, orders): (usize, usize),
@@ -119,17 +122,17 @@
         Ok(Outside { told, orders: order, beat, ended })
     }
 
-    /// The next thing that the thread told.
+    /// The next update from the thread.
     pub fn next(&mut self) -> Option<Told> {
         self.told.pop().ok()
     }
 
-    /// False: the ring is full.
+    /// Sends a request to the thread. Returns false if the ring is full.
     pub fn order(&mut self, order: Order) -> bool {
         self.orders.push(order).is_ok()
     }
 
-    /// How the thread ended, if it has. What it told before is still to be read.
+    /// How the thread ended, if it has. Updates that it sent before may still be unread.
     pub fn ended(&self) -> Option<&Ended> {
         self.ended.get()
     }
--- a/crates/router/src/fleet/duty/tests.rs
+++ b/crates/router/src/fleet/duty/tests.rs
@@ -7,7 +7,7 @@
 #[case::done(|| Ok(()), Ended::Done)]
 #[case::failed(|| Err("no".to_owned()), Ended::Failed("no".into()))]
 #[case::panicked(|| panic!("as planned"), Ended::Panicked)]
-fn the_loop_is_woken_when_the_thread_has_ended(
+fn loop_is_woken_when_the_thread_has_ended(
     #[case] run: fn() -> Result<(), String>,
     #[case] ended: Ended,
 ) {
@@ -29,9 +29,9 @@
 }
 
 #[rstest]
-fn a_thread_is_hung_after_a_second_look_and_a_paused_process_is_not() {
+fn hung_thread_is_detected_after_second_check_but_paused_process_is_not() {
     let mut watch = Watch::default();
-    // The process was stopped for 10 s: the thread beats before the second look.
+    // The process was stopped for 10 s: the thread sends a heartbeat before the second check.
     let paused = [watch.look(20_000, 10_000), watch.look(20_900, 10_900), watch.look(21_000, 100)];
     assert_eq!((paused, watch.is_hung()), ([None; 3], false));
     let hung = [watch.look(31_000, 5_000), watch.look(32_000, 6_000), watch.look(33_000, 7_000)];
--- a/crates/router/src/fleet/file.rs
+++ b/crates/router/src/fleet/file.rs
@@ -1,4 +1,4 @@
-//! The operator file: who this router is in its fleet, and through whom it joins.
+//! The operator file of the fleet: this router's address and zone, the seeds through which it joins, and the timing.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,16 +7,16 @@
 use vetchkeel_membership::{MOST_INSTANCES, Name, Plan, Zone};
 use vetchkeel_operator::{OperatorFile, Section, Wrong};
 
-/// Seeds and ways around in one file: each at most the whole fleet.
+/// Maximum number of `seed` blocks and of `via` blocks in one file: the size of the whole fleet for each.
 pub const MOST_NAMED: usize = MOST_INSTANCES;
 
-/// The file, checked.
+/// The validated contents of the file.
 #[derive(Debug)]
 pub struct Place {
     pub address: SocketAddr,
     pub zone: Option<Zone>,
     pub seeds: BTreeMap<Name, SocketAddr>,
-    /// Who is reached at another address than it says.
+    /// Addresses of routers that are reached at another address than the one they announce.
     pub via: BTreeMap<Name, SocketAddr>,
     pub plan: Plan,
 }
@@ -24,7 +24,7 @@
 fn address(section: &Section<'_>) -> Result<SocketAddr, Wrong> {
     let value = section.need("address")?;
     let parsed: Option<SocketAddr> = value.text()?.parse().ok();
-    // Danger: others are told this address. One that says "any" would lead each of them to itself.
+    // Danger: this address is announced to the other routers. An unspecified address would lead each of them to itself.
     let good = parsed.filter(|a| a.port() != 0 && !a.ip().is_unspecified());
     good.ok_or_else(|| value.wrong("an address and port that others reach, such as \"127.0.0.1:7400\""))
 }
@@ -44,7 +44,7 @@
     Ok(all)
 }
 
-/// Operators write times to the microsecond, a plan counts tenths of a millisecond.
+/// Reads a time. The file has microsecond resolution, a plan uses tenths of a millisecond.
 fn time(section: &Section<'_>, name: &str, or: Tenths) -> Result<Tenths, Wrong> {
     section.time(name, or * 100, 100..=864_000_000_000).map(|micros| micros / 100)
 }
@@ -93,7 +93,7 @@
     Ok(place)
 }
 
-/// Reads and checks it. The error is one line: file, line, what was expected.
+/// Reads and validates the file. The error is one line: file, line, what was expected.
 pub fn read(path: &Path) -> Result<Place, String> {
     OperatorFile::read(path).and_then(|file| place(&file)).map_err(|wrong| wrong.to_string())
 }
--- a/crates/router/src/fleet/host.rs
+++ b/crates/router/src/fleet/host.rs
@@ -1,4 +1,4 @@
-//! The thread that is this router in its fleet: the membership on the link's sockets. Nothing is decided here.
+//! The thread that runs the membership protocol on the link's sockets. All decisions are made by the membership crate.
 
 use super::duty::Inside;
 use super::file::{MOST_NAMED, Place};
@@ -14,36 +14,37 @@
 use vetchkeel_membership::wire::{LONGEST, decode, encode};
 use vetchkeel_membership::{Body, Change, Decision, Instance, MOST_INSTANCES, Membership, Message, Start};
 
-/// The link's kind of the membership's messages.
+/// The link's message kind for membership messages.
 const MEMBERSHIP: u16 = 1;
-/// A message of the membership at its longest, and room for the link's envelope. Bytes.
+/// Maximum datagram size in bytes: the longest membership message, and room for the link's envelope.
 const DATAGRAM: usize = LONGEST + 200;
-/// Events taken in before decisions are pulled: a flood must not keep the membership from its own work.
+/// Maximum events processed before decisions are pulled, so that a flood of messages does not starve the membership.
 const EVENTS: usize = 4_096;
-/// How long the thread sleeps at most: so often it beats.
+/// The longest sleep of the thread, and so the longest interval between its heartbeats.
 const LONGEST_SLEEP: Tenths = 2_000;
-/// How often the view is told whole, whatever was told of it.
+/// How often the full view is sent, in addition to its changes.
 const WHOLE: Tenths = 600_000;
-/// Addresses whose names are known; at the bound those of the view are kept. Danger: with no more than the view and the
-/// seeds have, they would be made anew at each message.
+/// Maximum number of addresses whose names are known. At the maximum only those of the view and of the seeds are kept.
+/// Danger: if it were no larger than the view and the seeds together, the map would be rebuilt at each message.
 const ADDRESSES: usize = 2 * (MOST_INSTANCES + MOST_NAMED);
 
-/// What the loop asks for.
+/// A request from the loop.
 pub enum Order {
-    /// Say good-bye and end.
+    /// Announce the departure and end the thread.
     Leave,
 }
 
+/// The state of the fleet thread.
 pub struct Host {
     clock: Clock,
     sockets: Sockets,
     membership: Membership,
     place: Place,
-    /// Who was last heard of at an address. The link sends to names.
+    /// The last known name of the router at each address. Needed because the link sends to names.
     names: BTreeMap<SocketAddr, LinkName>,
-    /// Whom the link knows.
+    /// Routers that are registered with the link.
     met: BTreeSet<LinkName>,
-    /// Something could not be told: all is to be told as soon as there is room.
+    /// Whether a change was lost because the ring was full. The full view is then sent as soon as there is room.
     owes: bool,
     whole_at: Tenths,
 }
@@ -53,15 +54,15 @@
 }
 
 impl Host {
-    /// Takes the address. The error is one line.
+    /// Binds the address. The error is one line.
     pub fn bind(name: vetchkeel_membership::Name, place: Place, seed: u64) -> Result<Host, String> {
         let clock = Clock::new();
         let now = clock.now();
         let start = Start { at: (now / 10) as u64, count: 0 };
-        // A later life must not draw the numbers of an earlier one.
+        // A restarted process must not repeat the random numbers of an earlier one.
         let seed = seed ^ start.at.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let sender = Sender {
-            name: link_name(&name).ok_or_else(|| format!("expected a name of the link, found '{name}'"))?,
+            name: link_name(&name).ok_or_else(|| format!("expected a valid link name, found '{name}'"))?,
             incarnation: start.at,
         };
         let bounds = Bounds { datagram: DATAGRAM, ..Bounds::default() };
@@ -80,7 +81,7 @@
         self.sockets.waker()
     }
 
-    /// Until the loop asks for the end, or is gone.
+    /// Runs until the loop requests the end or has ended.
     pub fn run(mut self, inside: &mut Inside<Told, Order>, wake: &dyn Fn()) -> Result<(), String> {
         loop {
             inside.beat.beat();
@@ -103,7 +104,8 @@
         }
     }
 
-    /// All that waits in the socket, before any decision: what a stopped process finds there is older than its timers.
+    /// Processes all waiting events before any decision. After the process was stopped, waiting messages are older than the
+    /// timers that are due.
     fn hear(&mut self) {
         let now = self.clock.now();
         for _ in 0..EVENTS {
@@ -114,18 +116,18 @@
                         self.learn(&message);
                         self.membership.heard(now, &message);
                     }
-                    Err(why) => crate::log!("fleet: a message was not taken: {why}"),
+                    Err(why) => crate::log!("fleet: a message was rejected: {why}"),
                 },
                 Some(Event::Unread { from, why }) => {
-                    let from = from.map_or_else(|| "somebody".to_owned(), |name| name.to_string());
-                    crate::log!("fleet: a message of {from} was not taken: {why}");
+                    let from = from.map_or_else(|| "an unknown sender".to_owned(), |name| name.to_string());
+                    crate::log!("fleet: a message from {from} was rejected: {why}");
                 }
                 Some(_) => {}
             }
         }
     }
 
-    /// Names of addresses, from what was heard.
+    /// Records which names belong to which addresses in a received message.
     fn learn(&mut self, message: &Message) {
         if message.fleet != self.place.plan.fleet {
             return;
@@ -145,14 +147,14 @@
         known(&message.from.name, message.from.address);
     }
 
-    /// Carries out what the membership decided. True if the loop is to look.
+    /// Executes the membership's decisions. Returns true if the loop is to be woken.
     fn decide(&mut self, inside: &mut Inside<Told, Order>) -> bool {
         let now = self.clock.now();
         let mut told = false;
         while let Some(decision) = self.membership.next_decision(now) {
             match decision {
                 Decision::Send { to, message } => self.send(now, to, &message),
-                // The whole follows: later changes are in it.
+                // The full view follows and includes later changes.
                 Decision::Tell(Change::Missed(_)) => self.owes = true,
                 Decision::Tell(_) if self.owes => {}
                 Decision::Tell(change) => {
@@ -175,7 +177,7 @@
             Body::Ping { to, .. } => link_name(to),
             _ => None,
         };
-        // One that nobody has named can't be sent to. What is lost here is lost as a datagram would be.
+        // An address without a known name cannot be sent to. The message is lost, as a datagram may be.
         let Some(name) = asked.or_else(|| self.names.get(&to).cloned()) else { return };
         let reached = self.place.via.iter().find(|(other, _)| other.as_str() == name.as_str());
         let address = reached.map_or(to, |(_, at)| *at);
@@ -191,8 +193,9 @@
         }
     }
 
-    /// The link forgets whom the membership has forgotten or holds gone; they are met again when they are sent to.
-    /// Danger: a fleet whose restarts come under new names fills it with those that the view no longer has.
+    /// Removes from the link all routers that the membership has removed or considers gone. They are registered again when
+    /// something is sent to them. Danger: a fleet whose routers restart under new names fills the link with names that the
+    /// view no longer has.
     fn make_room(&mut self, now: Tenths) {
         let there = self.membership.view().filter(|s| s.standing.is_there());
         let there: BTreeSet<LinkName> = there.filter_map(|s| link_name(&s.instance.name)).collect();
--- a/crates/router/src/fleet/host/tests.rs
+++ b/crates/router/src/fleet/host/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[rstest]
-fn what_a_full_ring_did_not_take_is_told_whole_when_there_is_room() {
+fn full_view_is_sent_after_changes_were_lost_to_a_full_ring() {
     let mut host = host();
     let (told, mut loops) = RingBuffer::new(2);
     let (_order, orders) = RingBuffer::new(1);
@@ -33,14 +33,14 @@
     host.decide(&mut inside);
     let first = [loops.pop(), loops.pop()];
     assert!(first.iter().all(|told| matches!(told, Ok(Told::Change(Change::Joined(_))))));
-    assert!(loops.pop().is_err(), "three were not told");
+    assert!(loops.pop().is_err(), "three changes were not sent");
     host.decide(&mut inside);
     let Ok(Told::Whole(view)) = loops.pop() else { panic!("the view") };
     assert_eq!(view.count(Word::Alive), 5);
 }
 
 #[rstest]
-fn a_loop_that_is_gone_ends_the_thread() {
+fn thread_ends_when_the_loop_has_ended() {
     let (told, _loops) = RingBuffer::new(2);
     let (order, orders) = RingBuffer::new(1);
     drop(order);
@@ -48,9 +48,9 @@
     assert_eq!(host().run(&mut inside, &|| {}), Ok(()));
 }
 
-/// Restarts under new names, one after another, for longer than the link has room.
+/// Guards against a link that runs out of room for peers: routers restart under new names more often than it has room for.
 #[rstest]
-fn names_that_are_gone_leave_room_for_new_ones() {
+fn names_of_gone_routers_make_room_for_new_ones() {
     let mut host = host();
     let now = host.clock.now();
     let from = host.membership.me().clone();
--- a/crates/router/src/fleet/view.rs
+++ b/crates/router/src/fleet/view.rs
@@ -1,20 +1,21 @@
-//! The fleet as the router's loop knows it: a copy of the membership's view, kept by its changes.
+//! The event loop's copy of the membership's view, updated by the changes that the thread sends.
 
 use std::collections::BTreeMap;
 use std::fmt;
 use vetchkeel_membership::{Change, Instance, MOST_INSTANCES, Name, Seen, Standing, Start};
 
-/// Names held: those of the membership, and as many that it has forgotten since the view was last told whole. A further
-/// one is not taken before it is told whole again.
+/// Maximum number of names: those of the membership, and as many that it has removed since the full view was last sent.
+/// Further names are ignored until the full view is sent again.
 const MOST: usize = 2 * MOST_INSTANCES;
 
-/// What the thread tells the loop.
+/// An update from the thread to the loop.
 pub enum Told {
     Change(Change),
-    /// Everybody, in place of what was told before.
+    /// The full view, which replaces everything sent before.
     Whole(Box<View>),
 }
 
+/// The state of another router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Word {
     Alive,
@@ -34,15 +35,16 @@
     }
 }
 
-/// Names, lives and standings.
+/// The other routers by name, with their start and state.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct View {
     others: BTreeMap<Name, (Start, Word)>,
-    /// How far this router doubts itself, 0 to 8.
+    /// The membership's estimate of this router's own health, from 0 (healthy) to 8.
     pub doubt: u8,
 }
 
 impl View {
+    /// Builds the full view from the membership's.
     pub fn whole<'a>(seen: impl Iterator<Item = Seen<'a>>, doubt: u8) -> View {
         let others = seen.map(|s| (s.instance.name.clone(), (s.instance.start, Word::from(s.standing))));
         View { others: others.collect(), doubt }
@@ -60,6 +62,7 @@
         }
     }
 
+    /// Applies one change of the membership.
     pub fn apply(&mut self, change: &Change) {
         match change {
             Change::Joined(instance) | Change::Restarted(instance) => self.came(instance),
