--- a/crates/router/src/fleet/configuration.rs
+++ b/crates/router/src/fleet/configuration.rs
@@ -1,5 +1,5 @@
-//! The settings that control machines hold for all routers: heard by a thread of its own, put in force by the loop between
-//! two turns, whole or not at all.
+//! The settings that control machines hold for all routers. A separate thread receives them, and the event loop applies
+//! each version between two turns, completely or not at all.
 
 mod file;
 mod host;
@@ -17,10 +17,10 @@
 use vetchkeel_link::Waker;
 use vetchkeel_log::log;
 
-/// Words that wait for the loop, and answers that wait for the thread: one version is put in force at a time.
+/// Maximum updates queued for the loop, and maximum results queued for the thread. Only one version is applied at a time.
 const WORDS: usize = 16;
 const ANSWERS: usize = 4;
-/// How often the loop looks whether the thread is at work.
+/// How often the loop checks the thread's heartbeat.
 const LOOK: Duration = Duration::from_secs(1);
 
 struct Joined {
@@ -30,7 +30,7 @@
     over: bool,
 }
 
-/// The control machines' settings; those of the file alone where no operator file asks for them.
+/// The control machines' settings. Without an operator file only the settings of the router's own file apply.
 #[derive(Default)]
 pub struct Configuration {
     joined: Option<Joined>,
@@ -42,8 +42,8 @@
 }
 
 impl Configuration {
-    /// On where VETCHKEEL_CONFIGURATION names an operator file. A wrong file is an error, and so is an address that can't
-    /// be had: this router would serve under what nobody knows.
+    /// Enables the control machines' settings if VETCHKEEL_CONFIGURATION names an operator file. An invalid file is an error,
+    /// and so is an address that cannot be bound: this router would serve under settings that no control machine knows of.
     pub fn open(
         name: &str,
         seed: u64,
@@ -58,22 +58,24 @@
         Ok(Configuration { joined: Some(Joined::start(host, handle)?), ..Configuration::default() })
     }
 
+    /// Whether control machines hold the settings.
     pub fn is_held_elsewhere(&self) -> bool {
         self.joined.is_some()
     }
 
-    /// Danger: under settings older than those that it had been told before its start, a router would serve what the
-    /// fleet has left.
+    /// Whether clients may be served. Danger: with settings older than those that it had received before its start, a router
+    /// would serve by rules that the fleet no longer uses.
     pub fn may_serve(&self) -> bool {
         self.serves
     }
 
+    /// Logs the end of the thread. Exits the process if clients were not accepted yet.
     fn ended(&mut self, why: &str) {
-        log!("configuration: the thread has ended: {why}; what is in force stays until the next start");
+        log!("configuration: the thread has ended: {why}; the settings in force stay until the next start");
         if !self.serves {
-            // Nobody was let in yet, and nothing would let anybody in.
+            // No client was accepted yet, and without the thread none ever would be.
             vetchkeel_log::log_always!(
-                "vetchkeel-router: expected to hear the control machines, or to find what was kept: {why}"
+                "vetchkeel-router: expected to reach a control machine, or to find saved settings: {why}"
             );
             std::process::exit(2);
         }
@@ -101,10 +103,11 @@
 }
 
 impl Program {
-    /// Takes in what the thread told, and whether it still works. Never waits.
+    /// Processes the thread's updates and checks whether it still runs. Never blocks.
     fn look_at_configuration(&mut self) {
         let Some(mut joined) = self.configuration.joined.take() else { return };
-        // Danger: asked first. A thread that ends after its ring was read would be taken for one with nothing to say.
+        // Danger: this is checked before the ring is read. Otherwise the last updates of a thread that ends after the ring
+        // was read would be lost.
         let ended = joined.outside.ended().cloned();
         for _ in 0..WORDS {
             match joined.outside.next() {
@@ -117,7 +120,7 @@
                 Some(Word::Apply(version, told)) => {
                     let taken = self.take_version(version, told);
                     if !joined.outside.order((version, taken)) {
-                        log!("configuration: the thread takes no answers");
+                        log!("configuration: the thread's result queue is full");
                     }
                     let _ = joined.waker.wake();
                 }
@@ -129,7 +132,7 @@
             Some(ended) => {
                 joined.over = true;
                 match ended {
-                    Ended::Done => self.configuration.ended("it had nothing more to do"),
+                    Ended::Done => self.configuration.ended("it finished unexpectedly"),
                     Ended::Failed(why) => self.configuration.ended(&why),
                     Ended::Panicked => self.configuration.ended("it panicked"),
                 }
@@ -140,7 +143,7 @@
 
     fn take_version(&mut self, version: Version, told: Told) -> Result<(), String> {
         let count = told.len();
-        // Before anything was published there is nothing to serve under but the file's own settings.
+        // Until a version is published, only the file's own settings apply.
         if !told.is_empty() {
             self.take_settings(told)?;
         }
@@ -153,7 +156,7 @@
 
 impl Joined {
     fn start(host: Host, handle: &LoopHandle<'static, Program>) -> Result<Joined, String> {
-        let (ping, pinged) = make_ping().map_err(|e| format!("no way to wake the loop: {e}"))?;
+        let (ping, pinged) = make_ping().map_err(|e| format!("cannot create a wake-up for the event loop: {e}"))?;
         let hear = |program: &mut Program| {
             program.guarded("the configuration", Program::look_at_configuration, |_| {});
         };
@@ -171,19 +174,19 @@
             move || ping.ping(),
             move |inside, wake| host.run(inside, wake),
         );
-        let outside = outside.map_err(|e| format!("no thread: {e}"))?;
+        let outside = outside.map_err(|e| format!("cannot start a thread: {e}"))?;
         Ok(Joined { outside, waker, watch: Watch::default(), over: false })
     }
 
-    /// Whether the thread is at work.
+    /// Checks the thread's heartbeat and logs a change.
     fn look(&mut self, count: &mut u64) {
         let (now, age) = self.outside.beat.ages();
         match self.watch.look(now, age) {
             None => {}
-            Some(Pulse::Back) => log!("configuration: the thread works again"),
+            Some(Pulse::Back) => log!("configuration: the thread responds again"),
             Some(Pulse::Hung(age)) => {
                 *count += 1;
-                log!("configuration: the thread has not worked for {age} ms; what is in force stays");
+                log!("configuration: the thread has not responded for {age} ms; the settings in force stay");
             }
         }
     }
--- a/crates/router/src/fleet/configuration/file.rs
+++ b/crates/router/src/fleet/configuration/file.rs
@@ -1,4 +1,5 @@
-//! The operator file: which control machines hold this router's settings, and where it keeps what it was told.
+//! The operator file of the configuration: the control machines that hold this router's settings, and the file in which
+//! the router saves the settings it has received.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,15 +8,15 @@
 use vetchkeel_control::{address, machines, name, plan};
 use vetchkeel_operator::{OperatorFile, Wrong};
 
-/// The file, checked.
+/// The validated contents of the file.
 #[derive(Debug)]
 pub struct Held {
-    /// Where the machines reach this router.
+    /// The address at which the control machines reach this router.
     pub address: SocketAddr,
     pub machines: BTreeMap<Name, SocketAddr>,
-    /// Machines of its own zone or region, which are tried first.
+    /// Control machines of the router's own zone or region, which are tried first.
     pub near: Vec<Name>,
-    /// The file in which version and document are found again.
+    /// The file in which the version and its document are saved for a restart.
     pub keep: PathBuf,
     pub plan: Plan,
 }
@@ -38,7 +39,7 @@
     Ok(held)
 }
 
-/// Reads and checks it. The error is one line: file, line, what was expected.
+/// Reads and validates the file. The error is one line: file, line, what was expected.
 pub fn read(path: &Path) -> Result<Held, String> {
     OperatorFile::read(path).and_then(|file| held(&file)).map_err(|wrong| wrong.to_string())
 }
--- a/crates/router/src/fleet/configuration/file/tests.rs
+++ b/crates/router/src/fleet/configuration/file/tests.rs
@@ -14,24 +14,24 @@
 }
 
 #[rstest]
-fn a_file_is_read() {
+fn valid_file_is_parsed() {
     let held = parsed(GOOD).expect("readable");
     assert_eq!((held.machines.len(), held.near.len(), held.plan.beat), (1, 1, 2_500));
 }
 
 #[rstest]
-#[case::any_address("127.0.0.1:7500", "0.0.0.0:7500", 2)]
-#[case::no_keep("keep =", "kept =", 1)]
-#[case::a_name(r#"machine "c1""#, r#"machine "c 1""#, 5)]
+#[case::unspecified_address("127.0.0.1:7500", "0.0.0.0:7500", 2)]
+#[case::missing_keep("keep =", "kept =", 1)]
+#[case::invalid_machine_name(r#"machine "c1""#, r#"machine "c 1""#, 5)]
 #[case::no_machine(r#"machine "c1" { address = "127.0.0.2:7600" }"#, "", 1)]
-#[case::a_beat("250ms", "1us", 6)]
-fn what_was_expected_is_said_with_its_line(#[case] piece: &str, #[case] other: &str, #[case] line: usize) {
+#[case::beat_too_short("250ms", "1us", 6)]
+fn error_names_line_of_invalid_value(#[case] piece: &str, #[case] other: &str, #[case] line: usize) {
     let wrong = parsed(&GOOD.replacen(piece, other, 1)).expect_err("refused");
     assert_eq!(wrong.line, line, "{wrong}");
 }
 
 #[rstest]
-fn the_file_beside_the_program_is_one() {
+fn deployed_example_file_is_valid() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/configuration.hcl");
     let held = read(&path).expect("readable");
     assert_eq!((held.machines.len(), held.plan), (3, Plan::default()));
--- a/crates/router/src/fleet/configuration/host.rs
+++ b/crates/router/src/fleet/configuration/host.rs
@@ -1,5 +1,5 @@
-//! The thread that hears the control machines: the subscriber on the link's streams, and what it keeps on disk. Nothing is
-//! decided here.
+//! The thread that receives settings from the control machines: it runs the subscriber on the link's streams and saves the
+//! settings in force on disk. All decisions are made by the configuration crate.
 
 use super::file::Held;
 use crate::Clock;
@@ -13,50 +13,52 @@
 use vetchkeel_link::Waker;
 use vetchkeel_log::log;
 
-/// How long the thread sleeps at most: so often it beats.
+/// The longest sleep of the thread, and so the longest interval between its heartbeats.
 const LONGEST_SLEEP: Tenths = 2_000;
-/// What could not be kept is tried again after this.
+/// Delay before a failed save is retried.
 const KEEP_AGAIN: Tenths = 10_000;
 
-/// What the thread tells the loop.
+/// An update from the thread to the loop.
 pub enum Word {
-    /// To be put in force between two turns; the answer is an [`Answer`].
+    /// A version to apply between two turns. The loop replies with an [`Answer`].
     Apply(Version, Told),
-    /// Clients may be served.
+    /// Clients may be served from now on.
     Serve,
     Seen(Seen),
 }
 
-/// What the loop prints.
+/// The state that the loop prints with its counters.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Seen {
     pub holds: Version,
     pub machine: Option<Name>,
-    /// Since when no machine that hears a writer was heard; in tenths of a millisecond since 1970.
+    /// Since when no message has arrived from a control machine that is in contact with a writer; in tenths of a
+    /// millisecond since 1970.
     pub silent_since: Option<Tenths>,
-    /// Refusals, and the reason of the last one.
+    /// Number of refused versions, and the reason of the last refusal.
     pub refused: u64,
     pub why: String,
-    /// Times that what is in force could not be kept.
+    /// How often saving the version in force failed.
     pub unkept: u64,
 }
 
-/// What became of a version in the loop.
+/// The result of applying a version in the loop.
 pub type Answer = (Version, Result<(), String>);
 
+/// The state of the configuration thread.
 pub struct Host {
     clock: Clock,
     carrier: Carrier,
     subscriber: Subscriber,
     file: PathBuf,
-    /// With the loop, or in force and not kept yet: then it is tried again at this time.
+    /// The version that the loop is applying, or that is in force but not saved yet; and when to retry the save.
     applying: Option<(Version, Document)>,
     keep_at: Option<Tenths>,
     serves: bool,
     seen: Seen,
-    /// What of it was told last.
+    /// The value of `seen` that was last sent to the loop.
     told: Seen,
-    /// What the ring had no room for, in order.
+    /// Updates for which the ring had no room, in order.
     words: VecDeque<Word>,
 }
 
@@ -66,23 +68,23 @@
     match read.and_then(|bytes| whole::unpack(&bytes).map_err(|bad| bad.to_string())) {
         Ok((version, _, document)) => Some((version, document)),
         Err(why) => {
-            log!("configuration: what was kept in {path} is not used: {why}");
+            log!("configuration: the file {path} is not used: {why}");
             None
         }
     }
 }
 
 impl Host {
-    /// Takes the address and reads what was kept. The error is one line.
+    /// Binds the address and reads the saved settings. The error is one line.
     pub fn bind(me: Name, held: Held, seed: u64) -> Result<Host, String> {
         let clock = Clock::new();
         let now = clock.now();
         let start = (now / 10) as u64;
-        // A later life must not draw the numbers of an earlier one.
+        // A restarted process must not repeat the random numbers of an earlier one.
         let seed = seed ^ start.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let kept = kept(&held.keep);
         match &kept {
-            Some((version, _)) => log!("configuration: version {version} was kept"),
+            Some((version, _)) => log!("configuration: saved version {version} was read"),
             None => log!("configuration: nothing was kept"),
         }
         let machines: Vec<Name> = held.machines.keys().cloned().collect();
@@ -99,7 +101,7 @@
         self.carrier.waker()
     }
 
-    /// Until the loop is gone.
+    /// Runs until the loop has ended.
     pub fn run(mut self, inside: &mut Inside<Word, Answer>, wake: &dyn Fn()) -> Result<(), String> {
         while !inside.orders.is_abandoned() {
             inside.beat.beat();
@@ -170,8 +172,8 @@
         }
     }
 
-    /// Danger: who is told that a version is in force here counts on it after a restart as well. So it is on the disk
-    /// before that is said.
+    /// Saves the version in force and then reports it as applied. Danger: a control machine that receives this report relies
+    /// on the version after a restart of this router as well, so it is written to disk before it is reported.
     fn keep(&mut self, now: Tenths) {
         self.keep_at = None;
         let Some((version, document)) = self.applying.take() else { return };
@@ -179,7 +181,7 @@
             Ok(()) => self.subscriber.applied(now, version),
             Err(why) => {
                 log!(
-                    "configuration: {version} is in force and can't be kept in {}: {why}",
+                    "configuration: version {version} is in force but cannot be saved in {}: {why}",
                     self.file.display()
                 );
                 self.seen.unkept += 1;
@@ -194,11 +196,11 @@
             Notice::Silent { since } => {
                 let age = (now - since) / 10;
                 log!(
-                    "configuration: no control machine that hears a writer was heard for {age} ms; what is in force stays"
+                    "configuration: no message for {age} ms from a control machine in contact with a writer; the settings in force stay"
                 );
             }
             Notice::Heard { machine, after } => {
-                log!("configuration: {machine} is heard, after {} ms", after / 10);
+                log!("configuration: contact with {machine} after {} ms without any", after / 10);
             }
             Notice::Refused { version, why } => {
                 log!("configuration: version {version} is refused, the one before stays: {why}");
@@ -206,7 +208,7 @@
                 self.seen.why = why;
             }
             Notice::BaseGone { holds } => {
-                log!("configuration: {holds} is in no log any more: a whole copy comes");
+                log!("configuration: version {holds} is no longer in the control machine's log: a full copy follows");
             }
             Notice::Serving { version, unsure } => {
                 let by = if unsure {
@@ -219,7 +221,7 @@
         }
     }
 
-    /// True if the loop is to look.
+    /// Sends pending updates to the loop. Returns true if the loop is to be woken.
     fn tell(&mut self, inside: &mut Inside<Word, Answer>) -> bool {
         self.seen.holds = self.subscriber.holds();
         self.seen.machine = self.subscriber.served_by().cloned();
