--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -86,9 +86,9 @@
 
 #[cfg(feature = "fleet")]
 mod on {
-    use super::duty::{Ended, Outside, Pulse, Watch};
-    use super::host::{Host, Order};
-    use super::view::{Told, View, Word};
+    use super::duty::{HealthChange, LoopSide, ThreadExit, Watchdog};
+    use super::host::{Host, Request};
+    use super::view::{FleetUpdate, RouterState, View};
     use super::{file, name_of};
     use crate::Program;
     use calloop::LoopHandle;
@@ -103,9 +103,9 @@
     /// Maximum changes queued for the loop. When the queue is full, the full view is sent as soon as there is room.
     const TOLD: usize = 256;
     /// Maximum requests queued for the thread.
-    const ORDERS: usize = 8;
+    const MAX_REQUESTS: usize = 8;
     /// How often the loop checks the thread's heartbeat.
-    const LOOK: Duration = Duration::from_secs(1);
+    const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
     #[derive(Default)]
     struct Counters {
@@ -119,24 +119,24 @@
         raised: u64,
         superseded: u64,
         crowded: u64,
-        wholes: u64,
+        full_views: u64,
         hung: u64,
         stopped: u64,
     }
 
-    struct Joined {
-        outside: Outside<Told, Order>,
+    struct FleetThread {
+        loop_side: LoopSide<FleetUpdate, Request>,
         waker: Waker,
         leaving: bool,
-        watch: Watch,
-        over: bool,
+        watchdog: Watchdog,
+        exited: bool,
     }
 
     /// This router's participation in its fleet. Without an operator file it takes part in none.
     #[derive(Default)]
     pub struct Fleet {
-        asked: bool,
-        joined: Option<Joined>,
+        enabled: bool,
+        thread: Option<FleetThread>,
         view: View,
         counters: Counters,
     }
@@ -146,67 +146,69 @@
         /// be bound is not: the router serves without the fleet and logs it.
         pub fn open(name: &str, seed: u64, handle: &LoopHandle<'static, Program>) -> Result<Fleet, String> {
             let Some(path) = std::env::var_os("VETCHKEEL_FLEET") else { return Ok(Fleet::default()) };
-            let place = file::read(Path::new(&path))?;
+            let settings = file::read(Path::new(&path))?;
             let expected = "expected a router name of 1 to 32 letters, digits, '-', '_' or '.' for its fleet";
             let name = name_of(name).ok_or_else(|| format!("{expected}, found '{name}'"))?;
-            let mut fleet = Fleet { asked: true, ..Fleet::default() };
-            let address = place.address;
-            match Host::bind(name, place, seed) {
-                Err(why) => fleet.alone(&why),
-                Ok(host) => match Joined::start(host, handle) {
-                    Err(why) => fleet.alone(&why),
-                    Ok(joined) => {
+            let mut fleet = Fleet { enabled: true, ..Fleet::default() };
+            let address = settings.address;
+            match Host::bind(name, settings, seed) {
+                Err(why) => fleet.continue_alone(&why),
+                Ok(host) => match FleetThread::start(host, handle) {
+                    Err(why) => fleet.continue_alone(&why),
+                    Ok(thread) => {
                         log!("fleet: this router is reached on {address}");
-                        fleet.joined = Some(joined);
+                        fleet.thread = Some(thread);
                     }
                 },
             }
             Ok(fleet)
         }
 
-        fn alone(&mut self, why: &str) {
+        fn continue_alone(&mut self, why: &str) {
             self.counters.stopped += 1;
             self.view = View::default();
-            log!("fleet: the thread has ended: {why}; this router continues without the fleet until its next start");
+            log!(
+                "fleet: the thread has ended: {why}; this router continues without the fleet until its next start"
+            );
         }
 
         /// Processes the thread's updates and checks whether it still runs. Never blocks.
-        fn look(&mut self) {
-            let Some(mut joined) = self.joined.take() else { return };
+        fn check(&mut self) {
+            let Some(mut thread) = self.thread.take() else { return };
             // Danger: this is checked before the ring is read. Otherwise the last updates of a thread that ends after the
             // ring was read would be lost.
-            let ended = joined.outside.ended().cloned();
+            let ended = thread.loop_side.ended().cloned();
             // At most one full queue per call, because the loop has other work.
             for _ in 0..TOLD {
-                match joined.outside.next() {
+                match thread.loop_side.next() {
                     None => break,
-                    Some(Told::Change(change)) => {
+                    Some(FleetUpdate::Change(change)) => {
                         self.view.apply(&change);
-                        self.note(&change);
+                        self.count_change(&change);
                     }
-                    Some(Told::Whole(view)) => {
-                        self.counters.wholes += 1;
+                    Some(FleetUpdate::Full(view)) => {
+                        self.counters.full_views += 1;
                         self.view = *view;
                     }
                 }
             }
             match ended {
-                None => joined.look(&mut self.counters.hung),
-                Some(_) if joined.over => {}
+                None => thread.check(&mut self.counters.hung),
+                Some(_) if thread.exited => {}
                 Some(ended) => {
-                    joined.over = true;
+                    thread.exited = true;
                     match ended {
-                        Ended::Done if joined.leaving => log!("fleet: left"),
-                        Ended::Done => self.alone("it finished without a request to leave"),
-                        Ended::Failed(why) => self.alone(&why),
-                        Ended::Panicked => self.alone("it panicked"),
+                        ThreadExit::Done if thread.leaving => log!("fleet: left"),
+                        ThreadExit::Done => self.continue_alone("it finished without a request to leave"),
+                        ThreadExit::Failed(why) => self.continue_alone(&why),
+                        ThreadExit::Panicked => self.continue_alone("it panicked"),
                     }
                 }
             }
-            self.joined = Some(joined);
+            self.thread = Some(thread);
         }
 
-        fn note(&mut self, change: &Change) {
+        fn count_change(&mut self, change: &Change) {
             let c = &mut self.counters;
             match change {
                 Change::Joined(i) => {
@@ -239,7 +241,9 @@
                 }
                 Change::Raised(start) => {
                     c.raised += 1;
-                    log!("fleet: an earlier process of this router had a later clock; this one counts as start {start}");
+                    log!(
+                        "fleet: an earlier process of this router had a later clock; this one counts as start {start}"
+                    );
                 }
                 Change::Superseded(i) => {
                     c.superseded += 1;
@@ -259,31 +263,33 @@
 
         /// Announces to the fleet that this router leaves. The thread then ends; the router continues to serve its clients.
         pub fn leave(&mut self) {
-            if let Some(joined) = &mut self.joined {
-                joined.leaving = true;
-                if !joined.outside.order(Order::Leave) {
-                    log!("fleet: the thread's request queue is full: the other routers will consider this router dead");
+            if let Some(thread) = &mut self.thread {
+                thread.leaving = true;
+                if !thread.loop_side.send(Request::Leave) {
+                    log!(
+                        "fleet: the thread's request queue is full: the other routers will consider this router dead"
+                    );
                 }
-                let _ = joined.waker.wake();
+                let _ = thread.waker.wake();
             }
         }
 
         pub fn print(&self) {
-            if !self.asked {
+            if !self.enabled {
                 return;
             }
             let (v, c) = (&self.view, &self.counters);
-            let works = self.joined.as_ref().is_some_and(|j| !j.over && !j.watch.is_hung());
+            let running = self.thread.as_ref().is_some_and(|j| !j.exited && !j.watchdog.is_hung());
             vetchkeel_log::log_always!(
                 "counters fleet: works={} alive={} suspect={} dead={} gone={} doubt={} joined={} restarted={} \
                  suspected={} returned={} died={} left={} doubted={} raised={} superseded={} crowded={} wholes={} \
                  hung={} stopped={}",
-                u8::from(works),
-                v.count(Word::Alive),
-                v.count(Word::Suspect),
-                v.count(Word::Dead),
-                v.count(Word::Left),
-                v.doubt,
+                u8::from(running),
+                v.count(RouterState::Alive),
+                v.count(RouterState::Suspect),
+                v.count(RouterState::Dead),
+                v.count(RouterState::Left),
+                v.local_health,
                 c.joined,
                 c.restarted,
                 c.suspected,
@@ -294,7 +300,7 @@
                 c.raised,
                 c.superseded,
                 c.crowded,
-                c.wholes,
+                c.full_views,
                 c.hung,
                 c.stopped
             );
@@ -302,37 +308,40 @@
         }
     }
 
-    impl Joined {
-        fn start(host: Host, handle: &LoopHandle<'static, Program>) -> Result<Joined, String> {
-            let (ping, pinged) = make_ping().map_err(|e| format!("cannot create a wake-up for the event loop: {e}"))?;
-            let hear = |program: &mut Program| program.guarded("the fleet", |p| p.fleet.look(), |_| {});
-            let source = handle.insert_source(pinged, move |(), (), program| hear(program));
+    impl FleetThread {
+        fn start(host: Host, handle: &LoopHandle<'static, Program>) -> Result<FleetThread, String> {
+            let (ping, ping_source) =
+                make_ping().map_err(|e| format!("cannot create a wake-up for the event loop: {e}"))?;
+            let poll = |program: &mut Program| program.guarded("the fleet", |p| p.fleet.check(), |_| {});
+            let source = handle.insert_source(ping_source, move |(), (), program| poll(program));
             source.map_err(|e| e.to_string())?;
-            let timer = handle.insert_source(Timer::from_duration(LOOK), move |_, _, program| {
-                hear(program);
-                TimeoutAction::ToDuration(LOOK)
+            let timer = handle.insert_source(Timer::from_duration(CHECK_INTERVAL), move |_, _, program| {
+                poll(program);
+                TimeoutAction::ToDuration(CHECK_INTERVAL)
             });
             timer.map_err(|e| e.to_string())?;
             let waker = host.waker();
-            let outside = Outside::start(
+            let loop_side = LoopSide::start(
                 "fleet",
-                (TOLD, ORDERS),
+                (TOLD, MAX_REQUESTS),
                 move || ping.ping(),
                 move |i, wake| host.run(i, wake),
             );
-            let outside = outside.map_err(|e| format!("cannot start a thread: {e}"))?;
-            Ok(Joined { outside, waker, leaving: false, watch: Watch::default(), over: false })
+            let loop_side = loop_side.map_err(|e| format!("cannot start a thread: {e}"))?;
+            Ok(FleetThread { loop_side, waker, leaving: false, watchdog: Watchdog::default(), exited: false })
         }
 
         /// Checks the thread's heartbeat and logs a change.
-        fn look(&mut self, count: &mut u64) {
-            let (now, age) = self.outside.beat.ages();
-            match self.watch.look(now, age) {
+        fn check(&mut self, count: &mut u64) {
+            let (now, age) = self.loop_side.heartbeat.ages();
+            match self.watchdog.check(now, age) {
                 None => {}
-                Some(Pulse::Back) => log!("fleet: the thread responds again"),
-                Some(Pulse::Hung(age)) => {
+                Some(HealthChange::Resumed) => log!("fleet: the thread responds again"),
+                Some(HealthChange::Hung(age)) => {
                     *count += 1;
-                    log!("fleet: the thread has not responded for {age} ms; this router continues without it");
+                    log!(
+                        "fleet: the thread has not responded for {age} ms; this router continues without it"
+                    );
                 }
             }
         }
--- a/crates/router/src/fleet/configuration.rs
+++ b/crates/router/src/fleet/configuration.rs
@@ -4,12 +4,12 @@
 mod file;
 mod host;
 
-use super::duty::{Ended, Outside, Pulse, Watch};
+use super::duty::{HealthChange, LoopSide, ThreadExit, Watchdog};
 use crate::Program;
 use calloop::LoopHandle;
 use calloop::ping::make_ping;
 use calloop::timer::{TimeoutAction, Timer};
-use host::{Answer, Host, Seen, Word};
+use host::{ApplyResult, Host, Status, Update};
 use std::path::Path;
 use std::time::Duration;
 use vetchkeel::Told;
@@ -18,25 +18,25 @@
 use vetchkeel_log::log;
 
 /// Maximum updates queued for the loop, and maximum results queued for the thread. Only one version is applied at a time.
-const WORDS: usize = 16;
-const ANSWERS: usize = 4;
+const MAX_UPDATES: usize = 16;
+const MAX_RESULTS: usize = 4;
 /// How often the loop checks the thread's heartbeat.
-const LOOK: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-struct Joined {
-    outside: Outside<Word, Answer>,
+struct ConfigurationThread {
+    loop_side: LoopSide<Update, ApplyResult>,
     waker: Waker,
-    watch: Watch,
-    over: bool,
+    watchdog: Watchdog,
+    exited: bool,
 }
 
 /// The control machines' settings. Without an operator file only the settings of the router's own file apply.
 #[derive(Default)]
 pub struct Configuration {
-    joined: Option<Joined>,
-    serves: bool,
+    thread: Option<ConfigurationThread>,
+    serving: bool,
     in_force: Option<Version>,
-    seen: Seen,
+    status: Status,
     applied: u64,
     hung: u64,
 }
@@ -50,29 +50,32 @@
         handle: &LoopHandle<'static, Program>,
     ) -> Result<Configuration, String> {
         let Some(path) = std::env::var_os("VETCHKEEL_CONFIGURATION") else {
-            return Ok(Configuration { serves: true, ..Configuration::default() });
+            return Ok(Configuration { serving: true, ..Configuration::default() });
         };
-        let held = file::read(Path::new(&path))?;
+        let settings = file::read(Path::new(&path))?;
         let name = Name::new(name).map_err(|why| format!("the router's name: {why}"))?;
-        let host = Host::bind(name, held, seed)?;
-        Ok(Configuration { joined: Some(Joined::start(host, handle)?), ..Configuration::default() })
+        let host = Host::bind(name, settings, seed)?;
+        Ok(Configuration {
+            thread: Some(ConfigurationThread::start(host, handle)?),
+            ..Configuration::default()
+        })
     }
 
     /// Whether control machines hold the settings.
     pub fn is_held_elsewhere(&self) -> bool {
-        self.joined.is_some()
+        self.thread.is_some()
     }
 
     /// Whether clients may be served. Danger: with settings older than those that it had received before its start, a router
     /// would serve by rules that the fleet no longer uses.
     pub fn may_serve(&self) -> bool {
-        self.serves
+        self.serving
     }
 
     /// Logs the end of the thread. Exits the process if clients were not accepted yet.
-    fn ended(&mut self, why: &str) {
+    fn thread_ended(&mut self, why: &str) {
         log!("configuration: the thread has ended: {why}; the settings in force stay until the next start");
-        if !self.serves {
+        if !self.serving {
             // No client was accepted yet, and without the thread none ever would be.
             vetchkeel_log::log_always!(
                 "vetchkeel-router: expected to reach a control machine, or to find saved settings: {why}"
@@ -82,14 +85,14 @@
     }
 
     pub fn print(&self) {
-        let Some(joined) = &self.joined else { return };
-        let Seen { holds, machine, silent_since, refused, why, unkept } = &self.seen;
+        let Some(thread) = &self.thread else { return };
+        let Status { holds, machine, silent_since, refused, why, save_failures } = &self.status;
         let none = || "none".to_owned();
         vetchkeel_log::log_always!(
             "counters configuration: works={} serves={} in_force={} told={holds} machine={} silent_since_ms={} \
-             applied={} refused={refused} unkept={unkept} hung={}",
-            u8::from(!joined.over && !joined.watch.is_hung()),
-            u8::from(self.serves),
+             applied={} refused={refused} unkept={save_failures} hung={}",
+            u8::from(!thread.exited && !thread.watchdog.is_hung()),
+            u8::from(self.serving),
             self.in_force.map_or_else(none, |v| v.to_string()),
             machine.as_ref().map_or_else(none, ToString::to_string),
             silent_since.map_or_else(none, |at| (at / 10).to_string()),
@@ -104,48 +107,48 @@
 
 impl Program {
     /// Processes the thread's updates and checks whether it still runs. Never blocks.
-    fn look_at_configuration(&mut self) {
-        let Some(mut joined) = self.configuration.joined.take() else { return };
+    fn poll_configuration(&mut self) {
+        let Some(mut thread) = self.configuration.thread.take() else { return };
         // Danger: this is checked before the ring is read. Otherwise the last updates of a thread that ends after the ring
         // was read would be lost.
-        let ended = joined.outside.ended().cloned();
-        for _ in 0..WORDS {
-            match joined.outside.next() {
+        let ended = thread.loop_side.ended().cloned();
+        for _ in 0..MAX_UPDATES {
+            match thread.loop_side.next() {
                 None => break,
-                Some(Word::Seen(seen)) => self.configuration.seen = seen,
-                Some(Word::Serve) => {
-                    self.configuration.serves = true;
+                Some(Update::Status(status)) => self.configuration.status = status,
+                Some(Update::Serve) => {
+                    self.configuration.serving = true;
                     self.accept();
                 }
-                Some(Word::Apply(version, told)) => {
-                    let taken = self.take_version(version, told);
-                    if !joined.outside.order((version, taken)) {
+                Some(Update::Apply(version, settings)) => {
+                    let result = self.apply_version(version, settings);
+                    if !thread.loop_side.send((version, result)) {
                         log!("configuration: the thread's result queue is full");
                     }
-                    let _ = joined.waker.wake();
+                    let _ = thread.waker.wake();
                 }
             }
         }
         match ended {
-            None => joined.look(&mut self.configuration.hung),
-            Some(_) if joined.over => {}
+            None => thread.check(&mut self.configuration.hung),
+            Some(_) if thread.exited => {}
             Some(ended) => {
-                joined.over = true;
+                thread.exited = true;
                 match ended {
-                    Ended::Done => self.configuration.ended("it finished unexpectedly"),
-                    Ended::Failed(why) => self.configuration.ended(&why),
-                    Ended::Panicked => self.configuration.ended("it panicked"),
+                    ThreadExit::Done => self.configuration.thread_ended("it finished unexpectedly"),
+                    ThreadExit::Failed(why) => self.configuration.thread_ended(&why),
+                    ThreadExit::Panicked => self.configuration.thread_ended("it panicked"),
                 }
             }
         }
-        self.configuration.joined = Some(joined);
+        self.configuration.thread = Some(thread);
     }
 
-    fn take_version(&mut self, version: Version, told: Told) -> Result<(), String> {
-        let count = told.len();
+    fn apply_version(&mut self, version: Version, settings: Told) -> Result<(), String> {
+        let count = settings.len();
         // Until a version is published, only the file's own settings apply.
-        if !told.is_empty() {
-            self.take_settings(told)?;
+        if !settings.is_empty() {
+            self.take_settings(settings)?;
         }
         log!("configuration: version {version} is in force, {count} names");
         self.configuration.in_force = Some(version);
@@ -154,37 +157,38 @@
     }
 }
 
-impl Joined {
-    fn start(host: Host, handle: &LoopHandle<'static, Program>) -> Result<Joined, String> {
-        let (ping, pinged) = make_ping().map_err(|e| format!("cannot create a wake-up for the event loop: {e}"))?;
-        let hear = |program: &mut Program| {
-            program.guarded("the configuration", Program::look_at_configuration, |_| {});
+impl ConfigurationThread {
+    fn start(host: Host, handle: &LoopHandle<'static, Program>) -> Result<ConfigurationThread, String> {
+        let (ping, ping_source) =
+            make_ping().map_err(|e| format!("cannot create a wake-up for the event loop: {e}"))?;
+        let poll = |program: &mut Program| {
+            program.guarded("the configuration", Program::poll_configuration, |_| {});
         };
-        let source = handle.insert_source(pinged, move |(), (), program| hear(program));
+        let source = handle.insert_source(ping_source, move |(), (), program| poll(program));
         source.map_err(|e| e.to_string())?;
-        let timer = handle.insert_source(Timer::from_duration(LOOK), move |_, _, program| {
-            hear(program);
-            TimeoutAction::ToDuration(LOOK)
+        let timer = handle.insert_source(Timer::from_duration(CHECK_INTERVAL), move |_, _, program| {
+            poll(program);
+            TimeoutAction::ToDuration(CHECK_INTERVAL)
         });
         timer.map_err(|e| e.to_string())?;
         let waker = host.waker();
-        let outside = Outside::start(
+        let loop_side = LoopSide::start(
             "configuration",
-            (WORDS, ANSWERS),
+            (MAX_UPDATES, MAX_RESULTS),
             move || ping.ping(),
-            move |inside, wake| host.run(inside, wake),
+            move |thread_side, wake| host.run(thread_side, wake),
         );
-        let outside = outside.map_err(|e| format!("cannot start a thread: {e}"))?;
-        Ok(Joined { outside, waker, watch: Watch::default(), over: false })
+        let loop_side = loop_side.map_err(|e| format!("cannot start a thread: {e}"))?;
+        Ok(ConfigurationThread { loop_side, waker, watchdog: Watchdog::default(), exited: false })
     }
 
     /// Checks the thread's heartbeat and logs a change.
-    fn look(&mut self, count: &mut u64) {
-        let (now, age) = self.outside.beat.ages();
-        match self.watch.look(now, age) {
+    fn check(&mut self, count: &mut u64) {
+        let (now, age) = self.loop_side.heartbeat.ages();
+        match self.watchdog.check(now, age) {
             None => {}
-            Some(Pulse::Back) => log!("configuration: the thread responds again"),
-            Some(Pulse::Hung(age)) => {
+            Some(HealthChange::Resumed) => log!("configuration: the thread responds again"),
+            Some(HealthChange::Hung(age)) => {
                 *count += 1;
                 log!("configuration: the thread has not responded for {age} ms; the settings in force stay");
             }
--- a/crates/router/src/fleet/configuration/file.rs
+++ b/crates/router/src/fleet/configuration/file.rs
@@ -10,18 +10,18 @@
 
 /// The validated contents of the file.
 #[derive(Debug)]
-pub struct Held {
+pub struct ConfigurationSettings {
     /// The address at which the control machines reach this router.
     pub address: SocketAddr,
     pub machines: BTreeMap<Name, SocketAddr>,
     /// Control machines of the router's own zone or region, which are tried first.
     pub near: Vec<Name>,
     /// The file in which the version and its document are saved for a restart.
-    pub keep: PathBuf,
+    pub state_file: PathBuf,
     pub plan: Plan,
 }
 
-fn held(file: &OperatorFile) -> Result<Held, Wrong> {
+fn parse(file: &OperatorFile) -> Result<ConfigurationSettings, Wrong> {
     let root = file.root();
     let section = root.need_block("configuration")?;
     let machines = machines(&section, "machine")?;
@@ -32,16 +32,22 @@
         None => Vec::new(),
         Some(list) => list.list()?.iter().map(name).collect::<Result<Vec<Name>, Wrong>>()?,
     };
-    let keep = section.need("keep").and_then(|v| v.text().map(PathBuf::from))?;
-    let held = Held { address: address(&section)?, machines, near, keep, plan: plan(&section)? };
+    let state_file = section.need("keep").and_then(|v| v.text().map(PathBuf::from))?;
+    let settings = ConfigurationSettings {
+        address: address(&section)?,
+        machines,
+        near,
+        state_file,
+        plan: plan(&section)?,
+    };
     section.done()?;
     root.done()?;
-    Ok(held)
+    Ok(settings)
 }
 
 /// Reads and validates the file. The error is one line: file, line, what was expected.
-pub fn read(path: &Path) -> Result<Held, String> {
-    OperatorFile::read(path).and_then(|file| held(&file)).map_err(|wrong| wrong.to_string())
+pub fn read(path: &Path) -> Result<ConfigurationSettings, String> {
+    OperatorFile::read(path).and_then(|file| parse(&file)).map_err(|wrong| wrong.to_string())
 }
 
 #[cfg(test)]
--- a/crates/router/src/fleet/configuration/file/tests.rs
+++ b/crates/router/src/fleet/configuration/file/tests.rs
@@ -9,14 +9,14 @@
   plan { beat = "250ms" }
 }"#;
 
-fn parsed(text: &str) -> Result<Held, Wrong> {
-    held(&OperatorFile::parse("c.hcl", text)?)
+fn parsed(text: &str) -> Result<ConfigurationSettings, Wrong> {
+    parse(&OperatorFile::parse("c.hcl", text)?)
 }
 
 #[rstest]
 fn valid_file_is_parsed() {
-    let held = parsed(GOOD).expect("readable");
-    assert_eq!((held.machines.len(), held.near.len(), held.plan.beat), (1, 1, 2_500));
+    let settings = parsed(GOOD).expect("readable");
+    assert_eq!((settings.machines.len(), settings.near.len(), settings.plan.beat), (1, 1, 2_500));
 }
 
 #[rstest]
@@ -33,6 +33,6 @@
 #[rstest]
 fn deployed_example_file_is_valid() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/configuration.hcl");
-    let held = read(&path).expect("readable");
-    assert_eq!((held.machines.len(), held.plan), (3, Plan::default()));
+    let settings = read(&path).expect("readable");
+    assert_eq!((settings.machines.len(), settings.plan), (3, Plan::default()));
 }
--- a/crates/router/src/fleet/configuration/host.rs
+++ b/crates/router/src/fleet/configuration/host.rs
@@ -1,9 +1,9 @@
 //! The thread that receives settings from the control machines: it runs the subscriber on the link's streams and saves the
 //! settings in force on disk. All decisions are made by the configuration crate.
 
-use super::file::Held;
+use super::file::ConfigurationSettings;
 use crate::Clock;
-use crate::fleet::duty::Inside;
+use crate::fleet::duty::ThreadSide;
 use std::collections::VecDeque;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -14,22 +14,22 @@
 use vetchkeel_log::log;
 
 /// The longest sleep of the thread, and so the longest interval between its heartbeats.
-const LONGEST_SLEEP: Tenths = 2_000;
+const MAX_SLEEP: Tenths = 2_000;
 /// Delay before a failed save is retried.
-const KEEP_AGAIN: Tenths = 10_000;
+const SAVE_RETRY_DELAY: Tenths = 10_000;
 
 /// An update from the thread to the loop.
-pub enum Word {
-    /// A version to apply between two turns. The loop replies with an [`Answer`].
+pub enum Update {
+    /// A version to apply between two turns. The loop replies with an [`ApplyResult`].
     Apply(Version, Told),
     /// Clients may be served from now on.
     Serve,
-    Seen(Seen),
+    Status(Status),
 }
 
 /// The state that the loop prints with its counters.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct Status {
     pub holds: Version,
     pub machine: Option<Name>,
     /// Since when no message has arrived from a control machine that is in contact with a writer; in tenths of a
@@ -39,11 +39,11 @@
     pub refused: u64,
     pub why: String,
     /// How often saving the version in force failed.
-    pub unkept: u64,
+    pub save_failures: u64,
 }
 
 /// The result of applying a version in the loop.
-pub type Answer = (Version, Result<(), String>);
+pub type ApplyResult = (Version, Result<(), String>);
 
 /// The state of the configuration thread.
 pub struct Host {
@@ -53,16 +53,16 @@
     file: PathBuf,
     /// The version that the loop is applying, or that is in force but not saved yet; and when to retry the save.
     applying: Option<(Version, Document)>,
-    keep_at: Option<Tenths>,
-    serves: bool,
-    seen: Seen,
-    /// The value of `seen` that was last sent to the loop.
-    told: Seen,
+    save_retry_at: Option<Tenths>,
+    serving: bool,
+    status: Status,
+    /// The value of `status` that was last sent to the loop.
+    sent_status: Status,
     /// Updates for which the ring had no room, in order.
-    words: VecDeque<Word>,
+    pending: VecDeque<Update>,
 }
 
-fn kept(file: &std::path::Path) -> Option<(Version, Document)> {
+fn load_saved(file: &std::path::Path) -> Option<(Version, Document)> {
     let path = file.display();
     let read = found(file).map_err(|why| why.to_string()).transpose()?;
     match read.and_then(|bytes| whole::unpack(&bytes).map_err(|bad| bad.to_string())) {
@@ -76,25 +76,36 @@
 
 impl Host {
     /// Binds the address and reads the saved settings. The error is one line.
-    pub fn bind(me: Name, held: Held, seed: u64) -> Result<Host, String> {
+    pub fn bind(me: Name, settings: ConfigurationSettings, seed: u64) -> Result<Host, String> {
         let clock = Clock::new();
         let now = clock.now();
         let start = (now / 10) as u64;
         // A restarted process must not repeat the random numbers of an earlier one.
         let seed = seed ^ start.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let kept = kept(&held.keep);
-        match &kept {
+        let saved = load_saved(&settings.state_file);
+        match &saved {
             Some((version, _)) => log!("configuration: saved version {version} was read"),
             None => log!("configuration: nothing was kept"),
         }
-        let machines: Vec<Name> = held.machines.keys().cloned().collect();
-        let subscriber = Subscriber::new(held.plan, me.clone(), start, kept, machines, now, seed);
+        let machines: Vec<Name> = settings.machines.keys().cloned().collect();
+        let subscriber = Subscriber::new(settings.plan, me.clone(), start, saved, machines, now, seed);
         let mut subscriber = subscriber.map_err(|bad| bad.to_string())?;
-        subscriber.prefer(&held.near);
-        let carrier = Carrier::bind(&me, start, held.address, held.machines, now, seed)?;
-        let (applying, keep_at, serves) = (None, None, false);
-        let (seen, told, words) = (Seen::default(), Seen::default(), VecDeque::new());
-        Ok(Host { clock, carrier, subscriber, file: held.keep, applying, keep_at, serves, seen, told, words })
+        subscriber.prefer(&settings.near);
+        let carrier = Carrier::bind(&me, start, settings.address, settings.machines, now, seed)?;
+        let (applying, save_retry_at, serving) = (None, None, false);
+        let (status, sent_status, pending) = (Status::default(), Status::default(), VecDeque::new());
+        Ok(Host {
+            clock,
+            carrier,
+            subscriber,
+            file: settings.state_file,
+            applying,
+            save_retry_at,
+            serving,
+            status,
+            sent_status,
+            pending,
+        })
     }
 
     pub fn waker(&self) -> Waker {
@@ -102,30 +113,34 @@
     }
 
     /// Runs until the loop has ended.
-    pub fn run(mut self, inside: &mut Inside<Word, Answer>, wake: &dyn Fn()) -> Result<(), String> {
-        while !inside.orders.is_abandoned() {
-            inside.beat.beat();
+    pub fn run(
+        mut self,
+        thread_side: &mut ThreadSide<Update, ApplyResult>,
+        wake: &dyn Fn(),
+    ) -> Result<(), String> {
+        while !thread_side.requests.is_abandoned() {
+            thread_side.heartbeat.record();
             let now = self.clock.now();
-            while let Ok((version, answer)) = inside.orders.pop() {
-                self.answered(now, version, answer);
+            while let Ok((version, result)) = thread_side.requests.pop() {
+                self.handle_result(now, version, result);
             }
-            self.keep_again(now);
-            self.hear(now);
-            self.decide(now);
-            if self.tell(inside) {
+            self.retry_save(now);
+            self.receive(now);
+            self.run_decisions(now);
+            if self.send_updates(thread_side) {
                 wake();
             }
             let now = self.clock.now();
-            let due = [self.subscriber.wake_at(), self.carrier.wake_at(), self.keep_at];
+            let due = [self.subscriber.wake_at(), self.carrier.wake_at(), self.save_retry_at];
             let due = due.into_iter().flatten().min();
-            let sleep = due.map_or(LONGEST_SLEEP, |at| at.saturating_sub(now).clamp(0, LONGEST_SLEEP));
+            let sleep = due.map_or(MAX_SLEEP, |at| at.saturating_sub(now).clamp(0, MAX_SLEEP));
             let sleep = Duration::from_micros(sleep as u64 * 100);
             self.carrier.wait(sleep).map_err(|e| format!("cannot wait on its sockets: {e}"))?;
         }
         Ok(())
     }
 
-    fn hear(&mut self, now: Tenths) {
+    fn receive(&mut self, now: Tenths) {
         for came in self.carrier.hear(now) {
             match came {
                 Came::Message(from, message) => self.subscriber.heard(now, &from, message),
@@ -135,30 +150,30 @@
         }
     }
 
-    fn decide(&mut self, now: Tenths) {
+    fn run_decisions(&mut self, now: Tenths) {
         while let Some(decision) = self.subscriber.next_decision(now) {
             match decision {
                 Decision::Send { to, message } => self.carrier.send(now, &to, &message),
                 Decision::Apply { version, document } => {
-                    let told = document.clone().into_map();
+                    let settings = document.clone().into_map();
                     self.applying = Some((version, document));
-                    self.words.push_back(Word::Apply(version, told));
+                    self.pending.push_back(Update::Apply(version, settings));
                 }
-                Decision::Tell(notice) => self.say(now, notice),
+                Decision::Tell(notice) => self.log_notice(now, notice),
             }
         }
-        if !self.serves && self.subscriber.may_serve(now) {
-            self.serves = true;
-            self.words.push_back(Word::Serve);
+        if !self.serving && self.subscriber.may_serve(now) {
+            self.serving = true;
+            self.pending.push_back(Update::Serve);
         }
     }
 
-    fn answered(&mut self, now: Tenths, version: Version, answer: Result<(), String>) {
+    fn handle_result(&mut self, now: Tenths, version: Version, result: Result<(), String>) {
         if self.applying.as_ref().is_none_or(|(asked, _)| *asked != version) {
             return;
         }
-        match answer {
-            Ok(()) => self.keep(now),
+        match result {
+            Ok(()) => self.save(now),
             Err(why) => {
                 self.applying = None;
                 self.subscriber.refused(now, version, why);
@@ -166,16 +181,16 @@
         }
     }
 
-    fn keep_again(&mut self, now: Tenths) {
-        if self.keep_at.is_some_and(|at| at <= now) {
-            self.keep(now);
+    fn retry_save(&mut self, now: Tenths) {
+        if self.save_retry_at.is_some_and(|at| at <= now) {
+            self.save(now);
         }
     }
 
     /// Saves the version in force and then reports it as applied. Danger: a control machine that receives this report relies
     /// on the version after a restart of this router as well, so it is written to disk before it is reported.
-    fn keep(&mut self, now: Tenths) {
-        self.keep_at = None;
+    fn save(&mut self, now: Tenths) {
+        self.save_retry_at = None;
         let Some((version, document)) = self.applying.take() else { return };
         match keep(&self.file, &whole::pack(version, 0, &document)) {
             Ok(()) => self.subscriber.applied(now, version),
@@ -184,14 +199,14 @@
                     "configuration: version {version} is in force but cannot be saved in {}: {why}",
                     self.file.display()
                 );
-                self.seen.unkept += 1;
+                self.status.save_failures += 1;
                 self.applying = Some((version, document));
-                self.keep_at = Some(now + KEEP_AGAIN);
+                self.save_retry_at = Some(now + SAVE_RETRY_DELAY);
             }
         }
     }
 
-    fn say(&mut self, now: Tenths, notice: Notice) {
+    fn log_notice(&mut self, now: Tenths, notice: Notice) {
         match notice {
             Notice::Silent { since } => {
                 let age = (now - since) / 10;
@@ -204,11 +219,13 @@
             }
             Notice::Refused { version, why } => {
                 log!("configuration: version {version} is refused, the one before stays: {why}");
-                self.seen.refused += 1;
-                self.seen.why = why;
+                self.status.refused += 1;
+                self.status.why = why;
             }
             Notice::BaseGone { holds } => {
-                log!("configuration: version {holds} is no longer in the control machine's log: a full copy follows");
+                log!(
+                    "configuration: version {holds} is no longer in the control machine's log: a full copy follows"
+                );
             }
             Notice::Serving { version, unsure } => {
                 let by = if unsure {
@@ -222,25 +239,25 @@
     }
 
     /// Sends pending updates to the loop. Returns true if the loop is to be woken.
-    fn tell(&mut self, inside: &mut Inside<Word, Answer>) -> bool {
-        self.seen.holds = self.subscriber.holds();
-        self.seen.machine = self.subscriber.served_by().cloned();
-        self.seen.silent_since = self.subscriber.silent_since();
-        if self.seen != self.told {
-            self.told = self.seen.clone();
-            self.words.retain(|word| !matches!(word, Word::Seen(_)));
-            self.words.push_back(Word::Seen(self.seen.clone()));
+    fn send_updates(&mut self, thread_side: &mut ThreadSide<Update, ApplyResult>) -> bool {
+        self.status.holds = self.subscriber.holds();
+        self.status.machine = self.subscriber.served_by().cloned();
+        self.status.silent_since = self.subscriber.silent_since();
+        if self.status != self.sent_status {
+            self.sent_status = self.status.clone();
+            self.pending.retain(|update| !matches!(update, Update::Status(_)));
+            self.pending.push_back(Update::Status(self.status.clone()));
         }
-        let mut told = false;
-        while let Some(word) = self.words.pop_front() {
-            match inside.told.push(word) {
-                Ok(()) => told = true,
-                Err(rtrb::PushError::Full(word)) => {
-                    self.words.push_front(word);
+        let mut wake = false;
+        while let Some(update) = self.pending.pop_front() {
+            match thread_side.updates.push(update) {
+                Ok(()) => wake = true,
+                Err(rtrb::PushError::Full(update)) => {
+                    self.pending.push_front(update);
                     break;
                 }
             }
         }
-        told
+        wake
     }
 }
--- a/crates/router/src/fleet/file.rs
+++ b/crates/router/src/fleet/file.rs
@@ -12,7 +12,7 @@
 
 /// The validated contents of the file.
 #[derive(Debug)]
-pub struct Place {
+pub struct FleetSettings {
     pub address: SocketAddr,
     pub zone: Option<Zone>,
     pub seeds: BTreeMap<Name, SocketAddr>,
@@ -25,11 +25,11 @@
     let value = section.need("address")?;
     let parsed: Option<SocketAddr> = value.text()?.parse().ok();
     // Danger: this address is announced to the other routers. An unspecified address would lead each of them to itself.
-    let good = parsed.filter(|a| a.port() != 0 && !a.ip().is_unspecified());
-    good.ok_or_else(|| value.wrong("an address and port that others reach, such as \"127.0.0.1:7400\""))
+    let usable = parsed.filter(|a| a.port() != 0 && !a.ip().is_unspecified());
+    usable.ok_or_else(|| value.wrong("an address and port that others reach, such as \"127.0.0.1:7400\""))
 }
 
-fn named(section: &Section<'_>, what: &str) -> Result<BTreeMap<Name, SocketAddr>, Wrong> {
+fn named_addresses(section: &Section<'_>, what: &str) -> Result<BTreeMap<Name, SocketAddr>, Wrong> {
     let mut all = BTreeMap::new();
     for block in section.blocks(what)? {
         let label = block.label.unwrap_or_default();
@@ -45,21 +45,21 @@
 }
 
 /// Reads a time. The file has microsecond resolution, a plan uses tenths of a millisecond.
-fn time(section: &Section<'_>, name: &str, or: Tenths) -> Result<Tenths, Wrong> {
-    section.time(name, or * 100, 100..=864_000_000_000).map(|micros| micros / 100)
+fn time(section: &Section<'_>, name: &str, default: Tenths) -> Result<Tenths, Wrong> {
+    section.time(name, default * 100, 100..=864_000_000_000).map(|micros| micros / 100)
 }
 
 fn plan(section: &Section<'_>, fleet: u32) -> Result<Plan, Wrong> {
-    let or = Plan::default();
+    let default = Plan::default();
     let plan = Plan {
         fleet,
-        period: time(section, "period", or.period)?,
-        helpers: section.whole("helpers", or.helpers as u64, 0..=8)? as usize,
-        patience: section.whole("patience", or.patience as u64, 1..=32)? as i64,
-        slack: section.whole("slack", or.slack as u64, 1..=32)? as i64,
-        reach: time(section, "reach", or.reach)?,
-        compare: time(section, "compare", or.compare)?,
-        forget: time(section, "forget", or.forget)?,
+        period: time(section, "period", default.period)?,
+        helpers: section.whole("helpers", default.helpers as u64, 0..=8)? as usize,
+        patience: section.whole("patience", default.patience as u64, 1..=32)? as i64,
+        slack: section.whole("slack", default.slack as u64, 1..=32)? as i64,
+        reach: time(section, "reach", default.reach)?,
+        compare: time(section, "compare", default.compare)?,
+        forget: time(section, "forget", default.forget)?,
     };
     section.done()?;
     plan.check().map_err(|bad| match section.value(bad.what) {
@@ -69,7 +69,7 @@
     Ok(plan)
 }
 
-fn place(file: &OperatorFile) -> Result<Place, Wrong> {
+fn parse(file: &OperatorFile) -> Result<FleetSettings, Wrong> {
     let root = file.root();
     let fleet = root.need_block("fleet")?;
     let number = fleet.whole("number", 0, 0..=u64::from(u32::MAX))? as u32;
@@ -81,21 +81,21 @@
         None => Plan { fleet: number, ..Plan::default() },
         Some(section) => plan(&section, number)?,
     };
-    let place = Place {
+    let settings = FleetSettings {
         address: address(&fleet)?,
         zone,
-        seeds: named(&fleet, "seed")?,
-        via: named(&fleet, "via")?,
+        seeds: named_addresses(&fleet, "seed")?,
+        via: named_addresses(&fleet, "via")?,
         plan,
     };
     fleet.done()?;
     root.done()?;
-    Ok(place)
+    Ok(settings)
 }
 
 /// Reads and validates the file. The error is one line: file, line, what was expected.
-pub fn read(path: &Path) -> Result<Place, String> {
-    OperatorFile::read(path).and_then(|file| place(&file)).map_err(|wrong| wrong.to_string())
+pub fn read(path: &Path) -> Result<FleetSettings, String> {
+    OperatorFile::read(path).and_then(|file| parse(&file)).map_err(|wrong| wrong.to_string())
 }
 
 #[cfg(test)]
--- a/crates/router/src/fleet/host.rs
+++ b/crates/router/src/fleet/host.rs
@@ -1,8 +1,8 @@
 //! The thread that runs the membership protocol on the link's sockets. All decisions are made by the membership crate.
 
-use super::duty::Inside;
-use super::file::{MOST_NAMED, Place};
-use super::view::{Told, View};
+use super::duty::ThreadSide;
+use super::file::{FleetSettings, MOST_NAMED};
+use super::view::{FleetUpdate, View};
 use crate::Clock;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,19 +17,19 @@
 /// The link's message kind for membership messages.
 const MEMBERSHIP: u16 = 1;
 /// Maximum datagram size in bytes: the longest membership message, and room for the link's envelope.
-const DATAGRAM: usize = LONGEST + 200;
+const MAX_DATAGRAM_BYTES: usize = LONGEST + 200;
 /// Maximum events processed before decisions are pulled, so that a flood of messages does not starve the membership.
 const EVENTS: usize = 4_096;
 /// The longest sleep of the thread, and so the longest interval between its heartbeats.
-const LONGEST_SLEEP: Tenths = 2_000;
+const MAX_SLEEP: Tenths = 2_000;
 /// How often the full view is sent, in addition to its changes.
-const WHOLE: Tenths = 600_000;
+const FULL_VIEW_INTERVAL: Tenths = 600_000;
 /// Maximum number of addresses whose names are known. At the maximum only those of the view and of the seeds are kept.
 /// Danger: if it were no larger than the view and the seeds together, the map would be rebuilt at each message.
 const ADDRESSES: usize = 2 * (MOST_INSTANCES + MOST_NAMED);
 
 /// A request from the loop.
-pub enum Order {
+pub enum Request {
     /// Announce the departure and end the thread.
     Leave,
 }
@@ -39,14 +39,14 @@
     clock: Clock,
     sockets: Sockets,
     membership: Membership,
-    place: Place,
+    settings: FleetSettings,
     /// The last known name of the router at each address. Needed because the link sends to names.
-    names: BTreeMap<SocketAddr, LinkName>,
+    names_by_address: BTreeMap<SocketAddr, LinkName>,
     /// Routers that are registered with the link.
-    met: BTreeSet<LinkName>,
+    link_peers: BTreeSet<LinkName>,
     /// Whether a change was lost because the ring was full. The full view is then sent as soon as there is room.
-    owes: bool,
-    whole_at: Tenths,
+    full_view_due: bool,
+    next_full_view_at: Tenths,
 }
 
 fn link_name(name: &vetchkeel_membership::Name) -> Option<LinkName> {
@@ -55,7 +55,11 @@
 
 impl Host {
     /// Binds the address. The error is one line.
-    pub fn bind(name: vetchkeel_membership::Name, place: Place, seed: u64) -> Result<Host, String> {
+    pub fn bind(
+        name: vetchkeel_membership::Name,
+        settings: FleetSettings,
+        seed: u64,
+    ) -> Result<Host, String> {
         let clock = Clock::new();
         let now = clock.now();
         let start = Start { at: (now / 10) as u64, count: 0 };
@@ -65,16 +69,27 @@
             name: link_name(&name).ok_or_else(|| format!("expected a valid link name, found '{name}'"))?,
             incarnation: start.at,
         };
-        let bounds = Bounds { datagram: DATAGRAM, ..Bounds::default() };
+        let bounds = Bounds { datagram: MAX_DATAGRAM_BYTES, ..Bounds::default() };
         let kinds = Kinds::new(&[(MEMBERSHIP, "membership")]);
-        let sockets = Sockets::bind(sender, kinds, bounds, place.address, Parts::Udp, seed)
-            .map_err(|e| format!("expected to listen on {}: {e}", place.address))?;
-        let me = Instance { name, start, address: place.address, zone: place.zone.clone() };
-        let seeds: Vec<SocketAddr> = place.seeds.values().copied().collect();
-        let membership = Membership::new(place.plan, me, &seeds, now, seed).map_err(|bad| bad.to_string())?;
-        let names = place.seeds.iter().filter_map(|(name, at)| Some((*at, link_name(name)?))).collect();
-        let met = BTreeSet::new();
-        Ok(Host { clock, sockets, membership, place, names, met, owes: false, whole_at: now + WHOLE })
+        let sockets = Sockets::bind(sender, kinds, bounds, settings.address, Parts::Udp, seed)
+            .map_err(|e| format!("expected to listen on {}: {e}", settings.address))?;
+        let me = Instance { name, start, address: settings.address, zone: settings.zone.clone() };
+        let seeds: Vec<SocketAddr> = settings.seeds.values().copied().collect();
+        let membership =
+            Membership::new(settings.plan, me, &seeds, now, seed).map_err(|bad| bad.to_string())?;
+        let names_by_address =
+            settings.seeds.iter().filter_map(|(name, at)| Some((*at, link_name(name)?))).collect();
+        let link_peers = BTreeSet::new();
+        Ok(Host {
+            clock,
+            sockets,
+            membership,
+            settings,
+            names_by_address,
+            link_peers,
+            full_view_due: false,
+            next_full_view_at: now + FULL_VIEW_INTERVAL,
+        })
     }
 
     pub fn waker(&self) -> Waker {
@@ -82,23 +97,27 @@
     }
 
     /// Runs until the loop requests the end or has ended.
-    pub fn run(mut self, inside: &mut Inside<Told, Order>, wake: &dyn Fn()) -> Result<(), String> {
+    pub fn run(
+        mut self,
+        thread_side: &mut ThreadSide<FleetUpdate, Request>,
+        wake: &dyn Fn(),
+    ) -> Result<(), String> {
         loop {
-            inside.beat.beat();
-            let leaves = inside.orders.is_abandoned() || inside.orders.pop().is_ok();
-            self.hear();
-            if leaves {
+            thread_side.heartbeat.record();
+            let leaving = thread_side.requests.is_abandoned() || thread_side.requests.pop().is_ok();
+            self.receive();
+            if leaving {
                 self.membership.leave();
             }
-            if self.decide(inside) {
+            if self.run_decisions(thread_side) {
                 wake();
             }
-            if leaves {
+            if leaving {
                 return Ok(());
             }
             let now = self.clock.now();
             let due = [self.membership.wake_at(), self.sockets.wake_at()].into_iter().flatten().min();
-            let sleep = due.map_or(LONGEST_SLEEP, |at| at.saturating_sub(now).clamp(0, LONGEST_SLEEP));
+            let sleep = due.map_or(MAX_SLEEP, |at| at.saturating_sub(now).clamp(0, MAX_SLEEP));
             let sleep = Duration::from_micros(sleep as u64 * 100);
             self.sockets.wait(sleep).map_err(|e| format!("cannot wait on its sockets: {e}"))?;
         }
@@ -106,14 +125,14 @@
 
     /// Processes all waiting events before any decision. After the process was stopped, waiting messages are older than the
     /// timers that are due.
-    fn hear(&mut self) {
+    fn receive(&mut self) {
         let now = self.clock.now();
         for _ in 0..EVENTS {
             match self.sockets.poll(now) {
                 None => return,
                 Some(Event::Datagram { kind: MEMBERSHIP, body, .. }) => match decode(&body) {
                     Ok(message) => {
-                        self.learn(&message);
+                        self.learn_names(&message);
                         self.membership.heard(now, &message);
                     }
                     Err(why) => crate::log!("fleet: a message was rejected: {why}"),
@@ -128,17 +147,17 @@
     }
 
     /// Records which names belong to which addresses in a received message.
-    fn learn(&mut self, message: &Message) {
-        if message.fleet != self.place.plan.fleet {
+    fn learn_names(&mut self, message: &Message) {
+        if message.fleet != self.settings.plan.fleet {
             return;
         }
-        if self.names.len() >= ADDRESSES {
+        if self.names_by_address.len() >= ADDRESSES {
             let seen = self.membership.view().map(|s| (s.instance.address, link_name(&s.instance.name)));
-            let seeds = self.place.seeds.iter().map(|(name, at)| (*at, link_name(name)));
-            self.names = seen.chain(seeds).filter_map(|(at, name)| Some((at, name?))).collect();
+            let seeds = self.settings.seeds.iter().map(|(name, at)| (*at, link_name(name)));
+            self.names_by_address = seen.chain(seeds).filter_map(|(at, name)| Some((at, name?))).collect();
         }
         let mut known = |name: &vetchkeel_membership::Name, at: SocketAddr| {
-            self.names.extend(link_name(name).map(|name| (at, name)));
+            self.names_by_address.extend(link_name(name).map(|name| (at, name)));
         };
         message.claims.iter().for_each(|claim| known(&claim.instance.name, claim.instance.address));
         if let Body::Errand { to, address, .. } = &message.body {
@@ -148,45 +167,45 @@
     }
 
     /// Executes the membership's decisions. Returns true if the loop is to be woken.
-    fn decide(&mut self, inside: &mut Inside<Told, Order>) -> bool {
+    fn run_decisions(&mut self, thread_side: &mut ThreadSide<FleetUpdate, Request>) -> bool {
         let now = self.clock.now();
-        let mut told = false;
+        let mut wake = false;
         while let Some(decision) = self.membership.next_decision(now) {
             match decision {
                 Decision::Send { to, message } => self.send(now, to, &message),
                 // The full view follows and includes later changes.
-                Decision::Tell(Change::Missed(_)) => self.owes = true,
-                Decision::Tell(_) if self.owes => {}
+                Decision::Tell(Change::Missed(_)) => self.full_view_due = true,
+                Decision::Tell(_) if self.full_view_due => {}
                 Decision::Tell(change) => {
-                    self.owes = inside.told.push(Told::Change(change)).is_err();
-                    told = true;
+                    self.full_view_due = thread_side.updates.push(FleetUpdate::Change(change)).is_err();
+                    wake = true;
                 }
             }
         }
-        if self.owes || now >= self.whole_at {
-            let view = View::whole(self.membership.view(), self.membership.doubt().level());
-            self.owes = inside.told.push(Told::Whole(Box::new(view))).is_err();
-            self.whole_at = now + WHOLE;
-            told = true;
+        if self.full_view_due || now >= self.next_full_view_at {
+            let view = View::full(self.membership.view(), self.membership.doubt().level());
+            self.full_view_due = thread_side.updates.push(FleetUpdate::Full(Box::new(view))).is_err();
+            self.next_full_view_at = now + FULL_VIEW_INTERVAL;
+            wake = true;
         }
-        told
+        wake
     }
 
     fn send(&mut self, now: Tenths, to: SocketAddr, message: &Message) {
-        let asked = match &message.body {
+        let target = match &message.body {
             Body::Ping { to, .. } => link_name(to),
             _ => None,
         };
         // An address without a known name cannot be sent to. The message is lost, as a datagram may be.
-        let Some(name) = asked.or_else(|| self.names.get(&to).cloned()) else { return };
-        let reached = self.place.via.iter().find(|(other, _)| other.as_str() == name.as_str());
-        let address = reached.map_or(to, |(_, at)| *at);
+        let Some(name) = target.or_else(|| self.names_by_address.get(&to).cloned()) else { return };
+        let via = self.settings.via.iter().find(|(other, _)| other.as_str() == name.as_str());
+        let address = via.map_or(to, |(_, at)| *at);
         let Ok(body) = encode(message) else { return };
         if let Err(Refused::TooMany { .. }) = self.sockets.meet(now, &name, address) {
             self.make_room(now);
         }
         if self.sockets.meet(now, &name, address).is_ok() {
-            self.met.insert(name.clone());
+            self.link_peers.insert(name.clone());
         }
         if let Err(why) = self.sockets.send(now, &name, Way::Datagram, MEMBERSHIP, &body) {
             crate::log!("fleet: a message to {name} was not sent: {why}");
@@ -197,10 +216,11 @@
     /// something is sent to them. Danger: a fleet whose routers restart under new names fills the link with names that the
     /// view no longer has.
     fn make_room(&mut self, now: Tenths) {
-        let there = self.membership.view().filter(|s| s.standing.is_there());
-        let there: BTreeSet<LinkName> = there.filter_map(|s| link_name(&s.instance.name)).collect();
-        let (kept, gone) = std::mem::take(&mut self.met).into_iter().partition(|name| there.contains(name));
-        self.met = kept;
+        let present = self.membership.view().filter(|s| s.standing.is_there());
+        let present: BTreeSet<LinkName> = present.filter_map(|s| link_name(&s.instance.name)).collect();
+        let (kept, gone) =
+            std::mem::take(&mut self.link_peers).into_iter().partition(|name| present.contains(name));
+        self.link_peers = kept;
         let gone: BTreeSet<LinkName> = gone;
         gone.iter().for_each(|name| self.sockets.forget(now, name));
     }
--- a/crates/router/src/fleet/host/tests.rs
+++ b/crates/router/src/fleet/host/tests.rs
@@ -1,5 +1,5 @@
-use super::super::duty::Beat;
-use super::super::view::Word;
+use super::super::duty::Heartbeat;
+use super::super::view::RouterState;
 use super::*;
 use rstest::rstest;
 use rtrb::RingBuffer;
@@ -12,8 +12,8 @@
 fn host() -> Host {
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let (seeds, via) = (BTreeMap::new(), BTreeMap::new());
-    let place = Place { address, zone: None, seeds, via, plan: Plan::default() };
-    Host::bind(name(0), place, 1).expect("a port")
+    let settings = FleetSettings { address, zone: None, seeds, via, plan: Plan::default() };
+    Host::bind(name(0), settings, 1).expect("a port")
 }
 
 fn news_of(i: u16) -> Message {
@@ -25,27 +25,27 @@
 #[rstest]
 fn full_view_is_sent_after_changes_were_lost_to_a_full_ring() {
     let mut host = host();
-    let (told, mut loops) = RingBuffer::new(2);
-    let (_order, orders) = RingBuffer::new(1);
-    let mut inside = Inside { told, orders, beat: Beat::new() };
+    let (updates, mut loops) = RingBuffer::new(2);
+    let (_request, requests) = RingBuffer::new(1);
+    let mut thread_side = ThreadSide { updates, requests, heartbeat: Heartbeat::new() };
     let now = host.clock.now();
     (1..=5).for_each(|i| host.membership.heard(now, &news_of(i)));
-    host.decide(&mut inside);
+    host.run_decisions(&mut thread_side);
     let first = [loops.pop(), loops.pop()];
-    assert!(first.iter().all(|told| matches!(told, Ok(Told::Change(Change::Joined(_))))));
+    assert!(first.iter().all(|update| matches!(update, Ok(FleetUpdate::Change(Change::Joined(_))))));
     assert!(loops.pop().is_err(), "three changes were not sent");
-    host.decide(&mut inside);
-    let Ok(Told::Whole(view)) = loops.pop() else { panic!("the view") };
-    assert_eq!(view.count(Word::Alive), 5);
+    host.run_decisions(&mut thread_side);
+    let Ok(FleetUpdate::Full(view)) = loops.pop() else { panic!("the view") };
+    assert_eq!(view.count(RouterState::Alive), 5);
 }
 
 #[rstest]
 fn thread_ends_when_the_loop_has_ended() {
-    let (told, _loops) = RingBuffer::new(2);
-    let (order, orders) = RingBuffer::new(1);
-    drop(order);
-    let mut inside = Inside { told, orders, beat: Beat::new() };
-    assert_eq!(host().run(&mut inside, &|| {}), Ok(()));
+    let (updates, _loops) = RingBuffer::new(2);
+    let (request, requests) = RingBuffer::new(1);
+    drop(request);
+    let mut thread_side = ThreadSide { updates, requests, heartbeat: Heartbeat::new() };
+    assert_eq!(host().run(&mut thread_side, &|| {}), Ok(()));
 }
 
 /// Guards against a link that runs out of room for peers: routers restart under new names more often than it has room for.
--- a/crates/router/src/fleet/view.rs
+++ b/crates/router/src/fleet/view.rs
@@ -9,28 +9,28 @@
 const MOST: usize = 2 * MOST_INSTANCES;
 
 /// An update from the thread to the loop.
-pub enum Told {
+pub enum FleetUpdate {
     Change(Change),
     /// The full view, which replaces everything sent before.
-    Whole(Box<View>),
+    Full(Box<View>),
 }
 
 /// The state of another router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum RouterState {
     Alive,
     Suspect,
     Dead,
     Left,
 }
 
-impl From<&Standing> for Word {
-    fn from(standing: &Standing) -> Word {
+impl From<&Standing> for RouterState {
+    fn from(standing: &Standing) -> RouterState {
         match standing {
-            Standing::Alive => Word::Alive,
-            Standing::Suspect(_) => Word::Suspect,
-            Standing::Dead(_) => Word::Dead,
-            Standing::Left => Word::Left,
+            Standing::Alive => RouterState::Alive,
+            Standing::Suspect(_) => RouterState::Suspect,
+            Standing::Dead(_) => RouterState::Dead,
+            Standing::Left => RouterState::Left,
         }
     }
 }
@@ -38,61 +38,62 @@
 /// The other routers by name, with their start and state.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct View {
-    others: BTreeMap<Name, (Start, Word)>,
+    others: BTreeMap<Name, (Start, RouterState)>,
     /// The membership's estimate of this router's own health, from 0 (healthy) to 8.
-    pub doubt: u8,
+    pub local_health: u8,
 }
 
 impl View {
     /// Builds the full view from the membership's.
-    pub fn whole<'a>(seen: impl Iterator<Item = Seen<'a>>, doubt: u8) -> View {
-        let others = seen.map(|s| (s.instance.name.clone(), (s.instance.start, Word::from(s.standing))));
-        View { others: others.collect(), doubt }
+    pub fn full<'a>(seen: impl Iterator<Item = Seen<'a>>, local_health: u8) -> View {
+        let others =
+            seen.map(|s| (s.instance.name.clone(), (s.instance.start, RouterState::from(s.standing))));
+        View { others: others.collect(), local_health }
     }
 
-    fn came(&mut self, instance: &Instance) {
+    fn insert_alive(&mut self, instance: &Instance) {
         if self.others.len() < MOST || self.others.contains_key(&instance.name) {
-            self.others.insert(instance.name.clone(), (instance.start, Word::Alive));
+            self.others.insert(instance.name.clone(), (instance.start, RouterState::Alive));
         }
     }
 
-    fn stands(&mut self, name: &Name, word: Word) {
+    fn set_state(&mut self, name: &Name, state: RouterState) {
         if let Some(other) = self.others.get_mut(name) {
-            other.1 = word;
+            other.1 = state;
         }
     }
 
     /// Applies one change of the membership.
     pub fn apply(&mut self, change: &Change) {
         match change {
-            Change::Joined(instance) | Change::Restarted(instance) => self.came(instance),
-            Change::Suspected(name) => self.stands(name, Word::Suspect),
-            Change::Returned(name) => self.stands(name, Word::Alive),
-            Change::Died(name) => self.stands(name, Word::Dead),
-            Change::Left(name) => self.stands(name, Word::Left),
-            Change::Doubting(level) => self.doubt = *level,
+            Change::Joined(instance) | Change::Restarted(instance) => self.insert_alive(instance),
+            Change::Suspected(name) => self.set_state(name, RouterState::Suspect),
+            Change::Returned(name) => self.set_state(name, RouterState::Alive),
+            Change::Died(name) => self.set_state(name, RouterState::Dead),
+            Change::Left(name) => self.set_state(name, RouterState::Left),
+            Change::Doubting(level) => self.local_health = *level,
             Change::Raised(_) | Change::Superseded(_) | Change::Crowded(_) | Change::Missed(_) => {}
         }
     }
 
-    pub fn count(&self, word: Word) -> usize {
-        self.others.values().filter(|(_, w)| *w == word).count()
+    pub fn count(&self, state: RouterState) -> usize {
+        self.others.values().filter(|(_, w)| *w == state).count()
     }
 }
 
-impl fmt::Display for Word {
+impl fmt::Display for RouterState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Word::Alive => "alive",
-            Word::Suspect => "suspect",
-            Word::Dead => "dead",
-            Word::Left => "left",
+            RouterState::Alive => "alive",
+            RouterState::Suspect => "suspect",
+            RouterState::Dead => "dead",
+            RouterState::Left => "left",
         })
     }
 }
 
 impl fmt::Display for View {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.others.iter().try_for_each(|(name, (start, word))| write!(f, " {name}={word}/{start}"))
+        self.others.iter().try_for_each(|(name, (start, state))| write!(f, " {name}={state}/{start}"))
     }
 }
