--- a/crates/router/src/fleet/configuration/host.rs
+++ b/crates/router/src/fleet/configuration/host.rs
@@ -211,7 +211,7 @@
             Notice::Silent { since } => {
                 let age = (now - since) / 10;
                 log!(
-                    "configuration: no message for {age} ms from a control machine in contact with a writer; the settings in force stay"
+                    "configuration: no control machine in contact with a writer for {age} ms; the settings in force stay"
                 );
             }
             Notice::Heard { machine, after } => {
