--- a/crates/router/src/fleet/configuration/file.rs
+++ b/crates/router/src/fleet/configuration/file.rs
@@ -1,4 +1,5 @@
-//! The operator file: which control machines hold this router's settings, and where it keeps what it was told.
+//! The operator file of the configuration: the control machines that hold this router's settings, and the file in which
+//! the router saves the settings it has received.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,20 +8,20 @@
 use vetchkeel_control::{address, machines, name, plan};
 use vetchkeel_operator::{OperatorFile, Wrong};
 
-/// The file, checked.
+/// The validated contents of the file.
 #[derive(Debug)]
-pub struct Held {
-    /// Where the machines reach this router.
+pub struct ConfigurationSettings {
+    /// The address at which the control machines reach this router.
     pub address: SocketAddr,
     pub machines: BTreeMap<Name, SocketAddr>,
-    /// Machines of its own zone or region, which are tried first.
+    /// Control machines of the router's own zone or region, which are tried first.
     pub near: Vec<Name>,
-    /// The file in which version and document are found again.
-    pub keep: PathBuf,
+    /// The file in which the version and its document are saved for a restart.
+    pub state_file: PathBuf,
     pub plan: Plan,
 }
 
-fn held(file: &OperatorFile) -> Result<Held, Wrong> {
+fn parse(file: &OperatorFile) -> Result<ConfigurationSettings, Wrong> {
     let root = file.root();
     let section = root.need_block("configuration")?;
     let machines = machines(&section, "machine")?;
@@ -31,16 +32,22 @@
         None => Vec::new(),
         Some(list) => list.list()?.iter().map(name).collect::<Result<Vec<Name>, Wrong>>()?,
     };
-    let keep = section.need("keep").and_then(|v| v.text().map(PathBuf::from))?;
-    let held = Held { address: address(&section)?, machines, near, keep, plan: plan(&section)? };
+    let state_file = section.need("keep").and_then(|v| v.text().map(PathBuf::from))?;
+    let settings = ConfigurationSettings {
+        address: address(&section)?,
+        machines,
+        near,
+        state_file,
+        plan: plan(&section)?,
+    };
     section.done()?;
     root.done()?;
-    Ok(held)
+    Ok(settings)
 }
 
-/// Reads and checks it. The error is one line: file, line, what was expected.
-pub fn read(path: &Path) -> Result<Held, String> {
-    OperatorFile::read(path).and_then(|file| held(&file)).map_err(|wrong| wrong.to_string())
+/// Reads and validates the file. The error is one line: file, line, what was expected.
+pub fn read(path: &Path) -> Result<ConfigurationSettings, String> {
+    OperatorFile::read(path).and_then(|file| parse(&file)).map_err(|wrong| wrong.to_string())
 }
 
 #[cfg(test)]
--- a/crates/router/src/fleet/host.rs
+++ b/crates/router/src/fleet/host.rs
@@ -1,8 +1,8 @@
-//! The thread that is this router in its fleet: the membership on the link's sockets. Nothing is decided here.
+//! The thread that runs the membership protocol on the link's sockets. All decisions are made by the membership crate.
 
-use super::duty::Inside;
-use super::file::{MOST_NAMED, Place};
-use super::view::{Told, View};
+use super::duty::ThreadSide;
+use super::file::{FleetSettings, MOST_NAMED};
+use super::view::{FleetUpdate, View};
 use crate::Clock;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,38 +14,39 @@
 use vetchkeel_membership::wire::{LONGEST, decode, encode};
 use vetchkeel_membership::{Body, Change, Decision, Instance, MOST_INSTANCES, Membership, Message, Start};
 
-/// The link's kind of the membership's messages.
+/// The link's message kind for membership messages.
 const MEMBERSHIP: u16 = 1;
-/// A message of the membership at its longest, and room for the link's envelope. Bytes.
-const DATAGRAM: usize = LONGEST + 200;
-/// Events taken in before decisions are pulled: a flood must not keep the membership from its own work.
+/// Maximum datagram size in bytes: the longest membership message, and room for the link's envelope.
+const MAX_DATAGRAM_BYTES: usize = LONGEST + 200;
+/// Maximum events processed before decisions are pulled, so that a flood of messages does not starve the membership.
 const EVENTS: usize = 4_096;
-/// How long the thread sleeps at most: so often it beats.
-const LONGEST_SLEEP: Tenths = 2_000;
-/// How often the view is told whole, whatever was told of it.
-const WHOLE: Tenths = 600_000;
-/// Addresses whose names are known; at the bound those of the view are kept. Danger: with no more than the view and the
-/// seeds have, they would be made anew at each message.
+/// The longest sleep of the thread, and so the longest interval between its heartbeats.
+const MAX_SLEEP: Tenths = 2_000;
+/// How often the full view is sent, in addition to its changes.
+const FULL_VIEW_INTERVAL: Tenths = 600_000;
+/// Maximum number of addresses whose names are known. At the maximum only those of the view and of the seeds are kept.
+/// Danger: if it were no larger than the view and the seeds together, the map would be rebuilt at each message.
 const ADDRESSES: usize = 2 * (MOST_INSTANCES + MOST_NAMED);
 
-/// What the loop asks for.
-pub enum Order {
-    /// Say good-bye and end.
+/// A request from the loop.
+pub enum Request {
+    /// Announce the departure and end the thread.
     Leave,
 }
 
+/// The state of the fleet thread.
 pub struct Host {
     clock: Clock,
     sockets: Sockets,
     membership: Membership,
-    place: Place,
-    /// Who was last heard of at an address. The link sends to names.
-    names: BTreeMap<SocketAddr, LinkName>,
-    /// Whom the link knows.
-    met: BTreeSet<LinkName>,
-    /// Something could not be told: all is to be told as soon as there is room.
-    owes: bool,
-    whole_at: Tenths,
+    settings: FleetSettings,
+    /// The last known name of the router at each address. Needed because the link sends to names.
+    names_by_address: BTreeMap<SocketAddr, LinkName>,
+    /// Routers that are registered with the link.
+    link_peers: BTreeSet<LinkName>,
+    /// Whether a change was lost because the ring was full. The full view is then sent as soon as there is room.
+    full_view_due: bool,
+    next_full_view_at: Tenths,
 }
 
 fn link_name(name: &vetchkeel_membership::Name) -> Option<LinkName> {
@@ -53,90 +54,110 @@
 }
 
 impl Host {
-    /// Takes the address. The error is one line.
-    pub fn bind(name: vetchkeel_membership::Name, place: Place, seed: u64) -> Result<Host, String> {
+    /// Binds the address. The error is one line.
+    pub fn bind(
+        name: vetchkeel_membership::Name,
+        settings: FleetSettings,
+        seed: u64,
+    ) -> Result<Host, String> {
         let clock = Clock::new();
         let now = clock.now();
         let start = Start { at: (now / 10) as u64, count: 0 };
-        // A later life must not draw the numbers of an earlier one.
+        // A restarted process must not repeat the random numbers of an earlier one.
         let seed = seed ^ start.at.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let sender = Sender {
-            name: link_name(&name).ok_or_else(|| format!("expected a name of the link, found '{name}'"))?,
+            name: link_name(&name).ok_or_else(|| format!("expected a valid link name, found '{name}'"))?,
             incarnation: start.at,
         };
-        let bounds = Bounds { datagram: DATAGRAM, ..Bounds::default() };
+        let bounds = Bounds { datagram: MAX_DATAGRAM_BYTES, ..Bounds::default() };
         let kinds = Kinds::new(&[(MEMBERSHIP, "membership")]);
-        let sockets = Sockets::bind(sender, kinds, bounds, place.address, Parts::Udp, seed)
-            .map_err(|e| format!("expected to listen on {}: {e}", place.address))?;
-        let me = Instance { name, start, address: place.address, zone: place.zone.clone() };
-        let seeds: Vec<SocketAddr> = place.seeds.values().copied().collect();
-        let membership = Membership::new(place.plan, me, &seeds, now, seed).map_err(|bad| bad.to_string())?;
-        let names = place.seeds.iter().filter_map(|(name, at)| Some((*at, link_name(name)?))).collect();
-        let met = BTreeSet::new();
-        Ok(Host { clock, sockets, membership, place, names, met, owes: false, whole_at: now + WHOLE })
+        let sockets = Sockets::bind(sender, kinds, bounds, settings.address, Parts::Udp, seed)
+            .map_err(|e| format!("expected to listen on {}: {e}", settings.address))?;
+        let me = Instance { name, start, address: settings.address, zone: settings.zone.clone() };
+        let seeds: Vec<SocketAddr> = settings.seeds.values().copied().collect();
+        let membership =
+            Membership::new(settings.plan, me, &seeds, now, seed).map_err(|bad| bad.to_string())?;
+        let names_by_address =
+            settings.seeds.iter().filter_map(|(name, at)| Some((*at, link_name(name)?))).collect();
+        let link_peers = BTreeSet::new();
+        Ok(Host {
+            clock,
+            sockets,
+            membership,
+            settings,
+            names_by_address,
+            link_peers,
+            full_view_due: false,
+            next_full_view_at: now + FULL_VIEW_INTERVAL,
+        })
     }
 
     pub fn waker(&self) -> Waker {
         self.sockets.waker()
     }
 
-    /// Until the loop asks for the end, or is gone.
-    pub fn run(mut self, inside: &mut Inside<Told, Order>, wake: &dyn Fn()) -> Result<(), String> {
+    /// Runs until the loop requests the end or has ended.
+    pub fn run(
+        mut self,
+        thread_side: &mut ThreadSide<FleetUpdate, Request>,
+        wake: &dyn Fn(),
+    ) -> Result<(), String> {
         loop {
-            inside.beat.beat();
-            let leaves = inside.orders.is_abandoned() || inside.orders.pop().is_ok();
-            self.hear();
-            if leaves {
+            thread_side.heartbeat.record();
+            let leaving = thread_side.requests.is_abandoned() || thread_side.requests.pop().is_ok();
+            self.receive();
+            if leaving {
                 self.membership.leave();
             }
-            if self.decide(inside) {
+            if self.run_decisions(thread_side) {
                 wake();
             }
-            if leaves {
+            if leaving {
                 return Ok(());
             }
             let now = self.clock.now();
             let due = [self.membership.wake_at(), self.sockets.wake_at()].into_iter().flatten().min();
-            let sleep = due.map_or(LONGEST_SLEEP, |at| at.saturating_sub(now).clamp(0, LONGEST_SLEEP));
+            let sleep = due.map_or(MAX_SLEEP, |at| at.saturating_sub(now).clamp(0, MAX_SLEEP));
             let sleep = Duration::from_micros(sleep as u64 * 100);
             self.sockets.wait(sleep).map_err(|e| format!("cannot wait on its sockets: {e}"))?;
         }
     }
 
-    /// All that waits in the socket, before any decision: what a stopped process finds there is older than its timers.
-    fn hear(&mut self) {
+    /// Processes all waiting events before any decision. After the process was stopped, waiting messages are older than the
+    /// timers that are due.
+    fn receive(&mut self) {
         let now = self.clock.now();
         for _ in 0..EVENTS {
             match self.sockets.poll(now) {
                 None => return,
                 Some(Event::Datagram { kind: MEMBERSHIP, body, .. }) => match decode(&body) {
                     Ok(message) => {
-                        self.learn(&message);
+                        self.learn_names(&message);
                         self.membership.heard(now, &message);
                     }
-                    Err(why) => crate::log!("fleet: a message was not taken: {why}"),
+                    Err(why) => crate::log!("fleet: a message was rejected: {why}"),
                 },
                 Some(Event::Unread { from, why }) => {
-                    let from = from.map_or_else(|| "somebody".to_owned(), |name| name.to_string());
-                    crate::log!("fleet: a message of {from} was not taken: {why}");
+                    let from = from.map_or_else(|| "an unknown sender".to_owned(), |name| name.to_string());
+                    crate::log!("fleet: a message from {from} was rejected: {why}");
                 }
                 Some(_) => {}
             }
         }
     }
 
-    /// Names of addresses, from what was heard.
-    fn learn(&mut self, message: &Message) {
-        if message.fleet != self.place.plan.fleet {
+    /// Records which names belong to which addresses in a received message.
+    fn learn_names(&mut self, message: &Message) {
+        if message.fleet != self.settings.plan.fleet {
             return;
         }
-        if self.names.len() >= ADDRESSES {
+        if self.names_by_address.len() >= ADDRESSES {
             let seen = self.membership.view().map(|s| (s.instance.address, link_name(&s.instance.name)));
-            let seeds = self.place.seeds.iter().map(|(name, at)| (*at, link_name(name)));
-            self.names = seen.chain(seeds).filter_map(|(at, name)| Some((at, name?))).collect();
+            let seeds = self.settings.seeds.iter().map(|(name, at)| (*at, link_name(name)));
+            self.names_by_address = seen.chain(seeds).filter_map(|(at, name)| Some((at, name?))).collect();
         }
         let mut known = |name: &vetchkeel_membership::Name, at: SocketAddr| {
-            self.names.extend(link_name(name).map(|name| (at, name)));
+            self.names_by_address.extend(link_name(name).map(|name| (at, name)));
         };
         message.claims.iter().for_each(|claim| known(&claim.instance.name, claim.instance.address));
         if let Body::Errand { to, address, .. } = &message.body {
@@ -145,59 +166,61 @@
         known(&message.from.name, message.from.address);
     }
 
-    /// Carries out what the membership decided. True if the loop is to look.
-    fn decide(&mut self, inside: &mut Inside<Told, Order>) -> bool {
+    /// Executes the membership's decisions. Returns true if the loop is to be woken.
+    fn run_decisions(&mut self, thread_side: &mut ThreadSide<FleetUpdate, Request>) -> bool {
         let now = self.clock.now();
-        let mut told = false;
+        let mut wake = false;
         while let Some(decision) = self.membership.next_decision(now) {
             match decision {
                 Decision::Send { to, message } => self.send(now, to, &message),
-                // The whole follows: later changes are in it.
-                Decision::Tell(Change::Missed(_)) => self.owes = true,
-                Decision::Tell(_) if self.owes => {}
+                // The full view follows and includes later changes.
+                Decision::Tell(Change::Missed(_)) => self.full_view_due = true,
+                Decision::Tell(_) if self.full_view_due => {}
                 Decision::Tell(change) => {
-                    self.owes = inside.told.push(Told::Change(change)).is_err();
-                    told = true;
+                    self.full_view_due = thread_side.updates.push(FleetUpdate::Change(change)).is_err();
+                    wake = true;
                 }
             }
         }
-        if self.owes || now >= self.whole_at {
-            let view = View::whole(self.membership.view(), self.membership.doubt().level());
-            self.owes = inside.told.push(Told::Whole(Box::new(view))).is_err();
-            self.whole_at = now + WHOLE;
-            told = true;
+        if self.full_view_due || now >= self.next_full_view_at {
+            let view = View::full(self.membership.view(), self.membership.doubt().level());
+            self.full_view_due = thread_side.updates.push(FleetUpdate::Full(Box::new(view))).is_err();
+            self.next_full_view_at = now + FULL_VIEW_INTERVAL;
+            wake = true;
         }
-        told
+        wake
     }
 
     fn send(&mut self, now: Tenths, to: SocketAddr, message: &Message) {
-        let asked = match &message.body {
+        let target = match &message.body {
             Body::Ping { to, .. } => link_name(to),
             _ => None,
         };
-        // One that nobody has named can't be sent to. What is lost here is lost as a datagram would be.
-        let Some(name) = asked.or_else(|| self.names.get(&to).cloned()) else { return };
-        let reached = self.place.via.iter().find(|(other, _)| other.as_str() == name.as_str());
-        let address = reached.map_or(to, |(_, at)| *at);
+        // An address without a known name cannot be sent to. The message is lost, as a datagram may be.
+        let Some(name) = target.or_else(|| self.names_by_address.get(&to).cloned()) else { return };
+        let via = self.settings.via.iter().find(|(other, _)| other.as_str() == name.as_str());
+        let address = via.map_or(to, |(_, at)| *at);
         let Ok(body) = encode(message) else { return };
         if let Err(Refused::TooMany { .. }) = self.sockets.meet(now, &name, address) {
             self.make_room(now);
         }
         if self.sockets.meet(now, &name, address).is_ok() {
-            self.met.insert(name.clone());
+            self.link_peers.insert(name.clone());
         }
         if let Err(why) = self.sockets.send(now, &name, Way::Datagram, MEMBERSHIP, &body) {
             crate::log!("fleet: a message to {name} was not sent: {why}");
         }
     }
 
-    /// The link forgets whom the membership has forgotten or holds gone; they are met again when they are sent to.
-    /// Danger: a fleet whose restarts come under new names fills it with those that the view no longer has.
+    /// Removes from the link all routers that the membership has removed or considers gone. They are registered again when
+    /// something is sent to them. Danger: a fleet whose routers restart under new names fills the link with names that the
+    /// view no longer has.
     fn make_room(&mut self, now: Tenths) {
-        let there = self.membership.view().filter(|s| s.standing.is_there());
-        let there: BTreeSet<LinkName> = there.filter_map(|s| link_name(&s.instance.name)).collect();
-        let (kept, gone) = std::mem::take(&mut self.met).into_iter().partition(|name| there.contains(name));
-        self.met = kept;
+        let present = self.membership.view().filter(|s| s.standing.is_there());
+        let present: BTreeSet<LinkName> = present.filter_map(|s| link_name(&s.instance.name)).collect();
+        let (kept, gone) =
+            std::mem::take(&mut self.link_peers).into_iter().partition(|name| present.contains(name));
+        self.link_peers = kept;
         let gone: BTreeSet<LinkName> = gone;
         gone.iter().for_each(|name| self.sockets.forget(now, name));
     }
--- a/crates/router/src/nodes/writing.rs
+++ b/crates/router/src/nodes/writing.rs
@@ -1,4 +1,4 @@
-//! The writing of statements to members: when, what is looked at before, and what a statement that is written whole may see.
+//! Writes statements to members: the checks before a write, and the age of the data that a written statement may read.
 
 use super::Conn;
 use super::job::{Job, Progress};
@@ -10,9 +10,10 @@
 use vetchkeel_log::{log, log_trace};
 
 impl Program {
-    /// Danger: after the process stood still, a node that can be written to is heard before what takes the
-    /// command back. So it is written once the module has heard all, a list or a cancel that came during this turn as well;
-    /// and what came from the node by then is read before, as it would be taken for the answer.
+    /// Writes to all connections that are ready. Danger: after the process was stopped, the event that a member is writable
+    /// may be processed before the event that cancels the command. So statements are written only once the module has
+    /// received all input, including a list or a cancel that arrived during this turn. Bytes that arrived from the member by
+    /// then are read first, as they would otherwise be read as the answer.
     pub fn write_nodes(&mut self) {
         if !self.nodes.writable.is_empty() {
             self.hear_watch();
@@ -20,17 +21,18 @@
         }
         for key in std::mem::take(&mut self.nodes.writable) {
             if let Some(job) = self.nodes.conns.get_mut(key).and_then(|conn| conn.job.as_mut()) {
-                job.looked_at = self.clock.now();
+                job.checked_at = self.clock.now();
             }
             self.read_conn(key);
-            if self.nodes.conns.get(key).is_some_and(Conn::unwritten) {
+            if self.nodes.conns.get(key).is_some_and(Conn::has_unwritten_work) {
                 self.write_work(key);
             }
         }
     }
 
-    /// Danger: between a decision and its write the process may be held up, and again and again within one turn. So the
-    /// clock is read at the write, and once more behind it, and what came during a hold-up is heard.
+    /// Writes the work of a connection. Danger: the process may be delayed between a decision and its write, repeatedly within
+    /// one turn. So the clock is read at the write and once more after it, and input that arrived during a delay is
+    /// processed first.
     pub(super) fn write_work(&mut self, key: ConnKey) {
         self.catch_up();
         self.read_clock();
@@ -41,12 +43,12 @@
         }
         let Some(conn) = self.nodes.conns.get_mut(key) else { return };
         let Some(job) = &mut conn.job else { return };
-        // The deadline may be due and not yet heard of; and what waited may not be written any more.
-        let may = match job.work {
+        // The deadline may have passed without being processed yet, and a held write may no longer be allowed.
+        let may_write = match job.work {
             Work::Dispatch(command, dispatch) => self.commands.may_write(now, command, dispatch),
             Work::Probe => true,
         };
-        if now > job.until.min(job.limit_at) || !may {
+        if now > job.until.min(job.limit_at) || !may_write {
             return self.give_up_work(key, Cause::Limit);
         }
         if let (Work::Dispatch(command, number), 0) = (job.work, job.written) {
@@ -54,19 +56,19 @@
             self.commands.check_begin(now, command, begun, &conn.node, &mut self.invariants);
         }
         match job.write(&conn.stream, &self.clock) {
-            Ok(Progress::Whole) => {
+            Ok(Progress::Complete) => {
                 conn.retry.reset();
                 self.deadlines.set(Due::Work(key), job.limit_at);
-                self.is_written(key);
+                self.handle_written(key);
             }
             Ok(Progress::Blocked) => self.retry_conn(key),
-            Ok(Progress::Unasked | Progress::Doubtful) => self.break_conn(key, Cause::Garbled),
+            Ok(Progress::Unsolicited | Progress::Ambiguous) => self.break_conn(key, Cause::Garbled),
             Err(_) => self.break_conn(key, Cause::Broken),
         }
     }
 
-    /// The work of a connection has just been written whole.
-    fn is_written(&mut self, key: ConnKey) {
+    /// Handles work whose statement has just been completely written.
+    fn handle_written(&mut self, key: ConnKey) {
         let now = self.clock.now();
         let Some(conn) = self.nodes.conns.get(key) else { return };
         let Some(&Job { work: Work::Dispatch(command, number), since, .. }) = conn.job.as_ref() else {
