--- a/crates/router/src/commands.rs
+++ b/crates/router/src/commands.rs
@@ -1,5 +1,5 @@
-//! The commands in hand, and the only place that calls the module: what was taken in goes to it, and what it
-//! decides is carried out.
+//! The open commands, and the only caller of the decision module: passes received events to the module and carries
+//! out its decisions.
 
 use crate::Program;
 use crate::capture::{Asked, Begun, End};
@@ -16,44 +16,45 @@
 use vetchkeel_log::{log, log_trace, log_up_to};
 use vetchkeel_pgwire as pgwire;
 
-/// The longest wait that is believed of a client: an hour, so that sums of times stay in range.
+/// Upper bound on a client's timeout, in ms: one hour, so that sums of times stay in range.
 const WAIT_MOST: f64 = 3_600_000.0;
-/// Lines a second on members that change their state: without them nobody can tell why a command went where it did.
+/// Log lines per second about member state changes; they explain why a command was sent to a given member.
 const STATE_LINES: u32 = 100;
 
-/// A read that a replica serves with less than this to spare has a line, and so many of them in a second.
+/// A replica read that is within its staleness bound by less than this margin is logged, at most `AGE_LINES` per
+/// second.
 const LITTLE_TO_SPARE: Tenths = 500;
 const AGE_LINES: u32 = 20;
 
 struct Taken {
     id: Id,
-    /// Whom the final answer is owed; None once it is given or nobody waits for it.
+    /// The client that waits for the final answer; None once it is answered or the client has left.
     client: Option<ClientKey>,
     statement: Rc<Statement>,
-    /// Dispatches so far, and how many are out.
+    /// Dispatches so far, and how many of them are in flight.
     number: u32,
     out: u32,
-    /// What was begun for it so far, for the checks at run time.
+    /// Attempts begun so far, for the run-time invariant checks.
     history: History,
-    /// What the load capture keeps of it.
+    /// The command's record in the load capture.
     begun: Begun,
 }
 
-/// What ended on the side of the nodes.
+/// A result from a node: a finished dispatch or probe, or a role reported on connect.
 pub enum News {
     Dispatch {
         key: CommandKey,
         dispatch: u32,
         node: Id,
         ending: Ending,
-        /// When it was begun: nothing that came back for it can have been said before.
+        /// When the dispatch was begun: everything in its response was sent after this time.
         asked: Tenths,
         idled: Option<Tenths>,
         note: Note,
         report: Report,
         answer: Vec<u8>,
     },
-    /// A member has told its role as a connection was opened, which was begun then.
+    /// A member reported its role while a connection was opened; `asked` is when the dial was begun.
     Role {
         node: Id,
         asked: Tenths,
@@ -69,7 +70,7 @@
 }
 
 impl News {
-    /// The member that calls itself a replica, and when it was asked.
+    /// The member, if it reports itself as a replica, and when the request was begun.
     fn of_replica(&self) -> Option<(&Id, Tenths)> {
         let (node, asked, told) = match self {
             News::Role { node, asked, primary } => (node, asked, [Some(*primary), None]),
@@ -86,11 +87,11 @@
     by_id: BTreeMap<Id, CommandKey>,
     groups: BTreeSet<String>,
     customers: BTreeSet<String>,
-    /// Some command group reads what its session wrote.
+    /// True if some command group reads with session consistency.
     sessions: bool,
 }
 
-/// Why a query does not become a command: an SQLSTATE and a text.
+/// Why a query is rejected: an SQLSTATE and a message.
 type Rejection = (&'static str, String);
 
 impl Commands {
@@ -103,7 +104,7 @@
         Ok(commands)
     }
 
-    /// New settings for what comes in from now on. An error leaves all as it was.
+    /// Applies new settings to commands that arrive from now on. On error nothing changes.
     pub fn reconfigure(&mut self, told: &Told) -> Result<(), String> {
         self.router.reconfigure(told.clone())?;
         self.read(told);
@@ -117,17 +118,17 @@
         self.sessions = reads.is_some_and(|r| r.split(',').any(|r| r == "session"));
     }
 
-    /// Who waits for a command's answer.
+    /// The client that waits for a command's answer.
     pub fn client(&self, key: CommandKey) -> Option<ClientKey> {
         self.taken.get(key)?.client
     }
 
-    /// A command's id, for the log.
+    /// A command's id for the log, "-" if the command is gone.
     pub fn id(&self, key: CommandKey) -> Id {
         self.taken.get(key).map_or_else(|| "-".into(), |taken| taken.id.clone())
     }
 
-    /// The first byte of an attempt, by its number and its limit, is about to be written.
+    /// Checks the invariants right before the first byte of an attempt is written; logs each violation.
     pub fn check_begin(
         &mut self,
         now: Tenths,
@@ -143,18 +144,18 @@
         }
     }
 
-    /// Whether the module still lets a dispatch be written.
+    /// True if the module still allows a dispatch to be written.
     pub fn may_write(&self, now: Tenths, key: CommandKey, dispatch: u32) -> bool {
         self.taken.get(key).is_some_and(|taken| self.router.may_write(now, &taken.id, dispatch))
     }
 
-    /// An attempt is written whole, no later than `now`.
+    /// Tells the module that an attempt was written completely, no later than `now`.
     pub fn attempt_written(&mut self, now: Tenths, key: CommandKey, dispatch: u32) -> Written {
         let taken = self.taken.get(key);
         taken.map_or(Written::Free, |taken| self.router.attempt_written(now, &taken.id, dispatch))
     }
 
-    /// How an attempt ends for its command: an answer whose data may be too old is none.
+    /// The outcome of an attempt for its command: an answer whose data may be too old becomes `TooOld`.
     fn judged(&self, id: &Id, dispatch: u32, ending: Ending, note: Note) -> Ending {
         let old = ending == Ending::Answered && !self.router.may_serve(id, dispatch, note);
         if old { Ending::TooOld } else { ending }
@@ -162,19 +163,19 @@
 }
 
 fn number(text: &str, what: &str) -> Result<f64, Rejection> {
-    // Only as clients write them: no sign, no exponent, nothing that a node would read in another way.
+    // Plain decimals only: no sign and no exponent, as a node might parse those differently.
     let plain = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     let found = text.parse::<f64>().ok().filter(|v| plain && v.is_finite());
     found.ok_or_else(|| ("22P02", format!("expected {what} as a number, found '{text}'")))
 }
 
 impl Program {
-    /// Commands that a client still waits for.
+    /// The number of commands that a client still waits for.
     pub fn open_commands(&self) -> u64 {
         self.commands.taken.values().filter(|t| t.client.is_some()).count() as u64
     }
 
-    /// Makes a command of a statement that came at `arrived`.
+    /// Creates a command from a statement that arrived at `arrived`.
     pub fn take_command(
         &mut self,
         client: ClientKey,
@@ -199,7 +200,7 @@
         if !self.commands.groups.contains(&command_group) {
             return Err(("22023", format!("no command group is named '{}'", said.group)));
         }
-        // So some clients write that they have no customer; one that the settings name so is meant.
+        // Some clients write these values for "no customer"; a customer that the settings name so takes precedence.
         let none = |c: &str| matches!(c, "" | "0" | "-") && !self.commands.customers.contains(c);
         let customer = said.customer.filter(|c| !none(c)).map(str::to_owned);
         let known = |c: &String| self.commands.customers.is_empty() || self.commands.customers.contains(c);
@@ -207,9 +208,9 @@
             return Err(("22023", format!("no customer is named '{stranger}'")));
         }
         let token_age = match said.after.map(|after| number(after, "after")).transpose()? {
-            // Without a write before, whatever position does.
+            // The session has not written anything yet, so any position is fresh enough.
             Some(0.0) => Some(0),
-            // Rounded against ourselves, and never the 0 that stands for none.
+            // Rounded towards the stricter side, and never 0, which stands for no earlier write.
             Some(after) => match self.now - (after * 10.0).ceil() as Tenths {
                 0 => Some(-1),
                 age => Some(age),
@@ -221,7 +222,8 @@
         }
         let time_left = self.allowed((wait.min(WAIT_MOST) * 10.0) as Tenths - (self.now - arrived));
         let id = Id::from(said.id);
-        // The module remembers each session's last write: where nothing reads it, a key names none.
+        // The module stores each session's last write, so the session is passed on only if some command group reads
+        // with session consistency.
         let session = said.key.filter(|_| self.commands.sessions).map(str::to_owned);
         let repeat = said.repeat;
         let wait_at = said.wait_at.clone();
@@ -248,7 +250,7 @@
         Ok(key)
     }
 
-    /// The client of an open command has gone away.
+    /// Handles the departure of an open command's client.
     pub fn command_left(&mut self, key: CommandKey) {
         let Some(taken) = self.commands.taken.get_mut(key) else { return };
         if taken.client.take().is_some() {
@@ -259,8 +261,9 @@
         self.forget(key);
     }
 
-    /// The process may be killed any moment. Danger: what was taken before it was told to stop, with a wait that is
-    /// longer than that, would be lost. Nothing that was never sent may have run.
+    /// Answers all open commands right before the process is killed. Without this, a command that was accepted before
+    /// the stop signal and whose timeout ends after the kill would get no answer. A command that was never sent cannot
+    /// have run and is throttled; any other one fails.
     pub fn answer_the_last(&mut self) {
         let open = self.commands.taken.iter().filter(|(_, taken)| taken.client.is_some());
         let open: Vec<(CommandKey, Id, bool)> =
@@ -290,14 +293,14 @@
         self.commands.router.members_changed(self.now, whole, entries);
     }
 
-    /// The watch broke; the module says when to ask again.
+    /// Tells the module that the watch failed; the module decides when to reconnect.
     pub fn list_failed(&mut self) {
         self.commands.router.list_failed(self.now);
     }
 
-    /// Tells the module what has ended since it last decided.
+    /// Passes the queued results to the module.
     pub fn tell_news(&mut self) {
-        // Danger: what was read after the clock seems to come from members whose clock is ahead.
+        // Danger: with a time read before these bytes, members would seem to have a clock that is ahead.
         self.read_clock();
         for (node, asked) in self.news.iter().filter_map(News::of_replica) {
             self.commands.router.heard_replica(self.now, node, asked);
@@ -317,7 +320,7 @@
                     let judged = self.commands.judged(&id, dispatch, ending, note);
                     if judged != ending {
                         log!(
-                            "command {id}: the answer of attempt {dispatch} at {node} is not served: its data may be too old"
+                            "command {id}: the answer of attempt {dispatch} at {node} is discarded: its data may be too old"
                         );
                     }
                     if judged == Ending::Answered {
@@ -349,7 +352,8 @@
         }
     }
 
-    /// A read of a bound or of a session that a replica answers is counted, and logged if there was little to spare.
+    /// Logs the data age of a read with a staleness bound or session consistency that a replica answered, and counts
+    /// it if the margin is small.
     fn log_data_age(&mut self, id: &Id, dispatch: u32, node: &Id) {
         let Some(age) = self.commands.router.data_age(self.now, id, dispatch) else { return };
         let spare = age.spare();
@@ -362,7 +366,7 @@
             };
             log_up_to!(
                 AGE_LINES,
-                "command {id}: attempt {dispatch} at {node} is served with {} ms to spare: {data} by {:?} heard {} ms before, members' clock ahead by {} ms, at most {}",
+                "command {id}: attempt {dispatch} at {node} is served with a margin of {} ms: {data} by {:?} received {} ms before, members' clock ahead by {} ms, at most {}",
                 ms(spare),
                 age.source,
                 ms(age.heard_before),
@@ -374,8 +378,8 @@
         }
     }
 
-    /// Pulls decisions until there is none, and carries each out. Danger: the clock is read anew, and what came in time while the process
-    /// was held up would be given up unheard.
+    /// Pulls decisions until there is none and carries each out. The backlog is read first: since the clock is read
+    /// again here, answers that arrived in time while the process was stalled would otherwise count as timed out.
     pub fn decide(&mut self) {
         self.catch_up();
         self.read_clock();
@@ -403,19 +407,19 @@
             }
             Event::OldRole { node, age } => {
                 log!(
-                    "node {node}: an answer calls it primary that was asked for {} ms ago: too old to count",
+                    "node {node}: ignored a primary role from an answer requested {} ms ago: too old",
                     age / 10
                 );
             }
             Event::Clock { offset, node } => {
                 self.counters.freshness.clock_moved += 1;
                 let ahead = offset as f64 / 10.0;
-                log!("the members' clock is taken to be {ahead} ms ahead of this one, by the word of {node}");
+                log!("estimated the members' clock to be {ahead} ms ahead of the local clock, from a report of {node}");
             }
             Event::ReportFromBefore { node, age } => {
                 self.counters.freshness.reports_from_before += 1;
                 log!(
-                    "node {node}: its report of {} ms ago is from before it broke: it stays broken",
+                    "node {node}: its report of {} ms ago predates its failure: it is still considered failed",
                     age / 10
                 );
             }
@@ -463,7 +467,7 @@
             }
             Decision::Probe { node } => self.probe(&node),
             Decision::LetGo { node } => self.let_go(&node),
-            // Danger: listed again in the same turn, it would lose the address that was just told.
+            // Danger: a member that was listed again in the same round would lose its new address.
             Decision::Forget { node } if self.commands.router.knows(&node) => {}
             Decision::Forget { node } => self.forget_node(&node),
             Decision::WatchList => self.open_watch(),
@@ -479,11 +483,11 @@
         }
     }
 
-    /// True if somebody waited for it.
+    /// Sends a command's final answer. Returns false if no client waits for it.
     fn final_answer(&mut self, command: &Id, answer: Vec<u8>, end: End) -> bool {
         self.check_answer(command);
         let Some(&key) = self.commands.by_id.get(command) else {
-            log!("the module answered a command that is not open");
+            log!("the decision module answered a command that is not open");
             return false;
         };
         let taken = self.commands.taken.get_mut(key);
