--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,5 +1,5 @@
-//! The query router on sockets: one process, one thread, one loop. Each turn takes in all that is readable, tells
-//! the module, pulls its decisions until there is none, writes, and sleeps until the next deadline.
+//! The query router on sockets: one process, one thread, one event loop. Each round reads all that is readable, passes
+//! it to the decision module, pulls decisions until there is none, writes, and sleeps until the next deadline.
 
 mod arrival;
 mod capture;
@@ -48,29 +48,32 @@
 use vetchkeel_log::log;
 use watch::Watch;
 
-/// After SIGTERM the process is let live for the longest wait, as far as that counts, and for as long as new
-/// clients may still come.
+/// After SIGTERM the process runs for the longest client timeout, capped at `LONGEST_WAIT`, plus this time, in which
+/// new clients may still connect.
 const STILL_COMING: Tenths = 7_000;
-/// The front still brings in new ones for 0.4 s: what is told to come to them holds, however short the waits are.
+/// New clients are still directed here for 0.4 s after SIGTERM, so open commands are not cut off earlier than this,
+/// however short the client timeouts are.
 const COMING_MOST: Tenths = 4_500;
 const LONGEST_WAIT: Tenths = 30_000;
-/// What is left of that when nothing more is taken, what no command taken from then on may use, when whoever has
-/// waited since before is answered, and when the process ends, whether or not all clients have closed by then. A router
-/// may be held up for 0.15 s between its look at the clock and what it writes, and again on its way to sleep.
+/// Steps of stopping, as the time that remains until the process may be killed: when the listener closes
+/// (`LAST_TAKEN`); what commands that arrive after SIGTERM must leave unused (`LAST_ANSWER`); when all open commands
+/// are answered (`LAST_MARGIN`); when the process ends, whether or not all clients have closed by then
+/// (`LAST_CLOSED`). A router may be stalled for 0.15 s between reading the clock and writing, and again before it
+/// sleeps.
 const LAST_TAKEN: Tenths = 12_000;
 const LAST_ANSWER: Tenths = 3_600;
 const LAST_MARGIN: Tenths = 3_500;
 const LAST_CLOSED: Tenths = 500;
 const BACKLOG: i32 = 1024;
-/// How long a start waits for its address, which the process before it may still hold, and how often it looks.
+/// How long a start waits for its listen address, which the previous process may still hold, and the retry interval.
 const LISTEN_MOST: Duration = Duration::from_secs(8);
 const LISTEN_AGAIN: Duration = Duration::from_millis(50);
-/// So many rounds of the loop in a row that fail end the process.
+/// The process ends if the event loop fails again after this many consecutive failed rounds.
 const FAILED_ROUNDS_MOST: u32 = 100;
-/// A deadline that is over for longer was not waited for: the process stood still.
+/// A deadline that is overdue by more than this shows that the process was stalled.
 const OVERDUE: Tenths = 50;
 
-/// Unix time in tenths of a millisecond, that never goes back.
+/// Unix time in tenths of a millisecond that never goes backwards.
 struct Clock {
     start: Tenths,
     since: Instant,
@@ -90,7 +93,7 @@
 pub struct Program {
     clock: Clock,
     now: Tenths,
-    /// All that came before this has been taken in.
+    /// When the sockets were last polled: all input that arrived before this time has been read.
     looked_at: Tenths,
     handle: LoopHandle<'static, Program>,
     commands: Commands,
@@ -104,16 +107,16 @@
     fleet: Fleet,
     configuration: Configuration,
     limits: Limits,
-    /// What has ended since the module last heard.
+    /// Results that have not been passed to the module yet.
     news: VecDeque<News>,
     scratch: Box<[u8]>,
-    /// SIGTERM has come: until when the process may expect to live.
+    /// Set by SIGTERM: the time from which the process may be killed.
     stopping: Option<Tenths>,
-    /// The longest that a client may wait, by the settings.
+    /// The longest client timeout in the settings.
     longest_wait: Tenths,
     /// The settings in force.
     told: Told,
-    /// What the configuration said at the start and can't change.
+    /// Configuration values that take effect at a start only.
     fixed: BTreeMap<&'static str, serde_json::Value>,
 }
 
@@ -135,8 +138,8 @@
     Ok(socket.into())
 }
 
-/// Listens as soon as the address is free and the system has a socket to give. Danger: a start that fails for a moment
-/// is one that never comes.
+/// Listens as soon as the address is free and a socket is available. Without the retries, a start that fails because
+/// of a transient error would never be repeated.
 fn listen_patiently(address: SocketAddr) -> Result<TcpListener, String> {
     let began = Instant::now();
     loop {
@@ -200,12 +203,12 @@
         Ok(program)
     }
 
-    /// Reads the clock once more. Danger: between a look at it and what rests on that look any time may pass.
+    /// Reads the clock again. Danger: any amount of time may pass between reading the clock and using the result.
     pub fn read_clock(&mut self) {
         self.now = self.clock.now();
     }
 
-    /// Runs what one connection asks for. A panic stops at that connection.
+    /// Runs the handler of one connection; if it panics, only that connection is ended, by `end`.
     pub fn guarded(&mut self, what: &str, run: impl FnOnce(&mut Program), end: impl FnOnce(&mut Program)) {
         self.read_clock();
         if catch_unwind(AssertUnwindSafe(|| run(self))).is_err() {
@@ -216,8 +219,8 @@
         }
     }
 
-    /// Danger: a round of the loop that fails in the middle loses the events behind, and none tells again of what lies
-    /// there. So all that may have been meant is looked at.
+    /// Checks every connection for readiness. Guards against a round that fails halfway: its remaining events are lost
+    /// and, as events are edge-triggered, are not reported again.
     fn look_everywhere(&mut self) {
         self.guarded("accepting", Program::accept_event, |_| {});
         for key in self.clients.keys() {
@@ -234,9 +237,9 @@
         self.guarded("the watch", Program::hear_watch, |p| p.break_watch("a panic"));
     }
 
-    /// One turn, after all that was readable has been taken in.
+    /// Runs the steps that follow each poll of the event loop.
     fn turn(&mut self) {
-        self.guarded("a turn", Program::steps, |_| {});
+        self.guarded("a round", Program::steps, |_| {});
     }
 
     fn steps(&mut self) {
@@ -262,16 +265,18 @@
         }
         self.tell_news();
         self.decide();
-        // Danger: an answer that has come by now, or the module's own, gives way to word that the process ends.
+        // Danger: before the decisions above, this error would replace an answer that has arrived by now or the
+        // module's own decision.
         if last {
             self.end_clients();
             self.decide();
         }
         self.write_nodes();
-        // Danger: a list that came in this moment leaves decisions that no deadline wakes for.
+        // Danger: a member list that arrived meanwhile may lead to decisions for which no deadline is set.
         self.decide();
-        // What lies behind an answer becomes a command, and may be answered at once. Danger: a deadline that is due while
-        // writes are held up waits for this turn's end, so the rest is left to the next.
+        // A query buffered behind an answer becomes a command and may be answered at once. Danger: a deadline that
+        // passes while writes are stalled is not handled before the end of this round, so the rest is left to the next
+        // round.
         while self.clients.has_unsent() {
             self.write_clients();
             self.decide();
@@ -293,7 +298,7 @@
                 let lives = STILL_COMING + self.longest_wait.min(LONGEST_WAIT);
                 self.stopping = Some(self.now + lives);
                 let last = (lives - LAST_MARGIN).max(COMING_MOST);
-                // Danger: past the last nothing is read, so whoever still comes in must be heard before.
+                // Danger: nothing is read after `Due::Last`, so the last clients must be accepted and read before it.
                 let stop = STILL_COMING.max(lives - LAST_TAKEN).min(last);
                 self.deadlines.set(Due::Stop, self.now + stop);
                 self.deadlines.set(Due::Last, self.now + last);
@@ -302,7 +307,7 @@
         }
     }
 
-    /// The configuration is read again. A wrong one changes nothing.
+    /// Reads the configuration again. An invalid one changes nothing.
     fn reload(&mut self) {
         let start = match startup::read() {
             Ok(start) => start,
@@ -310,7 +315,7 @@
         };
         if self.configuration.is_held_elsewhere() {
             log!(
-                "reload: control machines hold the settings; those of the file stand only until these are heard"
+                "reload: the settings come from the control machines; those of the file apply only until a control machine is reached"
             );
         } else if start.told != self.told {
             match self.take_settings(start.told) {
@@ -325,8 +330,8 @@
         self.move_watch(start.discovery);
     }
 
-    /// New settings, between two turns of the loop: in force from now on, whole or not at all. The error is one line that
-    /// says what was expected. What is in hand ends under what it came in with.
+    /// Applies new settings from now on, all of them or none; called between two rounds of the event loop. The error is
+    /// one line that names what was expected. Open commands keep the settings with which they arrived.
     pub fn take_settings(&mut self, told: Told) -> Result<(), String> {
         vetchkeel_settings::check(&told)?;
         let refused = |why| format!("expected settings that a router can serve under: {why}");
@@ -338,7 +343,7 @@
         Ok(())
     }
 
-    /// A rule is broken, as this process sees it; the command is named where there is one.
+    /// Counts and logs a violated invariant, with the command if there is one.
     pub fn violated(&mut self, command: &str, violation: Violation) {
         self.invariants.violations.add(violation);
         log!("violation: {violation:?}, command '{command}'");
@@ -352,13 +357,13 @@
         self.configuration.print();
     }
 
-    /// How long a command may take from now on that would wait for `wait`: a process that is told to stop must
-    /// have answered it while it lives.
+    /// The time that a command with the client timeout `wait` may still take: while the process is stopping, the
+    /// command must be answered before the process may be killed.
     pub fn allowed(&self, wait: Tenths) -> Tenths {
         self.stopping.map_or(wait, |lives| wait.min(lives - LAST_ANSWER - self.now))
     }
 
-    /// Until when the loop may sleep.
+    /// How long the event loop may sleep; None without a limit.
     fn sleep(&self) -> Option<Duration> {
         let unfinished = self.nodes.has_writable() || self.clients.has_unsent();
         if !self.news.is_empty() || self.clients.has_later() || unfinished {
@@ -368,8 +373,8 @@
         Some(Duration::from_micros(wait as u64 * 100))
     }
 
-    /// All clients have gone, or have had their time for it. Danger: whoever was told the end may have sent something
-    /// in that moment; left unread, it would take away the answer before it.
+    /// True once all clients have closed or the time for it is over. Danger: a client may send something while its
+    /// connection is being shut down; if that stays unread, the system resets the connection and the answer is lost.
     fn finished(&self) -> bool {
         let over = self.stopping.is_some_and(|lives| lives - LAST_CLOSED <= self.now);
         self.clients.listener.is_none() && (over || self.clients.count() == 0)
@@ -378,7 +383,7 @@
 
 fn run() -> Result<(), String> {
     vetchkeel_log::log_panics();
-    // Danger: a reload that is told to all ends whoever has just been started and does not heed it yet.
+    // Danger: a reload signal that is sent to all processes would end one that has just started and has no handler yet.
     let heeded = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGUSR1, Signal::SIGHUP];
     let signals = Signals::new(&heeded).map_err(|e| e.to_string())?;
     let start = startup::read()?;
