--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -1,5 +1,5 @@
-//! Client connections: opening, queries one after another, answers in their order, and closing. Who comes in and who
-//! gives way is in `crowd`, how a connection is ended from here in `closing`.
+//! Client connections: opening, one query at a time, answers in order, and closing. `crowd` holds admission and
+//! eviction, `closing` how the router closes a connection, `unsent` the order of writes.
 
 mod closing;
 mod crowd;
@@ -27,16 +27,16 @@
 use vetchkeel_log::log;
 use vetchkeel_pgwire::{self as pgwire, LONGEST, Opening, Unreadable};
 
-/// How long a client may take from connecting to its first whole query, and over any message that it has begun; to
-/// read its answers; to close at the end.
+/// How long a client may take from connecting to its first complete query, and for any message that it has begun; to
+/// read its answers; to close after the router has shut down its side.
 const BEGUN_MOST: Tenths = 25_000;
 const PATIENCE: Tenths = 100_000;
 const CLOSING: Tenths = 10_000;
-/// Reads and messages that one client may have taken in one turn.
+/// Reads and messages that one client may use up in one round of the event loop.
 const TURN_MOST: u32 = 32;
-/// When bytes came is not known to the moment, on either of two connections.
+/// Resolution for comparing arrival times on two connections, each of which is known to within `CERTAIN`.
 const SAME_MOMENT: Tenths = 2 * CERTAIN;
-/// Unsent bytes from which on nothing more is taken from a client, and unread ones held behind a command.
+/// Unsent bytes above which a client is not read any more, and bytes read ahead while its command is open.
 const UNSENT_MOST: usize = 64 * 1024;
 const BEHIND_MOST: usize = 16 * 1024;
 
@@ -44,11 +44,11 @@
 enum Stage {
     Opening,
     Ready,
-    /// Between an error in extended messages and their Sync.
+    /// An extended-protocol message was rejected; messages are skipped up to the next Sync.
     Skipping,
-    /// Only what is still to be written goes out; then the connection ends.
+    /// The pending output is written, then the sending side is shut down.
     Ending,
-    /// All is written and the end is told; the client has yet to close.
+    /// The sending side is shut down; the client has not closed yet.
     Told,
 }
 
@@ -57,24 +57,25 @@
     token: Option<RegistrationToken>,
     stage: Stage,
     input: Vec<u8>,
-    /// All bytes read so far, and when: what a message's last byte came with tells when it came.
+    /// The number of bytes read so far, and for each read the count behind it and its arrival time. A message's
+    /// arrival time is that of the read that contains its last byte.
     read: u64,
     marks: VecDeque<(u64, Tenths)>,
     output: VecDeque<Vec<u8>>,
-    /// Written bytes of the first piece of `output`.
+    /// Bytes already written of the first buffer in `output`.
     written: usize,
     unsent: usize,
     command: Option<CommandKey>,
-    /// When the query in hand came.
+    /// When the query of the open command arrived.
     came: Tenths,
-    /// Has sent a query, and one that became a command.
+    /// The client has sent a query (`asked`), and one that became a command (`served`).
     asked: bool,
     served: bool,
-    /// Reading stopped because enough is held.
+    /// Reading is paused because enough bytes are buffered.
     paused: bool,
     quiet_since: Tenths,
     retry: Backoff,
-    /// The turn of the loop that it was last heard in, and what it took up in that.
+    /// The round in which it was last read, and the reads and messages that it used up in that round.
     turn: u64,
     spent: u32,
 }
@@ -83,20 +84,20 @@
 pub struct Clients {
     table: SlotMap<ClientKey, Client>,
     pub listener: Option<(Rc<TcpListener>, RegistrationToken)>,
-    /// Clients wait to be accepted until one of those held has gone.
+    /// At the connection limit: clients wait to be accepted until one of the current ones has closed.
     crowded: bool,
-    /// How often it is still looked for who waits to be accepted.
+    /// How many more times the listener is polled for clients that wait to be accepted.
     accept_looks: u32,
-    /// Those with something to write.
+    /// The clients with output to write.
     unsent: Unsent,
-    /// Those that have used up this turn: they are heard again in the next.
+    /// Clients that have used up their share of this round: they are read again in the next.
     later: Vec<ClientKey>,
     turn: u64,
-    /// Bytes sent and not yet taken, of all clients together.
+    /// Bytes read from all clients together and not consumed yet.
     held: usize,
-    /// The process is about to end: nothing more is read.
+    /// The process is about to end: nothing more is read from clients.
     deaf: bool,
-    /// What the secrets for cancels come from.
+    /// Seed of the secrets for cancel requests.
     seed: u64,
 }
 
@@ -105,7 +106,7 @@
         Clients { seed, ..Clients::default() }
     }
 
-    /// What a cancel must say to mean this client: its slot, and a secret.
+    /// The key that a cancel request for this client must carry: its slot and a secret.
     fn cancel_key(&self, key: ClientKey) -> u64 {
         let mut secret = DefaultHasher::new();
         (self.seed, key).hash(&mut secret);
@@ -124,7 +125,7 @@
         self.table.keys().collect()
     }
 
-    /// Those of whom nothing whole has come yet: a cancel may.
+    /// The clients without a complete opening packet yet, any of which may turn out to be a cancel request.
     pub fn opening(&self) -> Vec<ClientKey> {
         let opening = self.table.iter().filter(|(_, client)| client.stage == Stage::Opening);
         opening.map(|(key, _)| key).collect()
@@ -140,7 +141,7 @@
         self.command.is_none() && self.unsent == 0 && self.input.is_empty()
     }
 
-    /// When the message came that ends this many bytes before the end of what was read.
+    /// The arrival time of the message that ends `left` bytes before the end of what was read.
     fn came(&self, left: usize, now: Tenths) -> Tenths {
         let end = self.read - left as u64;
         self.marks.iter().find(|(read, _)| *read >= end).map_or(now, |(_, at)| *at)
@@ -152,7 +153,7 @@
         if let Err(e) = stream.set_nonblocking(true) {
             return log!("a client's connection cannot be used: {e}");
         }
-        // Without it answers come a little later.
+        // Not essential: without it answers are slightly delayed.
         let _ = stream.set_nodelay(true);
         let stream = Rc::new(stream);
         let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
@@ -186,20 +187,21 @@
                 self.clients.table[key].token = Some(token);
                 self.counters.connections += 1;
                 self.deadlines.set(Due::Message(key), self.now + BEGUN_MOST);
-                // A cancel that is there already means a command that is about to be written.
+                // Read at once: a cancel request that has already arrived may concern a command that is about to be
+                // written.
                 let panicked = |p: &mut Program| p.drop_client(key, ClientClose::Panicked);
                 self.guarded("a client's connection", |p| p.read_client(key), panicked);
             }
             Err(e) => {
-                log!("cannot watch a client: {e}");
+                log!("cannot register a client's connection: {e}");
                 self.clients.table.remove(key);
             }
         }
     }
 
-    /// The system says that the connection is ready. Danger: a read may be refused for a moment all the same, and
-    /// no further event tells of what lies there. So one that should have found something, or more of a message that has
-    /// begun, is made again a few times.
+    /// Handles a readiness event. Danger: a read may still fail transiently, and no further event reports the bytes
+    /// that remain. So a read that should have returned bytes, or the rest of a message that has begun, is retried a
+    /// few times.
     pub fn client_event(&mut self, key: ClientKey, readable: bool) {
         let before = self.clients.table.get(key).map(|c| c.read);
         self.client_ready(key);
@@ -214,13 +216,14 @@
     fn client_ready(&mut self, key: ClientKey) {
         self.flush(key);
         self.read_client(key);
-        // What was kept from its end by its output is ended behind that.
+        // While stopping, a connection that was kept open only for its pending output is ended after it.
         if self.clients.listener.is_none() {
             self.clients.unsent.push(key);
         }
     }
 
-    /// False once a client has used up its part of this turn; it is heard again in the next.
+    /// Counts one step of a client; false once it has used up its share of this round, and it is read again in the
+    /// next.
     fn has_turn(&mut self, key: ClientKey) -> bool {
         let turn = self.clients.turn;
         let Some(client) = self.clients.table.get_mut(key) else { return false };
@@ -232,7 +235,7 @@
         client.spent < TURN_MOST
     }
 
-    /// A turn begins: those who used up the last one are heard.
+    /// Starts a round: reads the clients that used up their share of the last one.
     pub fn hear_clients(&mut self) {
         self.clients.turn += 1;
         for key in std::mem::take(&mut self.clients.later) {
@@ -240,7 +243,7 @@
         }
     }
 
-    /// Reads all there is, as far as it may be held, and takes it in.
+    /// Reads all available bytes, as far as they may be buffered, and processes them.
     fn read_client(&mut self, key: ClientKey) {
         let stage = self.clients.table.get(key).map(|c| c.stage);
         if matches!(stage, Some(Stage::Ending | Stage::Told)) {
@@ -249,7 +252,7 @@
         loop {
             self.read_on(key);
             self.advance(key);
-            // What was taken without an answer has made room, and no event tells of what still lies unread.
+            // Consumed messages have made room, and no event reports the bytes that are still unread.
             let Some(client) = self.clients.table.get(key) else { return };
             let room =
                 client.command.is_none() && client.input.len() <= LONGEST && client.unsent <= UNSENT_MOST;
@@ -264,8 +267,8 @@
             let Some(client) = self.clients.table.get_mut(key) else { return };
             let most = if client.command.is_some() { BEHIND_MOST } else { LONGEST };
             client.paused = client.input.len() > most || client.unsent > UNSENT_MOST;
-            // Danger: the end of a client that sent much and went lies behind what is not read, and no event
-            // tells of it again: its commands would be sent on for nobody.
+            // Danger: if a client sends much and leaves, the end of its connection is behind unread bytes and no event
+            // reports it again: its commands would be dispatched without a client.
             if client.paused && has_gone(&client.stream) {
                 return self.drop_client(key, ClientClose::Left);
             }
@@ -294,7 +297,8 @@
         }
     }
 
-    /// The client has sent its last. Danger: one that asks for a cancel may close right behind that, and both are read at once.
+    /// Handles the end of a client's input. Danger: a client may close right after its cancel request, and both are
+    /// read at once, so the request is processed first.
     fn client_closed(&mut self, key: ClientKey, reason: ClientClose) {
         let Some(client) = self.clients.table.get(key) else { return };
         let opening = (client.stage == Stage::Opening).then(|| pgwire::opening(&client.input));
@@ -305,14 +309,15 @@
         self.drop_client(key, reason);
     }
 
-    /// A system call on its connection failed for a moment. Danger: no event may tell when it succeeds.
+    /// Schedules a retry after a transient failure of a system call. Danger: there may be no event when it would
+    /// succeed.
     fn retry_client(&mut self, key: ClientKey) {
         let Some(client) = self.clients.table.get_mut(key) else { return };
         let at = self.now + client.retry.wait();
         self.deadlines.set(Due::RetryClient(key), at);
     }
 
-    /// Takes messages until one becomes a command or more bytes must come.
+    /// Processes buffered messages until one becomes a command or more bytes are needed.
     fn advance(&mut self, key: ClientKey) {
         let Some(client) = self.clients.table.get_mut(key) else { return };
         let input = std::mem::take(&mut client.input);
@@ -336,7 +341,7 @@
                 break None;
             }
         };
-        // The bytes taken go; the rest stays for the next message, which has begun.
+        // Consumed bytes are removed; the rest is the beginning of the next message.
         let Some(client) = self.clients.table.get_mut(key) else {
             self.clients.held -= input.len();
             return;
@@ -364,7 +369,7 @@
         }
     }
 
-    /// What a client sent can't be read on from, or does not come: it is told, and its connection ends.
+    /// Sends a fatal error and ends the connection: the input is invalid, too large or did not arrive in time.
     pub fn end_client(&mut self, key: ClientKey, sqlstate: &str, why: &str) {
         let Some(client) = self.clients.table.get_mut(key) else { return };
         if matches!(client.stage, Stage::Ending | Stage::Told) {
@@ -400,7 +405,8 @@
             Opening::Encryption => self.send(key, b"N".to_vec()),
             Opening::Cancel(whom) => {
                 let at = self.clients.table[key].came(input.len() - size, self.now);
-                // Whoever sees it closed may send the next query, which is not meant.
+                // Cancelled before the close: a client that sees the close may send its next query, which must not be
+                // cancelled.
                 self.cancel(whom, at);
                 self.drop_client(key, ClientClose::Cancelled);
             }
@@ -449,14 +455,14 @@
                 pgwire::error(&mut answer, false, "0A000", "function calls are not taken", None);
                 pgwire::ready(&mut answer);
             }
-            // Flush asks for nothing, and what belongs to a copy that was never begun is passed over.
+            // Flush needs no action, and COPY messages without a COPY in progress are ignored.
             _ => {}
         }
         self.send(key, answer);
         Ok(Some(message.size))
     }
 
-    /// `left` bytes were read behind the query.
+    /// Handles a query; `left` bytes were read after it.
     fn query(&mut self, key: ClientKey, statement: &[u8], left: usize) {
         let now = self.now;
         let Some(client) = self.clients.table.get_mut(key) else { return };
@@ -486,13 +492,13 @@
         }
     }
 
-    /// A client asks, on a connection of its own, for the end of the query that it has in hand. Danger: one
-    /// that came later, while neither was read, is another query.
+    /// Handles a cancel request, which arrives on a connection of its own at `at`. Danger: if neither connection was
+    /// read for a while, the open query may be one that arrived after the request and must not be cancelled.
     fn cancel(&mut self, whom: u64, at: Tenths) {
         let Some(key) = self.clients.table.keys().find(|k| self.clients.cancel_key(*k) == whom) else {
             return;
         };
-        // What it sent before may not be read yet.
+        // The query that is meant may not have been read yet.
         self.read_client(key);
         let Some(client) = self.clients.table.get(key) else { return };
         let Some(command) = client.command.filter(|_| client.came <= at + SAME_MOMENT) else { return };
@@ -502,7 +508,7 @@
         self.answer(key, answer);
     }
 
-    /// The whole answer to the query in hand: it goes out with word that the next may come.
+    /// Queues the complete answer to the current query, followed by ReadyForQuery.
     pub fn answer(&mut self, key: ClientKey, answer: Vec<u8>) {
         let Some(client) = self.clients.table.get_mut(key) else { return };
         client.command = None;
@@ -516,7 +522,7 @@
         self.clients.unsent.push_owed(key);
     }
 
-    /// Adds to what is written at the turn's end.
+    /// Queues bytes to be written at the end of the round.
     fn send(&mut self, key: ClientKey, bytes: Vec<u8>) {
         let Some(client) = self.clients.table.get_mut(key).filter(|_| !bytes.is_empty()) else { return };
         client.unsent += bytes.len();
@@ -524,7 +530,7 @@
         self.clients.unsent.push(key);
     }
 
-    /// Writes what waits, for as long as the last look at what has come is not long ago; what was held back behind it is taken up.
+    /// Writes queued output and resumes each client's input behind it; stops once the last poll is too long ago.
     pub fn write_clients(&mut self) {
         while let Some(key) = self.clients.unsent.pop() {
             self.flush(key);
@@ -581,7 +587,7 @@
         }
     }
 
-    /// Takes up what lies behind an answer, and reads on where that had stopped.
+    /// Processes the input buffered behind an answer, and resumes reading if it was paused.
     fn resume(&mut self, key: ClientKey) {
         let Some(client) = self.clients.table.get(key) else { return };
         if client.paused && client.command.is_none() {
@@ -591,7 +597,7 @@
         }
     }
 
-    /// Closes a client's connection; a command in hand has lost its client.
+    /// Closes a client's connection; its open command is left without a client.
     pub fn drop_client(&mut self, key: ClientKey, reason: ClientClose) {
         let Some(client) = self.clients.table.remove(key) else { return };
         self.counters.clients_closed.add(reason);
@@ -616,8 +622,9 @@
         }
     }
 
-    /// Asked before a command is written. Danger: after the process stood still, a node that is ready is
-    /// heard before the client that left meanwhile, and its command would begin long after.
+    /// Drops the command's client if it has disconnected; called before a command is written. Danger: after a stall,
+    /// the event of a node that is ready may be handled before that of a client that left meanwhile, and the command
+    /// would begin long after its client left.
     pub fn see_leaving(&mut self, command: CommandKey) {
         let Some(key) = self.commands.client(command) else { return };
         if self.clients.table.get(key).is_some_and(|c| has_gone(&c.stream)) {
@@ -627,8 +634,9 @@
 
     // ---- stopping ----
 
-    /// Ends the connection if it is between commands; whatever it has sent before is served first, and before its
-    /// answers are written it may send more. At the very end nothing more is read, and half a message is none.
+    /// Ends the connection if it is between commands. Queries that it has already sent are served first, and it may
+    /// send more until their answers are written. Right before the process ends nothing more is read, and an
+    /// incomplete message is ignored.
     fn end_if_idle(&mut self, key: ClientKey) {
         let Some(client) = self.clients.table.get_mut(key) else { return };
         let whole = || matches!(pgwire::message(&client.input), Ok(Some(_)));
@@ -639,14 +647,15 @@
         }
     }
 
-    /// Nothing new is taken any more; who waits for an answer still gets it. Danger: the system resets whoever it has
-    /// let in and nobody has accepted, so at the limit the listener stays while others may still make room.
+    /// Stops accepting clients; open commands are still answered. Danger: when the listener closes, the system resets
+    /// established connections that were not accepted, so at the connection limit it stays open while other clients may
+    /// still make room.
     pub fn stop_accepting(&mut self) {
         self.end_start();
         self.accept_all();
         let again = self.now + ACCEPT_AGAIN;
         if self.clients.crowded && self.deadlines.time(Due::Last).is_some_and(|last| again < last) {
-            log!("stopping: at the limit, clients wait to be accepted");
+            log!("stopping: at the limit, clients are waiting to be accepted");
             self.deadlines.set(Due::Stop, again);
         } else if let Some((_, token)) = self.clients.listener.take() {
             self.handle.remove(token);
@@ -654,8 +663,8 @@
         self.end_idle();
     }
 
-    /// The process may be killed any moment: whoever still waits is answered. Danger: a client that always has a
-    /// query behind the one in hand is never between commands, and its last would be lost.
+    /// Answers all waiting clients and stops reading, as the process may be killed any moment. Danger: a client that
+    /// always has a query queued behind the open one is never between commands, and its last query would be lost.
     pub fn end_clients(&mut self) {
         self.clients.deaf = true;
         self.answer_the_last();
--- a/crates/router/src/clients/closing.rs
+++ b/crates/router/src/clients/closing.rs
@@ -1,11 +1,11 @@
-//! The one way in which this side ends a client's connection: what is to be written goes out, the sending side is
-//! shut, what still comes is read and thrown away until the client closes or a bound is over. Danger: a close over
-//! unread bytes makes the system reset the connection, and what it has not delivered yet goes with that.
+//! How the router ends a client's connection: it writes the pending output, shuts down its sending side, and discards
+//! further input until the client closes or a time limit passes. Danger: closing a socket with unread bytes makes the
+//! system reset the connection, and output that is not delivered yet is lost.
 
 use super::*;
 use std::os::fd::AsRawFd;
 
-/// Bytes written that the other side's system has not taken yet; 0 where that can't be known.
+/// Bytes written that the peer has not acknowledged yet; 0 if unknown.
 pub(super) fn untaken(stream: &TcpStream) -> i32 {
     let mut bytes: libc::c_int = 0;
     // SAFETY: the system writes one int.
@@ -14,14 +14,14 @@
 }
 
 impl Program {
-    /// Nothing more is taken from this client: once all is written it is told the end.
+    /// Takes nothing more from this client, and shuts down the sending side once all output is written.
     pub(super) fn end_after_output(&mut self, key: ClientKey) {
         let Some(client) = self.clients.table.get_mut(key) else { return };
         client.stage = Stage::Ending;
         self.clients.unsent.push(key);
     }
 
-    /// Throws away what an ended client sends, until it closes.
+    /// Discards the input of a client whose connection is ending, until it closes.
     pub(super) fn read_away(&mut self, key: ClientKey) {
         while self.has_turn(key) {
             let Some(client) = self.clients.table.get(key) else { return };
@@ -35,8 +35,7 @@
         }
     }
 
-    /// Closes at once, where nothing can be waited for any more. What came up to now is thrown away; what comes
-    /// later still resets the connection.
+    /// Closes the connection at once. Input that has arrived is discarded; later input still resets the connection.
     pub fn close_client(&mut self, key: ClientKey, reason: ClientClose) {
         let Some(client) = self.clients.table.get(key) else { return };
         let _ = client.stream.shutdown(Shutdown::Write);
@@ -50,14 +49,14 @@
         self.drop_client(key, reason);
     }
 
-    /// The process ends.
+    /// Closes all clients because the process ends.
     pub fn close_clients(&mut self) {
         let keys: Vec<ClientKey> = self.clients.table.keys().collect();
         keys.into_iter().for_each(|key| self.close_client(key, ClientClose::ProcessEnds));
     }
 
-    /// A first whole query, or the rest of a message, does not come. One that asked nothing while the process ends
-    /// may go elsewhere without harm.
+    /// Ends a client whose first complete query, or the rest of a message, did not arrive in time. While the process is
+    /// stopping the error is 57P03: a client without a query may safely reconnect elsewhere.
     pub fn end_unheard(&mut self, key: ClientKey) {
         match self.clients.listener {
             Some(_) => self.end_client(key, "08P01", "no whole query came in time"),
@@ -65,8 +64,8 @@
         }
     }
 
-    /// A client when the listener closes. One that has asked nothing yet may be about to, and has the time for its
-    /// first query that it had; at the very end it is told.
+    /// Ends a client when the listener closes. A client that has sent no query yet keeps its time limit for the first
+    /// one; right before the process ends it gets an error.
     pub(super) fn end_soon(&mut self, key: ClientKey) {
         let Some(client) = self.clients.table.get_mut(key) else { return };
         client.asked |= self.clients.deaf;
--- a/crates/router/src/clients/crowd.rs
+++ b/crates/router/src/clients/crowd.rs
@@ -1,26 +1,26 @@
-//! Who comes in, and who gives way where not all can be held: connections, and what clients have sent.
+//! Admission and eviction of clients: the limits on connections and on buffered input.
 
 use super::closing::untaken;
 use super::*;
 use crate::BACKLOG;
 use crate::leaving::{has_waiting, may_have_unread};
 
-/// A client that has been silent for this long since it connected gives way where others want in.
+/// A client that has sent no command for this long since it connected may be closed to make room for others.
 const SILENT_LEAST: Tenths = 1_000;
-/// Clients accepted in one turn.
+/// Clients accepted in one call.
 const ACCEPTED_MOST: usize = 64;
 pub(super) const ACCEPT_AGAIN: Tenths = 1_000;
-/// Looks for who waits to be accepted, behind an event that led to nobody and behind one that did, and what lies
-/// between two.
+/// Additional polls of the listener after an event without a client (`LOOKS`) and after an accepted client
+/// (`LOOKS_BEHIND`), and the interval between two of them (`LOOK_AGAIN`).
 const LOOKS: u32 = 7;
 const LOOKS_BEHIND: u32 = 2;
 const LOOK_AGAIN: Tenths = 10;
 
 impl Clients {
-    /// Who gives way where others want in, first of all whoever sent no command yet; of each kind the one that
-    /// is quiet for longest. One that was accepted a moment ago may be about to ask. Danger: one whose last answer
-    /// is still on its way loses that if it sends something behind the close. It has time to take it, but where room
-    /// `must` be made and all are such.
+    /// The client to close when others wait for a connection: clients without a command so far come first, and among
+    /// equals the one idle for longest. Recently accepted clients are spared, as they may be about to send a query.
+    /// Danger: a client whose last answer is not acknowledged yet loses that answer if it sends something after the
+    /// close. It is given time to receive the answer, unless room `must` be made and all clients are like that.
     fn gives_way(&self, now: Tenths, must: bool) -> Option<ClientKey> {
         let idle = self.table.iter().filter(|(_, c)| match c.stage {
             Stage::Ending => false,
@@ -36,11 +36,11 @@
 }
 
 impl Program {
-    /// Takes in all that want to connect, as far as there is room.
+    /// Accepts waiting clients, as far as there is room.
     pub fn accept(&mut self) {
         let Some((listener, _)) = &self.clients.listener else { return };
-        // The system holds them meanwhile, and knows when their bytes came. Danger: served under settings older than those
-        // that this router had been told before its start.
+        // The system queues them meanwhile and records when their bytes arrived. Without this, clients would be served
+        // under settings older than those that this router had received before it was restarted.
         if self.watch.is_starting() || !self.configuration.may_serve() {
             return;
         }
@@ -48,7 +48,7 @@
         self.clients.crowded = false;
         self.deadlines.clear(Due::Accept);
         for _ in 0..ACCEPTED_MOST {
-            // Nobody is sent away for a client that does not come: one above the limit shows that more want in.
+            // One client above the limit shows that more are waiting: none is closed for a client that does not come.
             if self.at_limit() && !self.make_room_for_a_client() {
                 return self.accept_later();
             }
@@ -59,7 +59,7 @@
                 }
                 Err(e) if is_transient(&e) => return self.look_again(),
                 Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
-                // Danger: the system may grant fewer descriptors than this process was told.
+                // Danger: the system may grant fewer descriptors than the configured limit.
                 Err(e) if e.raw_os_error() == Some(libc::EMFILE) && self.make_room_for_a_client() => {}
                 Err(e) => {
                     log!("cannot accept: {e}");
@@ -67,18 +67,18 @@
                 }
             }
         }
-        // Those who wait for an answer come before more of those who want in.
+        // Open commands are processed before more clients are accepted.
         self.deadlines.set(Due::Accept, self.now + 1);
     }
 
-    /// The system says that somebody wants in.
+    /// Handles a readiness event of the listener.
     pub fn accept_event(&mut self) {
         self.clients.accept_looks = LOOKS;
         self.accept();
     }
 
-    /// Nobody is there to be accepted. Danger: it may have been said for a moment only, and no event tells of those
-    /// who wait by then. So a few looks follow.
+    /// Polls the listener a few more times after it had no client. Danger: the error may have been transient, and no
+    /// event reports clients that are waiting by then.
     fn look_again(&mut self) {
         if self.clients.accept_looks > 0 {
             self.clients.accept_looks -= 1;
@@ -86,27 +86,28 @@
         }
     }
 
-    /// Closes whoever gives way, after what it has sent meanwhile was taken in.
+    /// Closes the client chosen for eviction, after processing the input that it has sent meanwhile.
     fn make_room_for_a_client(&mut self) -> bool {
         let way = self.clients.gives_way(self.now, false);
         way.into_iter().for_each(|key| self.read_client(key));
         self.make_room(false)
     }
 
-    /// Clients hold their part and more is not free: what nodes don't use of theirs is lent, but for a spare part.
+    /// True if clients hold more than their share of connections and nothing is left to borrow: they may use what nodes
+    /// leave unused of theirs, except for the spare part.
     fn at_limit(&self) -> bool {
         let (clients, limits) = (self.clients.count(), self.limits);
         clients > limits.clients && clients + self.nodes.count() + limits.spare > limits.room
     }
 
-    /// No room: tried again when a client has gone, and now and then for those that have become idle.
+    /// Accepts again when a client has closed, and at intervals, as clients may have become idle.
     fn accept_later(&mut self) {
         self.clients.crowded = true;
         self.deadlines.set(Due::Accept, self.now + ACCEPT_AGAIN);
     }
 
-    /// Closes the client that gives way, at once, as its descriptor is wanted. One that has sent something meanwhile
-    /// is left to be heard first: the module may be in the middle of deciding.
+    /// Closes the client chosen for eviction at once, to free its descriptor. False if it has unread input, which is
+    /// to be processed first, but not here: the module may be in the middle of its decisions.
     pub fn make_room(&mut self, must: bool) -> bool {
         let Some(key) = self.clients.gives_way(self.now, must) else { return false };
         let client = &self.clients.table[key];
@@ -120,8 +121,8 @@
         true
     }
 
-    /// Takes in those who wait by now, a cancel among them. Danger: at the limit a look for somebody who is not there would
-    /// send a client away.
+    /// Accepts the clients that are waiting now, which may include cancel requests. Danger: at the connection limit, an
+    /// attempt to accept when no client waits would close an existing client.
     pub fn accept_waiting(&mut self) {
         for _ in 0..BACKLOG as usize / ACCEPTED_MOST {
             let waits = self.clients.listener.as_ref().is_some_and(|(l, _)| has_waiting(l));
@@ -132,14 +133,14 @@
         }
     }
 
-    /// Whoever the system has let in is not left behind, however many.
+    /// Accepts all established connections, up to the listen backlog.
     pub(super) fn accept_all(&mut self) {
         for _ in 0..BACKLOG as usize / ACCEPTED_MOST {
             self.accept();
         }
     }
 
-    /// More is held for clients together than may be: whoever has sent most and is owed nothing gives way.
+    /// If the input buffered for all clients exceeds its limit, ends the client with most input and no open command.
     pub(super) fn hold_less(&mut self) {
         if self.clients.held > self.limits.held {
             let owed_nothing = |c: &Client| c.command.is_none() && !c.input.is_empty();
@@ -151,8 +152,9 @@
         }
     }
 
-    /// Clients may hold so many connections and no more. Some ask once and stay; before those have all, whoever has
-    /// been between queries for longest is ended, first who never sent a command.
+    /// Once more than `Limits::asked` clients have sent a query, ends the one that has been idle for longest, clients
+    /// without a command first. Without this, clients that send one query and stay connected would take all
+    /// connections.
     pub(super) fn thin_out(&mut self) {
         let asked = |c: &Client| c.asked && matches!(c.stage, Stage::Ready | Stage::Skipping);
         let table = &self.clients.table;
--- a/crates/router/src/clients/unsent.rs
+++ b/crates/router/src/clients/unsent.rs
@@ -1,5 +1,5 @@
-//! Who has something to be written, and in which order: what is owed by a time and everything else by turns. Danger: a write may
-//! be held up, so that many that are ended at once stand between a command and its answer.
+//! The order in which clients with pending output are written: answers, which have a deadline, and all other output
+//! alternate. Danger: a write may stall, so many connections that end at once would delay a command's answer.
 
 use crate::keys::ClientKey;
 use std::collections::VecDeque;
@@ -8,22 +8,22 @@
 pub(super) struct Unsent {
     owed: VecDeque<ClientKey>,
     others: VecDeque<ClientKey>,
-    /// Something else was written last.
+    /// The last one came from `others`, so an answer is next.
     owed_is_next: bool,
 }
 
 impl Unsent {
-    /// It is owed the whole answer to its query, or the error for half a message.
+    /// Adds a client with the complete answer to its query, or the error for an incomplete message.
     pub(super) fn push_owed(&mut self, key: ClientKey) {
         self.owed.push_back(key);
     }
 
-    /// It has something else to be written, or is to be looked at behind what it had.
+    /// Adds a client with other output, or one to be checked again after its output.
     pub(super) fn push(&mut self, key: ClientKey) {
         self.others.push_back(key);
     }
 
-    /// Whose turn it is, the longest waiting of its kind.
+    /// Removes the next client: the kinds alternate, each in order of arrival.
     pub(super) fn pop(&mut self) -> Option<ClientKey> {
         let owed = self.owed_is_next || self.others.is_empty();
         self.owed_is_next = !owed;
--- a/crates/router/src/clients/unsent/tests.rs
+++ b/crates/router/src/clients/unsent/tests.rs
@@ -3,10 +3,10 @@
 use slotmap::SlotMap;
 
 #[rstest]
-#[case::others_alone(0, 3, "ooo")]
-#[case::answers_alone(3, 0, "aaa")]
-#[case::by_turns(3, 4, "oaoaoao")]
-fn answers_and_others_take_turns_in_their_order(
+#[case::only_others(0, 3, "ooo")]
+#[case::only_answers(3, 0, "aaa")]
+#[case::alternating(3, 4, "oaoaoao")]
+fn answers_and_others_alternate_in_order(
     #[case] answers: usize,
     #[case] others: usize,
     #[case] order: &str,
