--- a/crates/router/src/arrival.rs
+++ b/crates/router/src/arrival.rs
@@ -1,15 +1,15 @@
-//! How long ago the last bytes of a connection came, as the system knows it: after the process has stood still,
-//! or from the queue of those to be accepted, bytes are read well after they came.
+//! How long ago the last bytes of a connection arrived, according to the kernel (`TCP_INFO`): after a stall of the
+//! process, or from the accept queue, bytes are read well after their arrival.
 
 use std::mem::MaybeUninit;
 use std::net::TcpStream;
 use std::os::fd::AsRawFd;
 use vetchkeel::Tenths;
 
-/// The system counts in ticks of up to 10 ms; what is shorter is none.
+/// The smallest age that is reported: the kernel counts in ticks of up to 10 ms, so shorter ages count as 0.
 pub const CERTAIN: Tenths = 120;
 
-/// What the system knows of a connection; None where it does not say.
+/// The kernel's `TCP_INFO` of a connection; None if it is not available.
 fn info(stream: &TcpStream) -> Option<libc::tcp_info> {
     let mut info = MaybeUninit::<libc::tcp_info>::zeroed();
     let mut size = size_of::<libc::tcp_info>() as libc::socklen_t;
@@ -22,13 +22,13 @@
     }
 }
 
-/// 0 where it can't be known or is too short to be certain.
+/// The time since the last bytes arrived; 0 if it is unknown or below `CERTAIN`.
 pub fn waited(stream: &TcpStream) -> Tenths {
     let age = info(stream).map_or(0, |info| Tenths::from(info.tcpi_last_data_recv) * 10);
     if age >= CERTAIN { age } else { 0 }
 }
 
-/// True where the last bytes came, by the system's ticks, no earlier than the last were sent.
+/// True if, by the kernel's ticks, the last bytes arrived no earlier than the last ones were sent.
 pub fn came_after_sent(stream: &TcpStream) -> bool {
     info(stream).is_some_and(|info| info.tcpi_last_data_recv <= info.tcpi_last_data_sent)
 }
--- a/crates/router/src/arrival/tests.rs
+++ b/crates/router/src/arrival/tests.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 #[rstest]
-fn bytes_that_were_not_read_have_an_age() {
+fn unread_bytes_report_their_age() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut client = TcpStream::connect(listener.local_addr().expect("bound")).expect("it listens");
     client.write_all(b"x").expect("open");
@@ -15,7 +15,7 @@
     while found == 0 && sent.elapsed() < Duration::from_secs(10) {
         found = waited(&stream);
     }
-    // One tick more than the time since may have been counted.
+    // The kernel may count one tick more than the elapsed time.
     let most = (sent.elapsed().as_micros() / 100) as Tenths + CERTAIN;
     assert!((CERTAIN..=most).contains(&found), "{found} of {most}");
 }
--- a/crates/router/src/catch_up.rs
+++ b/crates/router/src/catch_up.rs
@@ -1,19 +1,20 @@
-//! What came while the process was held up counts before anything is decided or written. Between the loop's poll and a write any time may
-//! pass (a page fault, a busy machine, a stop), and what lies at the router by then may forbid the write: a cancel, the
-//! word of a member that is no primary any more, a change of the list.
+//! Reads input that arrived during a stall before anything is decided or written. Any amount of time may pass between
+//! the event loop's poll and a write (a page fault, a busy machine, a stopped process), and input that arrives
+//! meanwhile may forbid the write: a cancel request, a member's report that it is no longer primary, a changed member
+//! list.
 
 use crate::{OVERDUE, Program};
 use calloop::EventLoop;
 use std::time::Duration;
 use vetchkeel::Tenths;
 
-/// How old the last look at what has come may be as an attempt is written. The operators' pages grant 100 ms behind a cancel
-/// and behind what an answer tells.
+/// The maximum age of the last poll when an attempt is written. The operators' documentation allows 100 ms after a
+/// cancel request and after an answer.
 const LOOK_MOST: Tenths = 500;
-/// Polls in a row, where each of them is held up.
+/// The maximum number of consecutive polls when each of them stalls.
 const POLLS_MOST: u32 = 4;
 
-/// Waits for events and takes them in; once more without waiting where that took long, as what came meanwhile is not known.
+/// Waits for events and handles them; polls again without waiting if that took long, as more input may have arrived.
 pub fn poll(event_loop: &mut EventLoop<'static, Program>, program: &mut Program) -> calloop::Result<()> {
     program.looked_at = program.clock.now();
     event_loop.dispatch(program.sleep(), program)?;
@@ -30,8 +31,8 @@
 }
 
 impl Program {
-    /// The last look was long ago, or a deadline is overdue: the process may have stood still. Danger: stopped and let go
-    /// again, the poll ends without a look at what came meanwhile.
+    /// True if the last poll was long ago or a deadline is overdue: the process may have been stalled. Danger: when a
+    /// stopped process continues, its poll returns without the input that arrived meanwhile.
     pub fn is_behind(&self) -> bool {
         self.looked_long_ago() || self.deadlines.first().is_some_and(|at| at + OVERDUE < self.clock.now())
     }
@@ -40,7 +41,8 @@
         self.clock.now() - self.looked_at > LOOK_MOST
     }
 
-    /// Asked before decisions are pulled and before an attempt is written.
+    /// Reads pending input if the last poll was long ago; called before decisions are pulled and before an attempt is
+    /// written.
     pub fn catch_up(&mut self) {
         self.read_clock();
         if self.looked_long_ago() {
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Takes in all that may forbid a write. A client's own connection is looked at with each write (`see_leaving`).
+    /// Reads all input that may forbid a write. A client's own connection is checked at each write (`see_leaving`).
     fn look_at_what_forbids(&mut self) {
         self.looked_at = self.now;
         self.hear_watch();
--- a/crates/router/src/counters.rs
+++ b/crates/router/src/counters.rs
@@ -1,4 +1,4 @@
-//! What the router has taken in, sent and answered since its start.
+//! Counters of what the router has received, dispatched and answered since its start.
 
 use crate::reasons::{ClientClose, MemberClose, Tally};
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 #[derive(Debug, Default)]
 pub struct Counters {
     pub connections: u64,
-    /// Queries that never became commands.
+    /// Messages and queries that did not become commands.
     pub rejected: u64,
     pub taken: u64,
     pub answered: u64,
@@ -22,9 +22,9 @@
     pub lists: u64,
     pub watches_broken: u64,
     pub reloads: u64,
-    /// Clients closed for others that wanted in.
+    /// Clients closed to make room for others.
     pub gave_way: u64,
-    /// Clients ended because they asked for nothing more and many had asked.
+    /// Idle clients ended because many clients had sent a query.
     pub quiet: u64,
     pub clients_closed: Tally<ClientClose>,
     pub members_closed: Tally<MemberClose>,
@@ -34,7 +34,7 @@
     pub freshness: Freshness,
 }
 
-/// Reads that must see new data, by what became of them.
+/// Reads with a staleness bound or session consistency, by outcome, and related events.
 #[derive(Debug, Default)]
 pub struct Freshness {
     pub written_to_primaries: u64,
@@ -72,7 +72,7 @@
     }
 }
 
-/// How many ended in which way.
+/// Counts by outcome.
 #[derive(Debug, Default)]
 pub struct Endings(BTreeMap<&'static str, u64>);
 
--- a/crates/router/src/deadlines.rs
+++ b/crates/router/src/deadlines.rs
@@ -1,4 +1,4 @@
-//! All deadlines, in one ordered structure: each matter has one time at most.
+//! All deadlines, in one ordered structure: each entry has at most one time.
 
 use crate::keys::{ClientKey, ConnKey};
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,29 +6,29 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Due {
-    /// The module wants to be asked.
+    /// The module has decisions due.
     Wake,
-    /// The limit of what a node's connection carries.
+    /// The time limit of the work on a node connection.
     Work(ConnKey),
-    /// A dial that must have led to an open connection.
+    /// The time limit of a dial.
     Dial(ConnKey),
-    /// The end of a connection that is kept for later.
+    /// The end of an idle connection's keep-alive time.
     Idle(ConnKey),
-    /// A client that does not read its answers or close.
+    /// The time limit for a client to read its answers or to close.
     Client(ClientKey),
-    /// A client whose first query, or whose message that has begun, does not come.
+    /// The time limit for a client's first query, or for the rest of a message that has begun.
     Message(ClientKey),
-    /// A system call on a connection failed for a moment: it is made again.
+    /// Retries of system calls on connections that failed transiently.
     RetryClient(ClientKey),
     RetryConn(ConnKey),
     RetryWatch,
-    /// Clients wait to be accepted.
+    /// Clients may be waiting to be accepted.
     Accept,
-    /// The watch is silent or does not open.
+    /// The time limit for the watch to open or to send something.
     Watch,
-    /// A start that waits for the member list.
+    /// The time limit for the first member list after a start.
     Start,
-    /// Steps of stopping: the listener closes; what is still owed is answered; whoever has not closed is closed.
+    /// Steps of stopping: the listener closes; open commands are answered; the remaining clients are closed.
     Stop,
     Last,
     End,
@@ -62,7 +62,7 @@
         self.ordered.first().map(|(at, _)| *at)
     }
 
-    /// The earliest that is due by now; it is taken out.
+    /// Removes and returns the earliest deadline that is due by now.
     pub fn take(&mut self, now: Tenths) -> Option<Due> {
         let (_, due) = *self.ordered.first().filter(|(at, _)| *at <= now)?;
         self.clear(due);
--- a/crates/router/src/deadlines/tests.rs
+++ b/crates/router/src/deadlines/tests.rs
@@ -2,7 +2,7 @@
 use rstest::rstest;
 
 #[rstest]
-fn a_matter_set_anew_or_cleared_is_due_once_or_never() {
+fn reset_deadline_is_due_once_and_cleared_one_never() {
     let mut deadlines = Deadlines::default();
     deadlines.set(Due::Watch, 10);
     deadlines.set(Due::Stop, 5);
--- a/crates/router/src/invariants.rs
+++ b/crates/router/src/invariants.rs
@@ -1,39 +1,41 @@
-//! The rules, checked at run time beside the decisions: what is about to be written, answered or closed is compared with
-//! what this process has seen, by books of its own. A violation is counted, logged and changes nothing.
+//! Run-time checks of the router's invariants, independent of the decision module: each write, answer and close is
+//! compared with records kept here. A violation is counted and logged but changes nothing.
 
 use crate::reasons::Tally;
 use std::collections::BTreeMap;
 use vetchkeel::{Ending, Id, Tenths, Told};
 
-/// What the operators' pages grant between a clock that is read and a write, and at the answer's end.
+/// Tolerances from the operators' documentation: between reading the clock and a write (`SLACK`), for the time limit
+/// told to a member (`TOLD_SLACK`), and for a late answer (`LATE_MOST`).
 const SLACK: Tenths = 500;
 const TOLD_SLACK: Tenths = 1_500;
 const LATE_MOST: Tenths = 5_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// An attempt begins while another of the command is out.
+    /// An attempt begins while another one of the command is in flight.
     SecondCopy,
-    /// An attempt begins though an earlier one may have run and the command may not run again.
+    /// An attempt begins although an earlier one may have run and the command must not run again.
     EffectTwice,
     /// An attempt begins for a client that has left.
     ClientLeft,
-    /// An attempt begins at a member that was told to drain, past its grace.
+    /// An attempt begins at a draining member after its grace period.
     Draining,
-    /// An attempt tells more time than its client has left.
+    /// An attempt carries a time limit beyond its client's deadline.
     TooLong,
-    /// A final answer comes more than half a second after its client's time.
+    /// A final answer is sent more than half a second after its client's deadline.
     Late,
-    /// A client's connection is closed by this side with its command unanswered.
+    /// The router closes a client's connection whose command is unanswered.
     ClosedOwed,
     /// The process ends with a command unanswered.
     EndedOwed,
 }
 
-/// What a command's group says of running it again.
+/// Whether a command may run again, by its command group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
     Free,
+    /// Within this time after the first attempt that may have run.
     Within(Tenths),
     Never,
 }
@@ -45,7 +47,7 @@
     MayHaveRun,
 }
 
-/// The attempts of one command that were begun to be written.
+/// The attempts of one command whose writing has begun.
 #[derive(Debug)]
 pub struct History {
     repeat: Repeat,
@@ -57,7 +59,7 @@
 pub struct Begun<'a> {
     pub number: u32,
     pub node: &'a Id,
-    /// Until when its router waits, as the member is told.
+    /// The time limit as told to the member: until when the router waits.
     pub limit_at: Tenths,
     pub has_client: bool,
 }
@@ -66,7 +68,7 @@
 pub struct Invariants {
     repeats: BTreeMap<String, Repeat>,
     grace: Tenths,
-    /// Since when members are known to drain or to be gone.
+    /// The members that are draining or removed, and since when this is known.
     draining: BTreeMap<Id, Tenths>,
     pub violations: Tally<Violation>,
 }
@@ -96,13 +98,13 @@
         }
     }
 
-    /// A command is taken, whose client waits until then.
+    /// Starts the history of a command whose client waits until `deadline`.
     pub fn taken(&self, group: &str, deadline: Tenths) -> History {
         let repeat = self.repeats.get(group).copied().unwrap_or(Repeat::Never);
         History { repeat, deadline, attempts: Vec::new() }
     }
 
-    /// The list names a member.
+    /// Records a member of the list; `shut` if it is draining or removed.
     pub fn listed(&mut self, now: Tenths, node: &Id, shut: bool) {
         if shut {
             self.draining.entry(node.clone()).or_insert(now);
@@ -111,12 +113,12 @@
         }
     }
 
-    /// A member is known no more.
+    /// Removes a member that is no longer known.
     pub fn forgotten(&mut self, node: &Id) {
         self.draining.remove(node);
     }
 
-    /// An attempt's first byte is about to be written; the violations of that.
+    /// Records an attempt whose first byte is about to be written and returns the invariants that this violates.
     pub fn begins(&mut self, now: Tenths, history: &mut History, attempt: &Begun) -> Vec<Violation> {
         let earlier = || history.attempts.iter().filter(|(number, ..)| *number != attempt.number);
         let may_have_run = |&&(_, _, fate): &&(u32, Tenths, Fate)| fate != Fate::Untouched;
@@ -140,7 +142,7 @@
         found
     }
 
-    /// A final answer is about to be written.
+    /// Checks a final answer that is about to be written.
     pub fn answers(&mut self, now: Tenths, history: &History) -> Option<Violation> {
         let late = now > history.deadline + LATE_MOST;
         late.then(|| {
--- a/crates/router/src/invariants/tests.rs
+++ b/crates/router/src/invariants/tests.rs
@@ -22,13 +22,13 @@
 }
 
 #[rstest]
-#[case::free("look", Ending::TimedOut, 40_000, &[])]
-#[case::in_its_window("save", Ending::TimedOut, 30_000, &[])]
-#[case::past_its_window("save", Ending::TimedOut, 30_001, &[Violation::EffectTwice])]
-#[case::never("order", Ending::Reset, 1, &[Violation::EffectTwice])]
-#[case::never_but_untouched("order", Ending::Miss, 1, &[])]
+#[case::replayable("look", Ending::TimedOut, 40_000, &[])]
+#[case::within_window("save", Ending::TimedOut, 30_000, &[])]
+#[case::after_window("save", Ending::TimedOut, 30_001, &[Violation::EffectTwice])]
+#[case::not_replayable("order", Ending::Reset, 1, &[Violation::EffectTwice])]
+#[case::not_replayable_but_never_ran("order", Ending::Miss, 1, &[])]
 #[case::unknown_group("other", Ending::Error, 1, &[Violation::EffectTwice])]
-fn a_repeat_is_checked_by_what_became_of_the_first(
+fn repeated_attempt_is_checked_against_the_first_outcome(
     #[case] group: &str,
     #[case] ending: Ending,
     #[case] later: Tenths,
@@ -43,13 +43,13 @@
 }
 
 #[rstest]
-#[case::in_its_grace(5_500, true, 10_000, true, &[])]
-#[case::past_its_grace(5_501, true, 10_000, true, &[Violation::Draining])]
-#[case::up_again(9_000, false, 10_000, true, &[])]
+#[case::within_grace(5_500, true, 10_000, true, &[])]
+#[case::after_grace(5_501, true, 10_000, true, &[Violation::Draining])]
+#[case::no_longer_draining(9_000, false, 10_000, true, &[])]
 #[case::client_left(0, false, 10_000, false, &[Violation::ClientLeft])]
-#[case::told_in_the_slack(0, false, 21_500, true, &[])]
-#[case::told_too_long(0, false, 21_501, true, &[Violation::TooLong])]
-fn what_begins_is_checked(
+#[case::limit_within_slack(0, false, 21_500, true, &[])]
+#[case::limit_too_long(0, false, 21_501, true, &[Violation::TooLong])]
+fn attempt_start_is_checked(
     #[case] later: Tenths,
     #[case] drains: bool,
     #[case] limit: Tenths,
@@ -65,7 +65,7 @@
 }
 
 #[rstest]
-fn an_attempt_beside_one_that_is_out_is_a_second_copy() {
+fn attempt_while_another_is_in_flight_is_a_second_copy() {
     let (mut invariants, node) = (invariants(), Id::from("a"));
     let mut history = invariants.taken("look", NOW + 20_000);
     invariants.begins(NOW, &mut history, &attempt(0, &node));
@@ -75,7 +75,7 @@
 #[rstest]
 #[case(25_000, None)]
 #[case(25_001, Some(Violation::Late))]
-fn an_answer_long_after_its_time_is_late(#[case] at: Tenths, #[case] expected: Option<Violation>) {
+fn answer_long_after_its_deadline_is_late(#[case] at: Tenths, #[case] expected: Option<Violation>) {
     let mut invariants = invariants();
     let history = invariants.taken("look", NOW + 20_000);
     assert_eq!(invariants.answers(NOW + at, &history), expected);
--- a/crates/router/src/keys.rs
+++ b/crates/router/src/keys.rs
@@ -1,4 +1,4 @@
-//! How clients, commands, connections and deadlines name each other. This file names none of them.
+//! Keys by which clients, commands, connections and deadlines refer to each other, without dependencies on any of them.
 
 use slotmap::new_key_type;
 use std::ops::Range;
@@ -12,13 +12,14 @@
     pub struct ConnKey;
 }
 
-/// A statement as its client worded it, and where in it the wait stands.
+/// A statement as its client sent it, and the position of the client timeout in its text.
 #[derive(Debug)]
 pub struct Statement {
     pub text: Vec<u8>,
     pub wait_at: Range<usize>,
 }
 
+/// What a node connection carries: a dispatch, by its command and number, or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Work {
     Dispatch(CommandKey, u32),
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -1,39 +1,39 @@
-//! What the limits told come to: how many connections clients and nodes may hold, and how much clients may have sent.
-//! Stated here alone.
+//! Derives all internal limits from the configured ones: connections of clients and to nodes, and buffered input.
 
-/// Descriptors for the listener, two watches, signals, the loop itself and what may come.
+/// Descriptors reserved for the listener, two watches, signals, the event loop and future needs.
 const RESERVE: usize = 32;
-/// The part of connections that is the clients' own. Each command in hand can have its connection to a node, and
-/// probes and kept ones theirs beside it.
+/// The share of connections that belongs to clients. The rest is enough for one node connection per open command, and
+/// for probes and idle connections.
 const CLIENTS_PART: f64 = 0.45;
-/// The part of connections that is not lent to clients: dials take these while what was lent is given back.
+/// The share of connections that is never lent to clients: dials use these until lent connections are returned.
 const SPARE_PART: f64 = 0.125;
-/// Clients hold a third of the descriptors at most, as the deployment has it. From this part of it on whoever is
-/// quiet makes way, so that some are left.
+/// In the deployment, clients hold a third of the descriptors at most. Once clients that have sent a query hold three
+/// quarters of that third (0.75 / 3.0), idle ones are closed, so that some descriptors stay free.
 const ASKED_PART: f64 = 0.75 / 3.0;
-/// The most descriptors that the deployment tells. A router that is told more stands before clients that stay: they
-/// may hold all of their own but for what is left to newcomers at the deployment's most, a twelfth of it.
+/// The largest descriptor limit that the deployment configures. A router with a larger limit serves clients that stay
+/// connected: they may hold the whole client share, except for a twelfth of this limit, which is kept for new clients.
 const DEPLOYED_MOST: usize = 1_024;
 const NEWCOMERS: usize = DEPLOYED_MOST / 12;
-/// Of the memory, the part that clients that stay may fill, and what one takes: 0.8 KiB were measured
-/// (`docs/measured/clients.md`), and its queries may be longer. Bytes.
+/// The share of the memory limit for clients that stay connected, and the bytes that one of them takes: 0.8 KiB were
+/// measured (`docs/measured/clients.md`), and queries may be longer.
 const STAYING_PART: f64 = 0.125;
 const STAYING_COST: usize = 2_048;
-/// The part of the memory that what clients have sent and is not yet taken may fill. Danger: memory over half
-/// of the limit is paid for, and answers, lists and the module's tables stand beside it.
+/// The share of the memory limit for client input that is not consumed yet. Danger: memory over half of the limit is
+/// charged, and answers, member lists and the module's tables need memory as well.
 const HELD_PART: f64 = 0.125;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Connections of clients and to nodes together.
+    /// Connections of clients and to nodes in total.
     pub room: usize,
-    /// Of these the clients' own and the nodes' own.
+    /// The clients' share of `room`, and the nodes' share.
     pub clients: usize,
     pub nodes: usize,
+    /// The part of the nodes' share that is never lent to clients.
     pub spare: usize,
-    /// From how many clients that have asked on the quiet ones are ended.
+    /// If more clients than this have sent a query, idle ones are closed.
     pub asked: usize,
-    /// Bytes.
+    /// Bytes of client input that may be buffered in total.
     pub held: usize,
 }
 
--- a/crates/router/src/limits/tests.rs
+++ b/crates/router/src/limits/tests.rs
@@ -2,28 +2,28 @@
 use rstest::rstest;
 
 #[rstest]
-#[case::least(256, 32, [224, 100, 124, 28, 64, 4 << 20])]
-#[case::most(1024, 192, [992, 446, 546, 124, 256, 24 << 20])]
+#[case::smallest(256, 32, [224, 100, 124, 28, 64, 4 << 20])]
+#[case::largest_deployed(1024, 192, [992, 446, 546, 124, 256, 24 << 20])]
 #[case::one_more_than_deployed(1025, 192, [993, 446, 547, 124, 361, 24 << 20])]
-#[case::wide(16_384, 192, [16_352, 7_358, 8_994, 2_044, 7_273, 24 << 20])]
-#[case::wide_with_little_memory(16_384, 64, [16_352, 7_358, 8_994, 2_044, 4_096, 8 << 20])]
-#[case::wide_with_hardly_any(16_384, 1, [16_352, 7_358, 8_994, 2_044, 256, 1 << 17])]
-fn limits_follow_from_those_told(#[case] sockets: usize, #[case] mb: usize, #[case] want: [usize; 6]) {
+#[case::large(16_384, 192, [16_352, 7_358, 8_994, 2_044, 7_273, 24 << 20])]
+#[case::large_with_little_memory(16_384, 64, [16_352, 7_358, 8_994, 2_044, 4_096, 8 << 20])]
+#[case::large_with_minimal_memory(16_384, 1, [16_352, 7_358, 8_994, 2_044, 256, 1 << 17])]
+fn limits_are_derived_from_configured_ones(#[case] sockets: usize, #[case] mb: usize, #[case] want: [usize; 6]) {
     let Limits { room, clients, nodes, spare, asked, held } = Limits::new(sockets, mb << 20);
     assert_eq!([room, clients, nodes, spare, asked, held], want);
 }
 
-/// What the deployment tells is shared out as its page says.
+/// Up to the deployment's largest descriptor limit, the documented quarter is used.
 #[rstest]
-fn up_to_the_deployments_most_a_quarter_stays(#[values(256, 384, 512, 768, 1023, 1024)] sockets: usize) {
+fn staying_clients_get_a_quarter_up_to_the_deployed_limit(#[values(256, 384, 512, 768, 1023, 1024)] sockets: usize) {
     for mb in [1, 32, 192] {
         assert_eq!(Limits::new(sockets, mb << 20).asked, sockets / 4, "{mb} MB");
     }
 }
 
-/// More descriptors or more memory never make fewer clients stay.
+/// More descriptors or more memory never reduce the number of clients that may stay connected.
 #[rstest]
-fn who_stays_grows_with_what_is_told() {
+fn staying_clients_never_decrease_with_larger_limits() {
     let asked = |sockets, mb: usize| Limits::new(sockets, mb << 20).asked;
     for sockets in (256..40_000).step_by(37) {
         for mb in [1, 8, 32, 64, 192, 1_024] {
--- a/crates/router/src/reasons.rs
+++ b/crates/router/src/reasons.rs
@@ -1,4 +1,4 @@
-//! Why connections are closed: typed reasons, counted by name and logged.
+//! Reasons for closing connections, counted by name and logged.
 
 use crate::ending::Cause;
 use std::collections::BTreeMap;
@@ -7,25 +7,25 @@
 /// Why a client's connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ClientClose {
-    /// It has closed or shut its sending side.
+    /// The client closed the connection or shut down its sending side.
     Left,
-    /// It was reset, or the system says that it is broken.
+    /// The connection was reset or failed.
     Broken,
-    /// It asked for the end of another client's command, and that was all.
+    /// The connection carried a cancel request only.
     Cancelled,
-    /// It was told the end and has closed.
+    /// The router shut down its side and the client has closed.
     Ended,
-    /// It did not read its answers, or did not close once it was told the end.
+    /// The client did not read its answers, or did not close after the router's shutdown, in time.
     Overdue,
-    /// Its descriptor was wanted for another.
+    /// Its descriptor was needed for another connection.
     GaveWay,
-    /// A panic while it was served.
+    /// A panic occurred while it was served.
     Panicked,
     ProcessEnds,
 }
 
 impl ClientClose {
-    /// Whether it was this side's choice, so that nothing may be owed.
+    /// True if the router chose to close, so that no command may be unanswered.
     pub fn is_ours(self) -> bool {
         matches!(
             self,
@@ -37,19 +37,19 @@
 /// Why a connection to a member is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberClose {
-    /// What it carried ended it.
+    /// The dispatch or probe on it ended in a way that closes the connection.
     Attempt(Cause),
-    /// It has idled for as long as one may.
+    /// The maximum idle time is over.
     Idle,
-    /// It ended, or sent something, while it idled.
+    /// The member closed it, or sent something, while it was idle.
     EndedIdle,
-    /// Connections to the member are not kept, or not to this address any more.
+    /// Connections to the member, or to this address, are no longer kept.
     LetGo,
-    /// Its descriptor was wanted for another.
+    /// Its descriptor was needed for another connection.
     GaveWay,
 }
 
-/// How often each reason came.
+/// Counts by reason.
 #[derive(Debug)]
 pub struct Tally<T>(BTreeMap<T, u64>);
 
--- a/crates/router/src/startup.rs
+++ b/crates/router/src/startup.rs
@@ -1,4 +1,4 @@
-//! What the program is told at its start, and again at each reload: the environment and the configuration.
+//! The environment and the configuration, read at the start and at each reload.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -11,18 +11,18 @@
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub seed: u64,
-    /// File descriptors that this process may hold.
+    /// Maximum number of file descriptors of this process.
     pub sockets: usize,
-    /// Bytes of memory that it may hold.
+    /// Memory limit in bytes.
     pub memory: usize,
     pub told: Told,
-    /// The list as this router had it most recently.
+    /// The member list that this router had most recently.
     pub known: Option<Sheet>,
-    /// What a running program can't change: field by field, as the file has it.
+    /// Configuration fields, as in the file, that take effect at a start only.
     pub fixed: BTreeMap<&'static str, Value>,
 }
 
-/// Reads the environment and the file it names. The error is one line that says what was expected.
+/// Reads the environment and the file that it names. The error is one line that names what was expected.
 pub fn read() -> Result<Start, String> {
     let path = std::env::var("NODE_CONFIG").map_err(|_| "expected the path of a JSON file in NODE_CONFIG")?;
     let text = std::fs::read_to_string(&path)
--- a/crates/router/src/startup/tests.rs
+++ b/crates/router/src/startup/tests.rs
@@ -2,7 +2,7 @@
 use rstest::rstest;
 
 #[rstest]
-fn a_configuration_is_read() {
+fn configuration_is_parsed() {
     let text = r#"{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
         "settings":{"kinds":["std-4","x,y"],"permissions":{"cancel":true}}}"#;
     let start = start(text, |_| None).expect("readable");
@@ -12,11 +12,11 @@
 }
 
 #[rstest]
-#[case::no_json("{", "expected JSON")]
-#[case::no_settings("{}", "'settings'")]
-#[case::no_address(r#"{"settings":{},"seed":"1"}"#, "'listen'")]
-#[case::bad_seed(r#"{"settings":{},"seed":"xyz"}"#, "'seed'")]
-fn what_was_expected_is_named(#[case] text: &str, #[case] expected: &str) {
+#[case::invalid_json("{", "expected JSON")]
+#[case::missing_settings("{}", "'settings'")]
+#[case::missing_address(r#"{"settings":{},"seed":"1"}"#, "'listen'")]
+#[case::invalid_seed(r#"{"settings":{},"seed":"xyz"}"#, "'seed'")]
+fn errors_name_what_was_expected(#[case] text: &str, #[case] expected: &str) {
     let why = start(text, |_| None).err().expect("unreadable");
     assert!(why.contains(expected) && !why.contains('\n'), "{why}");
 }
