--- a/crates/pgwire/src/lib.rs
+++ b/crates/pgwire/src/lib.rs
@@ -1,5 +1,5 @@
-//! Messages of version 3 of PostgreSQL's protocol. Heads are parsed where they lie, and messages are written
-//! to be sent with gathered writes. Nothing here performs I/O and nothing is decided.
+//! Messages of the PostgreSQL wire protocol, version 3: parsed in place, and written for vectored writes. This crate
+//! performs no I/O and makes no decisions.
 
 mod read;
 mod statement;
--- a/crates/pgwire/src/read.rs
+++ b/crates/pgwire/src/read.rs
@@ -1,10 +1,10 @@
-//! Takes messages apart where they lie. `None` stands for bytes that are still to come.
+//! Parses messages in place. `Ok(None)` means that more bytes are needed.
 
-/// The longest message taken: a value of 64 KiB as the text of a hex literal, with the statement round it.
+/// Maximum message length: a value of 64 KiB as a hex literal, plus the statement around it.
 pub const LONGEST: usize = 2 * 64 * 1024 + 8 * 1024;
-/// The longest opening packet, as PostgreSQL itself has it.
+/// Maximum length of an opening packet, the same as in PostgreSQL.
 const LONGEST_OPENING: usize = 10_000;
-/// The longest message of a node: a row of one value of 64 KiB, or an error of many words.
+/// Maximum length of a message from a node: a row of one 64 KiB value, or a long error.
 const LONGEST_ANSWER: usize = 64 * 1024 + 1024;
 
 const VERSION_3: u32 = 3 << 16;
@@ -12,28 +12,28 @@
 const SSL: u32 = 80_877_103;
 const GSS: u32 = 80_877_104;
 
-/// What can't be read on from.
+/// Why the input cannot be parsed any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unreadable {
     Length(u32),
     Version(u32),
     Kind(u8),
-    /// A row whose one column does not fill it.
+    /// A row that does not consist of exactly one column.
     Row,
 }
 
-/// What a client may open its connection with.
+/// The packet with which a client opens its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Opening {
-    /// Startup, with the minor version asked for.
+    /// Startup, with the requested minor version.
     Startup(u32),
     /// A request for TLS or GSS encryption.
     Encryption,
-    /// The key data of the connection whose query in hand is to end.
+    /// Cancel request, with the key data of the connection whose current query is to be cancelled.
     Cancel(u64),
 }
 
-/// A message after the opening: its kind, its body and the bytes that it takes up in all.
+/// A message after the opening: its kind, its body and its total size in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Message<'a> {
     pub kind: u8,
@@ -67,7 +67,7 @@
     Ok(Some((opening, size)))
 }
 
-/// The next message of either side.
+/// The next message of a client or a node.
 pub fn message(bytes: &[u8]) -> Result<Option<Message<'_>>, Unreadable> {
     let Some(length) = word(bytes, 1) else { return Ok(None) };
     let size = length as usize + 1;
@@ -77,7 +77,7 @@
     Ok(bytes.get(5..size).map(|body| Message { kind: bytes[0], body, size }))
 }
 
-/// The next message of a node. What can't be one is seen from its head, before the rest has come.
+/// The next message of a node. An invalid message is rejected by its header, before the rest has arrived.
 pub fn answer(bytes: &[u8]) -> Result<Option<Message<'_>>, Unreadable> {
     if let Some(kind) = bytes.first().filter(|kind| !b"RKvSNATDCEZ".contains(kind)) {
         return Err(Unreadable::Kind(*kind));
@@ -100,7 +100,7 @@
     body.strip_prefix(&[0, 1]).and_then(text).is_some_and(|(_, rest)| rest.len() == 18)
 }
 
-/// The text up to the first zero byte, and what follows that byte.
+/// The text up to the first zero byte, and the bytes after it.
 pub fn text(body: &[u8]) -> Option<(&[u8], &[u8])> {
     let end = body.iter().position(|b| *b == 0)?;
     Some((&body[..end], &body[end + 1..]))
--- a/crates/pgwire/src/statement.rs
+++ b/crates/pgwire/src/statement.rs
@@ -1,8 +1,8 @@
-//! What a statement says of itself: the names and values of its comment, and its first quoted literal.
+//! Parses the metadata of a statement: the names and values in its comment, and its first quoted literal.
 
 use std::ops::Range;
 
-/// A statement taken apart; everything points into its text.
+/// The metadata of a statement, borrowed from its text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Said<'a> {
     pub id: &'a str,
@@ -13,13 +13,13 @@
     pub repeat: bool,
     /// The first quoted literal, without its quotes.
     pub key: Option<&'a str>,
-    /// How long the client waits, and where in the statement that stands.
+    /// The client timeout, and its position in the statement.
     pub wait: &'a str,
     pub wait_at: Range<usize>,
 }
 
-/// The first quoted literal and the last comment of a statement, as ranges without their marks, and whether
-/// anything stands outside comments.
+/// The first quoted literal and the last comment of a statement, as ranges without their delimiters, and whether
+/// there is anything outside comments.
 fn parts(text: &[u8]) -> (Option<Range<usize>>, Option<Range<usize>>, bool) {
     let (mut literal, mut comment, mut more) = (None, None, false);
     let mut at = 0;
@@ -48,12 +48,12 @@
     (literal, comment, more)
 }
 
-/// True for a statement that asks for nothing.
+/// True for a statement that consists of comments, blanks and semicolons only.
 pub fn is_empty(statement: &[u8]) -> bool {
     !parts(statement).2
 }
 
-/// Reads the comment; the error names what is missing.
+/// Parses the comment; the error names what is missing.
 pub fn said(statement: &[u8]) -> Result<Said<'_>, &'static str> {
     let whole = std::str::from_utf8(statement).map_err(|_| "the statement is not UTF-8")?;
     let (literal, comment, _) = parts(statement);
@@ -65,7 +65,8 @@
     while let Some(piece) = pieces.next() {
         let start = at;
         at += piece.len() + 1;
-        // Danger: what is named "a, b" is taken for "a". A value goes on until a name and a sign follow.
+        // Danger: without this, the value "a, b" would be read as "a". A value continues until a piece with a name and
+        // an equals sign follows.
         while let Some(more) = pieces.next_if(|p| !p.contains('=') && !p.trim().is_empty()) {
             at += more.len() + 1;
         }
--- a/crates/pgwire/src/tests.rs
+++ b/crates/pgwire/src/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[rstest]
-fn a_message_cut_anywhere_is_still_to_come() {
+fn truncated_message_is_incomplete() {
     let whole = query(QUERY);
     for end in 0..whole.len() {
         assert_eq!(message(&whole[..end]), Ok(None), "cut at {end}");
@@ -28,7 +28,7 @@
 #[case::tls(80_877_103, Opening::Encryption)]
 #[case::gss(80_877_104, Opening::Encryption)]
 #[case::cancel(80_877_102, Opening::Cancel(u64::from_be_bytes(*b"user\0svc")))]
-fn an_opening_cut_anywhere_is_still_to_come(#[case] version: u32, #[case] want: Opening) {
+fn truncated_opening_is_incomplete(#[case] version: u32, #[case] want: Opening) {
     let mut whole = Vec::new();
     startup(&mut whole, "svc", "main");
     whole[4..8].copy_from_slice(&version.to_be_bytes());
@@ -39,19 +39,19 @@
 }
 
 #[rstest]
-#[case::none(0, false)]
+#[case::zero(0, false)]
 #[case::three(3, false)]
-#[case::least(4, true)]
-#[case::most(LONGEST as u32 - 1, true)]
-#[case::beyond(LONGEST as u32, false)]
+#[case::minimum(4, true)]
+#[case::maximum(LONGEST as u32 - 1, true)]
+#[case::above_maximum(LONGEST as u32, false)]
 #[case::negative(u32::MAX, false)]
-fn lengths_have_bounds(#[case] length: u32, #[case] readable: bool) {
+fn message_length_is_bounded(#[case] length: u32, #[case] readable: bool) {
     let head = [&[b'Q'][..], &length.to_be_bytes()].concat();
     assert_eq!(message(&head).is_ok(), readable);
 }
 
 #[rstest]
-fn what_a_statement_says_is_found_where_it_stands() {
+fn statement_metadata_is_parsed_with_positions() {
     let said = said(QUERY.as_bytes()).expect("readable");
     assert_eq!((said.id, said.group, said.customer, said.set), ("i1", "look", Some("acme"), Some("2")));
     assert_eq!((said.after, said.repeat, said.key, said.wait), (Some("12"), true, Some("k1"), "480"));
@@ -62,7 +62,7 @@
 #[case::comment_in_a_literal("SELECT '/* id=x,c=y,d=1 */'", None)]
 #[case::literal_before("INSERT INTO r VALUES ('/*', 'z') /* id=i,c=g,d= 7 */", Some("/*"))]
 #[case::two_comments("/* id=a,c=b,d=1 */ SELECT 'k' /* id=i,c=g,d=7 */", Some("k"))]
-fn only_the_last_comment_outside_literals_counts(#[case] statement: &str, #[case] key: Option<&str>) {
+fn only_last_comment_outside_literals_is_parsed(#[case] statement: &str, #[case] key: Option<&str>) {
     let found = said(statement.as_bytes()).ok();
     assert_eq!(found.as_ref().map(|s| (s.id, s.wait)), key.map(|_| ("i", "7")));
     assert_eq!(found.and_then(|s| s.key), key);
@@ -70,10 +70,10 @@
 
 #[rstest]
 #[case::commas("/*id=i, t= a, b,c ,c=x, y ,d=7*/", ("a, b,c", "x, y", "7"))]
-#[case::last("/*id=i,d=7,c=x,t=a,b */", ("a,b", "x", "7"))]
-#[case::signs("/*id=i,d=7,t=a=b=,c==x*/", ("a=b=", "=x", "7"))]
+#[case::comma_in_last_value("/*id=i,d=7,c=x,t=a,b */", ("a,b", "x", "7"))]
+#[case::equals_signs("/*id=i,d=7,t=a=b=,c==x*/", ("a=b=", "=x", "7"))]
 #[case::no_values("/*ping, id=i,t=a,,d=7,c=x, */", ("a", "x", "7"))]
-fn a_value_goes_on_until_a_name_follows(#[case] statement: &str, #[case] want: (&str, &str, &str)) {
+fn value_with_commas_extends_to_the_next_name(#[case] statement: &str, #[case] want: (&str, &str, &str)) {
     let found = said(statement.as_bytes()).expect("readable");
     assert_eq!((found.customer.unwrap_or_default(), found.group, found.wait), want);
     assert_eq!(&statement[found.wait_at], found.wait);
@@ -82,16 +82,16 @@
 #[rstest]
 #[case::nothing("", true)]
 #[case::blank(" \n;; ", true)]
-#[case::comment_alone("/* ping */", true)]
-#[case::open_comment("/* ping", false)]
+#[case::only_comment("/* ping */", true)]
+#[case::unterminated_comment("/* ping", false)]
 #[case::literal("''", false)]
 #[case::statement("SELECT 1", false)]
-fn empty_is_what_asks_for_nothing(#[case] statement: &str, #[case] empty: bool) {
+fn statement_without_content_is_empty(#[case] statement: &str, #[case] empty: bool) {
     assert_eq!(is_empty(statement.as_bytes()), empty);
 }
 
 #[rstest]
-fn a_statement_cut_anywhere_is_refused_or_read() {
+fn truncated_or_invalid_statement_is_rejected() {
     for end in 0..QUERY.len() {
         assert!(said(&QUERY.as_bytes()[..end]).is_err(), "cut at {end}");
     }
@@ -99,7 +99,7 @@
 }
 
 #[rstest]
-fn errors_and_parameters_are_read_as_written() {
+fn errors_and_parameters_round_trip() {
     let mut out = Vec::new();
     error(&mut out, false, "53300", "with\0zero", Some("250"));
     let found = message(&out).expect("readable").expect("whole");
@@ -117,28 +117,28 @@
 #[case::null(&[0, 1, 255, 255, 255, 255], None)]
 #[case::two(&[0, 2, 0, 0, 0, 0, 0, 0, 0, 0], None)]
 #[case::too_long(&[0, 1, 0, 0, 0, 9, b'a'], None)]
-#[case::cut(&[0], None)]
-fn a_row_has_exactly_one_column(#[case] body: &[u8], #[case] value: Option<&[u8]>) {
+#[case::truncated(&[0], None)]
+fn row_must_have_exactly_one_column(#[case] body: &[u8], #[case] value: Option<&[u8]>) {
     assert_eq!(one_column(body), value);
 }
 
 #[rstest]
 #[case::unknown_kind(b"?", Unreadable::Kind(b'?'))]
-#[case::words(b"HTTP/1.1 200", Unreadable::Kind(b'H'))]
+#[case::http_response(b"HTTP/1.1 200", Unreadable::Kind(b'H'))]
 #[case::three_gigabytes(b"D\xb2\xd0\x5e\x00", Unreadable::Length(3_000_000_000))]
 #[case::too_long(b"S\x00\x01\x10\x00", Unreadable::Length(69_632))]
-#[case::ready_and_more(b"Z\x00\x00\x00\x06", Unreadable::Length(6))]
+#[case::ready_too_long(b"Z\x00\x00\x00\x06", Unreadable::Length(6))]
 #[case::two_columns(b"D\x00\x00\x00\x0b\x00\x02\x00\x00\x00\x01", Unreadable::Row)]
-#[case::column_past_its_row(b"D\x00\x00\x00\x0b\x00\x01\x00\x00\x00\x09", Unreadable::Row)]
+#[case::column_beyond_its_row(b"D\x00\x00\x00\x0b\x00\x01\x00\x00\x00\x09", Unreadable::Row)]
 #[case::null(b"D\x00\x00\x00\x0b\x00\x01\xff\xff\xff\xff", Unreadable::Row)]
-fn what_no_node_sends_is_seen_from_its_head(#[case] head: &[u8], #[case] why: Unreadable) {
+fn invalid_node_message_is_rejected_by_its_header(#[case] head: &[u8], #[case] why: Unreadable) {
     assert_eq!(answer(head), Err(why));
     let cut: Vec<_> = (0..head.len()).map(|end| answer(&head[..end])).collect();
     assert!(cut.iter().all(|found| *found == Ok(None) || *found == Err(why)), "{cut:?}");
 }
 
 #[rstest]
-fn a_row_of_the_longest_value_is_taken() {
+fn row_with_the_longest_value_is_accepted() {
     let value = vec![7; 64 * 1024];
     let body = [&[0, 1][..], &(value.len() as u32).to_be_bytes(), &value].concat();
     let whole = [&b"D"[..], &(body.len() as u32 + 4).to_be_bytes(), &body].concat();
@@ -152,8 +152,8 @@
 #[rstest]
 #[case::one(b"\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01", true)]
 #[case::two(b"\x00\x02v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01", false)]
-#[case::cut(b"\x00\x01v\x00\x00\x00\x00\x00\x00", false)]
-#[case::no_end(b"\x00\x01vvvvvv", false)]
-fn a_description_is_of_one_column(#[case] body: &[u8], #[case] one: bool) {
+#[case::truncated(b"\x00\x01v\x00\x00\x00\x00\x00\x00", false)]
+#[case::unterminated_name(b"\x00\x01vvvvvv", false)]
+fn row_description_must_have_one_column(#[case] body: &[u8], #[case] one: bool) {
     assert_eq!(describes_one(body), one);
 }
--- a/crates/pgwire/src/write.rs
+++ b/crates/pgwire/src/write.rs
@@ -1,4 +1,4 @@
-//! Writes messages.
+//! Serializes messages.
 
 /// Appends a message of `kind` whose body `fill` writes.
 fn framed(out: &mut Vec<u8>, kind: u8, fill: impl FnOnce(&mut Vec<u8>)) {
@@ -6,7 +6,7 @@
     counted(out, fill);
 }
 
-/// Appends a length that counts itself, and what `fill` writes.
+/// Appends a length that includes itself, followed by what `fill` writes.
 fn counted(out: &mut Vec<u8>, fill: impl FnOnce(&mut Vec<u8>)) {
     let at = out.len();
     out.extend([0; 4]);
@@ -30,8 +30,8 @@
     });
 }
 
-/// What answers a startup: no password, the parameters clients look for, ready for a query. A newer minor
-/// version is answered with 3.0. `key` is what a cancel must name: a process and a secret.
+/// The response to a startup: no password, the parameters that clients expect, ready for a query. A newer minor
+/// version is negotiated down to 3.0. `key` is what a cancel request must carry: a process id and a secret.
 pub fn welcome(out: &mut Vec<u8>, minor: u32, key: u64) {
     if minor > 0 {
         framed(out, b'v', |out| out.extend([0; 8]));
@@ -56,7 +56,7 @@
     framed(out, b'S', |out| [name, value].iter().for_each(|t| zero_ended(out, t)));
 }
 
-/// An answer of one row with one binary column named `v`, up to its CommandComplete.
+/// A result of one row with one binary column named `v`, up to and including CommandComplete.
 pub fn one_row(out: &mut Vec<u8>, value: &[u8]) {
     framed(out, b'T', |out| {
         out.extend([0, 1]);
@@ -100,7 +100,7 @@
     });
 }
 
-/// The head of a simple query whose statement, without its closing zero byte, has this length.
+/// The header of a simple query whose statement has this length without its terminating zero byte.
 pub fn query_head(statement: usize) -> [u8; 5] {
     let mut head = [b'Q', 0, 0, 0, 0];
     head[1..].copy_from_slice(&(statement as u32 + 5).to_be_bytes());
