--- a/crates/pgwire/src/read.rs
+++ b/crates/pgwire/src/read.rs
@@ -1,11 +1,11 @@
 //! Parses messages in place. `Ok(None)` means that more bytes are needed.
 
 /// Maximum message length: a value of 64 KiB as a hex literal, plus the statement around it.
-pub const LONGEST: usize = 2 * 64 * 1024 + 8 * 1024;
+pub const MAX_MESSAGE: usize = 2 * 64 * 1024 + 8 * 1024;
 /// Maximum length of an opening packet, the same as in PostgreSQL.
-const LONGEST_OPENING: usize = 10_000;
+const MAX_OPENING: usize = 10_000;
 /// Maximum length of a message from a node: a row of one 64 KiB value, or a long error.
-const LONGEST_ANSWER: usize = 64 * 1024 + 1024;
+const MAX_NODE_MESSAGE: usize = 64 * 1024 + 1024;
 
 const VERSION_3: u32 = 3 << 16;
 const CANCEL: u32 = 80_877_102;
@@ -41,24 +41,24 @@
     pub size: usize,
 }
 
-fn word(bytes: &[u8], at: usize) -> Option<u32> {
+fn read_u32(bytes: &[u8], at: usize) -> Option<u32> {
     Some(u32::from_be_bytes(bytes.get(at..at + 4)?.try_into().ok()?))
 }
 
 /// The opening packet and its size.
 pub fn opening(bytes: &[u8]) -> Result<Option<(Opening, usize)>, Unreadable> {
-    let Some(length) = word(bytes, 0) else { return Ok(None) };
+    let Some(length) = read_u32(bytes, 0) else { return Ok(None) };
     let size = length as usize;
-    if !(8..=LONGEST_OPENING).contains(&size) {
+    if !(8..=MAX_OPENING).contains(&size) {
         return Err(Unreadable::Length(length));
     }
     if bytes.len() < size {
         return Ok(None);
     }
-    let opening = match word(bytes, 4).unwrap_or_default() {
+    let opening = match read_u32(bytes, 4).unwrap_or_default() {
         SSL | GSS => Opening::Encryption,
         CANCEL => {
-            let [process, secret] = [8, 12].map(|at| word(&bytes[..size], at).unwrap_or_default());
+            let [process, secret] = [8, 12].map(|at| read_u32(&bytes[..size], at).unwrap_or_default());
             Opening::Cancel(u64::from(process) << 32 | u64::from(secret))
         }
         version if version >> 16 == VERSION_3 >> 16 => Opening::Startup(version & 0xffff),
@@ -69,9 +69,9 @@
 
 /// The next message of a client or a node.
 pub fn message(bytes: &[u8]) -> Result<Option<Message<'_>>, Unreadable> {
-    let Some(length) = word(bytes, 1) else { return Ok(None) };
+    let Some(length) = read_u32(bytes, 1) else { return Ok(None) };
     let size = length as usize + 1;
-    if !(5..=LONGEST).contains(&size) {
+    if !(5..=MAX_MESSAGE).contains(&size) {
         return Err(Unreadable::Length(length));
     }
     Ok(bytes.get(5..size).map(|body| Message { kind: bytes[0], body, size }))
@@ -82,12 +82,12 @@
     if let Some(kind) = bytes.first().filter(|kind| !b"RKvSNATDCEZ".contains(kind)) {
         return Err(Unreadable::Kind(*kind));
     }
-    if let Some(length) = word(bytes, 1) {
-        let fits = if bytes[0] == b'Z' { length == 5 } else { length as usize <= LONGEST_ANSWER };
+    if let Some(length) = read_u32(bytes, 1) {
+        let fits = if bytes[0] == b'Z' { length == 5 } else { length as usize <= MAX_NODE_MESSAGE };
         if !fits {
             return Err(Unreadable::Length(length));
         }
-        let column = word(bytes, 7).filter(|_| bytes[0] == b'D');
+        let column = read_u32(bytes, 7).filter(|_| bytes[0] == b'D');
         if column.is_some_and(|column| bytes[5..7] != [0, 1] || u64::from(column) + 10 != u64::from(length)) {
             return Err(Unreadable::Row);
         }
@@ -134,6 +134,6 @@
 pub fn one_column(body: &[u8]) -> Option<&[u8]> {
     let (count, rest) = body.split_at_checked(2)?;
     let (length, value) = rest.split_at_checked(4)?;
-    let told = u32::from_be_bytes(length.try_into().ok()?) as usize;
-    (count == [0, 1] && told == value.len()).then_some(value)
+    let declared = u32::from_be_bytes(length.try_into().ok()?) as usize;
+    (count == [0, 1] && declared == value.len()).then_some(value)
 }
--- a/crates/pgwire/src/statement.rs
+++ b/crates/pgwire/src/statement.rs
@@ -20,7 +20,7 @@
 
 /// The first quoted literal and the last comment of a statement, as ranges without their delimiters, and whether
 /// there is anything outside comments.
-fn parts(text: &[u8]) -> (Option<Range<usize>>, Option<Range<usize>>, bool) {
+fn scan(text: &[u8]) -> (Option<Range<usize>>, Option<Range<usize>>, bool) {
     let (mut literal, mut comment, mut more) = (None, None, false);
     let mut at = 0;
     while at < text.len() {
@@ -50,13 +50,13 @@
 
 /// True for a statement that consists of comments, blanks and semicolons only.
 pub fn is_empty(statement: &[u8]) -> bool {
-    !parts(statement).2
+    !scan(statement).2
 }
 
 /// Parses the comment; the error names what is missing.
 pub fn said(statement: &[u8]) -> Result<Said<'_>, &'static str> {
     let whole = std::str::from_utf8(statement).map_err(|_| "the statement is not UTF-8")?;
-    let (literal, comment, _) = parts(statement);
+    let (literal, comment, _) = scan(statement);
     let comment = comment.ok_or("the statement has no comment")?;
     let (mut id, mut group, mut customer, mut set, mut after) = (None, None, None, None, None);
     let (mut wait, mut repeat) = (None, false);
--- a/crates/pgwire/src/tests.rs
+++ b/crates/pgwire/src/tests.rs
@@ -42,8 +42,8 @@
 #[case::zero(0, false)]
 #[case::three(3, false)]
 #[case::minimum(4, true)]
-#[case::maximum(LONGEST as u32 - 1, true)]
-#[case::above_maximum(LONGEST as u32, false)]
+#[case::maximum(MAX_MESSAGE as u32 - 1, true)]
+#[case::above_maximum(MAX_MESSAGE as u32, false)]
 #[case::negative(u32::MAX, false)]
 fn message_length_is_bounded(#[case] length: u32, #[case] readable: bool) {
     let head = [&[b'Q'][..], &length.to_be_bytes()].concat();
--- a/crates/pgwire/src/write.rs
+++ b/crates/pgwire/src/write.rs
@@ -1,13 +1,13 @@
 //! Serializes messages.
 
 /// Appends a message of `kind` whose body `fill` writes.
-fn framed(out: &mut Vec<u8>, kind: u8, fill: impl FnOnce(&mut Vec<u8>)) {
+fn write_message(out: &mut Vec<u8>, kind: u8, fill: impl FnOnce(&mut Vec<u8>)) {
     out.push(kind);
-    counted(out, fill);
+    write_length_prefixed(out, fill);
 }
 
 /// Appends a length that includes itself, followed by what `fill` writes.
-fn counted(out: &mut Vec<u8>, fill: impl FnOnce(&mut Vec<u8>)) {
+fn write_length_prefixed(out: &mut Vec<u8>, fill: impl FnOnce(&mut Vec<u8>)) {
     let at = out.len();
     out.extend([0; 4]);
     fill(out);
@@ -15,17 +15,17 @@
     out[at..at + 4].copy_from_slice(&length.to_be_bytes());
 }
 
-fn zero_ended(out: &mut Vec<u8>, text: &str) {
+fn write_c_string(out: &mut Vec<u8>, text: &str) {
     out.extend(text.bytes().filter(|b| *b != 0));
     out.push(0);
 }
 
 /// The startup packet of a client.
 pub fn startup(out: &mut Vec<u8>, user: &str, database: &str) {
-    counted(out, |out| {
+    write_length_prefixed(out, |out| {
         out.extend((3u32 << 16).to_be_bytes());
         for text in ["user", user, "database", database, ""] {
-            zero_ended(out, text);
+            write_c_string(out, text);
         }
     });
 }
@@ -34,9 +34,9 @@
 /// version is negotiated down to 3.0. `key` is what a cancel request must carry: a process id and a secret.
 pub fn welcome(out: &mut Vec<u8>, minor: u32, key: u64) {
     if minor > 0 {
-        framed(out, b'v', |out| out.extend([0; 8]));
+        write_message(out, b'v', |out| out.extend([0; 8]));
     }
-    framed(out, b'R', |out| out.extend([0; 4]));
+    write_message(out, b'R', |out| out.extend([0; 4]));
     for (name, value) in [
         ("server_version", "15.0"),
         ("server_encoding", "UTF8"),
@@ -47,29 +47,29 @@
     ] {
         parameter_status(out, name, value);
     }
-    framed(out, b'K', |out| out.extend(key.to_be_bytes()));
+    write_message(out, b'K', |out| out.extend(key.to_be_bytes()));
     ready(out);
 }
 
 /// A ParameterStatus.
 pub fn parameter_status(out: &mut Vec<u8>, name: &str, value: &str) {
-    framed(out, b'S', |out| [name, value].iter().for_each(|t| zero_ended(out, t)));
+    write_message(out, b'S', |out| [name, value].iter().for_each(|t| write_c_string(out, t)));
 }
 
 /// A result of one row with one binary column named `v`, up to and including CommandComplete.
 pub fn one_row(out: &mut Vec<u8>, value: &[u8]) {
-    framed(out, b'T', |out| {
+    write_message(out, b'T', |out| {
         out.extend([0, 1]);
-        zero_ended(out, "v");
+        write_c_string(out, "v");
         // No table, type bytea of any length, binary.
         out.extend([0, 0, 0, 0, 0, 0, 0, 0, 0, 17, 255, 255, 255, 255, 255, 255, 0, 1]);
     });
-    framed(out, b'D', |out| {
+    write_message(out, b'D', |out| {
         out.extend([0, 1]);
         out.extend((value.len() as u32).to_be_bytes());
         out.extend(value);
     });
-    framed(out, b'C', |out| zero_ended(out, "SELECT 1"));
+    write_message(out, b'C', |out| write_c_string(out, "SELECT 1"));
 }
 
 /// A simple query.
@@ -80,21 +80,21 @@
 }
 
 pub fn ready(out: &mut Vec<u8>) {
-    framed(out, b'Z', |out| out.push(b'I'));
+    write_message(out, b'Z', |out| out.push(b'I'));
 }
 
 pub fn empty_query(out: &mut Vec<u8>) {
-    framed(out, b'I', |_| {});
+    write_message(out, b'I', |_| {});
 }
 
 /// An ErrorResponse; `detail` becomes its field D.
 pub fn error(out: &mut Vec<u8>, fatal: bool, sqlstate: &str, text: &str, detail: Option<&str>) {
     let severity = if fatal { "FATAL" } else { "ERROR" };
-    framed(out, b'E', |out| {
+    write_message(out, b'E', |out| {
         let fields = [(b'S', severity), (b'V', severity), (b'C', sqlstate), (b'M', text)];
         for (field, value) in fields.into_iter().chain(detail.map(|d| (b'D', d))) {
             out.push(field);
-            zero_ended(out, value);
+            write_c_string(out, value);
         }
         out.push(0);
     });
--- a/crates/router/src/arrival.rs
+++ b/crates/router/src/arrival.rs
@@ -7,7 +7,7 @@
 use vetchkeel::Tenths;
 
 /// The smallest age that is reported: the kernel counts in ticks of up to 10 ms, so shorter ages count as 0.
-pub const CERTAIN: Tenths = 120;
+pub const MIN_AGE: Tenths = 120;
 
 /// The kernel's `TCP_INFO` of a connection; None if it is not available.
 fn info(stream: &TcpStream) -> Option<libc::tcp_info> {
@@ -22,10 +22,10 @@
     }
 }
 
-/// The time since the last bytes arrived; 0 if it is unknown or below `CERTAIN`.
+/// The time since the last bytes arrived; 0 if it is unknown or below `MIN_AGE`.
 pub fn waited(stream: &TcpStream) -> Tenths {
     let age = info(stream).map_or(0, |info| Tenths::from(info.tcpi_last_data_recv) * 10);
-    if age >= CERTAIN { age } else { 0 }
+    if age >= MIN_AGE { age } else { 0 }
 }
 
 /// True if, by the kernel's ticks, the last bytes arrived no earlier than the last ones were sent.
--- a/crates/router/src/arrival/tests.rs
+++ b/crates/router/src/arrival/tests.rs
@@ -16,6 +16,6 @@
         found = waited(&stream);
     }
     // The kernel may count one tick more than the elapsed time.
-    let most = (sent.elapsed().as_micros() / 100) as Tenths + CERTAIN;
-    assert!((CERTAIN..=most).contains(&found), "{found} of {most}");
+    let most = (sent.elapsed().as_micros() / 100) as Tenths + MIN_AGE;
+    assert!((MIN_AGE..=most).contains(&found), "{found} of {most}");
 }
--- a/crates/router/src/catch_up.rs
+++ b/crates/router/src/catch_up.rs
@@ -3,29 +3,29 @@
 //! meanwhile may forbid the write: a cancel request, a member's report that it is no longer primary, a changed member
 //! list.
 
-use crate::{OVERDUE, Program};
+use crate::{Program, STALL_THRESHOLD};
 use calloop::EventLoop;
 use std::time::Duration;
 use vetchkeel::Tenths;
 
 /// The maximum age of the last poll when an attempt is written. The operators' documentation allows 100 ms after a
 /// cancel request and after an answer.
-const LOOK_MOST: Tenths = 500;
+const MAX_POLL_AGE: Tenths = 500;
 /// The maximum number of consecutive polls when each of them stalls.
-const POLLS_MOST: u32 = 4;
+const MAX_POLLS: u32 = 4;
 
 /// Waits for events and handles them; polls again without waiting if that took long, as more input may have arrived.
 pub fn poll(event_loop: &mut EventLoop<'static, Program>, program: &mut Program) -> calloop::Result<()> {
-    program.looked_at = program.clock.now();
-    event_loop.dispatch(program.sleep(), program)?;
+    program.last_poll = program.clock.now();
+    event_loop.dispatch(program.poll_timeout(), program)?;
     let mut behind = program.is_behind();
-    for _ in 1..POLLS_MOST {
+    for _ in 1..MAX_POLLS {
         if !behind {
             break;
         }
-        program.looked_at = program.clock.now();
+        program.last_poll = program.clock.now();
         event_loop.dispatch(Some(Duration::ZERO), program)?;
-        behind = program.looked_long_ago();
+        behind = program.poll_is_stale();
     }
     Ok(())
 }
@@ -34,26 +34,27 @@
     /// True if the last poll was long ago or a deadline is overdue: the process may have been stalled. Danger: when a
     /// stopped process continues, its poll returns without the input that arrived meanwhile.
     pub fn is_behind(&self) -> bool {
-        self.looked_long_ago() || self.deadlines.first().is_some_and(|at| at + OVERDUE < self.clock.now())
+        self.poll_is_stale()
+            || self.deadlines.first().is_some_and(|at| at + STALL_THRESHOLD < self.clock.now())
     }
 
-    fn looked_long_ago(&self) -> bool {
-        self.clock.now() - self.looked_at > LOOK_MOST
+    fn poll_is_stale(&self) -> bool {
+        self.clock.now() - self.last_poll > MAX_POLL_AGE
     }
 
     /// Reads pending input if the last poll was long ago; called before decisions are pulled and before an attempt is
     /// written.
     pub fn catch_up(&mut self) {
         self.read_clock();
-        if self.looked_long_ago() {
-            self.look_at_what_forbids();
-            self.tell_news();
+        if self.poll_is_stale() {
+            self.read_pending_input();
+            self.pass_results();
         }
     }
 
     /// Reads all input that may forbid a write. A client's own connection is checked at each write (`see_leaving`).
-    fn look_at_what_forbids(&mut self) {
-        self.looked_at = self.now;
+    fn read_pending_input(&mut self) {
+        self.last_poll = self.now;
         self.hear_watch();
         self.accept_waiting();
         for key in self.clients.opening() {
--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -6,16 +6,16 @@
 mod unsent;
 
 use crate::Program;
-use crate::arrival::{CERTAIN, waited};
+use crate::arrival::{MIN_AGE, waited};
 use crate::deadlines::Due;
 use crate::invariants::Violation;
 use crate::keys::{ClientKey, CommandKey};
-use crate::leaving::has_gone;
+use crate::leaving::is_disconnected;
 use crate::reasons::ClientClose;
 use crate::transient::{Backoff, is_transient};
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
-use crowd::ACCEPT_AGAIN;
+use crowd::ACCEPT_RETRY_INTERVAL;
 use slotmap::{Key, SlotMap};
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -25,20 +25,20 @@
 use unsent::Unsent;
 use vetchkeel::Tenths;
 use vetchkeel_log::log;
-use vetchkeel_pgwire::{self as pgwire, LONGEST, Opening, Unreadable};
+use vetchkeel_pgwire::{self as pgwire, MAX_MESSAGE, Opening, Unreadable};
 
 /// How long a client may take from connecting to its first complete query, and for any message that it has begun; to
 /// read its answers; to close after the router has shut down its side.
-const BEGUN_MOST: Tenths = 25_000;
+const MESSAGE_TIMEOUT: Tenths = 25_000;
 const PATIENCE: Tenths = 100_000;
-const CLOSING: Tenths = 10_000;
+const CLOSE_TIMEOUT: Tenths = 10_000;
 /// Reads and messages that one client may use up in one round of the event loop.
-const TURN_MOST: u32 = 32;
-/// Resolution for comparing arrival times on two connections, each of which is known to within `CERTAIN`.
-const SAME_MOMENT: Tenths = 2 * CERTAIN;
+const MAX_STEPS_PER_ROUND: u32 = 32;
+/// Resolution for comparing arrival times on two connections, each of which is known to within `MIN_AGE`.
+const ARRIVAL_SLACK: Tenths = 2 * MIN_AGE;
 /// Unsent bytes above which a client is not read any more, and bytes read ahead while its command is open.
-const UNSENT_MOST: usize = 64 * 1024;
-const BEHIND_MOST: usize = 16 * 1024;
+const MAX_UNSENT: usize = 64 * 1024;
+const MAX_READ_AHEAD: usize = 16 * 1024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
@@ -49,7 +49,7 @@
     /// The pending output is written, then the sending side is shut down.
     Ending,
     /// The sending side is shut down; the client has not closed yet.
-    Told,
+    ShutDown,
 }
 
 struct Client {
@@ -60,24 +60,24 @@
     /// The number of bytes read so far, and for each read the count behind it and its arrival time. A message's
     /// arrival time is that of the read that contains its last byte.
     read: u64,
-    marks: VecDeque<(u64, Tenths)>,
+    arrivals: VecDeque<(u64, Tenths)>,
     output: VecDeque<Vec<u8>>,
     /// Bytes already written of the first buffer in `output`.
     written: usize,
     unsent: usize,
     command: Option<CommandKey>,
     /// When the query of the open command arrived.
-    came: Tenths,
-    /// The client has sent a query (`asked`), and one that became a command (`served`).
-    asked: bool,
+    query_at: Tenths,
+    /// The client has sent a query (`sent_query`), and one that became a command (`served`).
+    sent_query: bool,
     served: bool,
     /// Reading is paused because enough bytes are buffered.
     paused: bool,
-    quiet_since: Tenths,
+    idle_since: Tenths,
     retry: Backoff,
     /// The round in which it was last read, and the reads and messages that it used up in that round.
-    turn: u64,
-    spent: u32,
+    round: u64,
+    used_quota: u32,
 }
 
 #[derive(Default)]
@@ -85,18 +85,18 @@
     table: SlotMap<ClientKey, Client>,
     pub listener: Option<(Rc<TcpListener>, RegistrationToken)>,
     /// At the connection limit: clients wait to be accepted until one of the current ones has closed.
-    crowded: bool,
+    at_capacity: bool,
     /// How many more times the listener is polled for clients that wait to be accepted.
-    accept_looks: u32,
+    accept_polls: u32,
     /// The clients with output to write.
     unsent: Unsent,
     /// Clients that have used up their share of this round: they are read again in the next.
-    later: Vec<ClientKey>,
-    turn: u64,
+    deferred: Vec<ClientKey>,
+    round: u64,
     /// Bytes read from all clients together and not consumed yet.
-    held: usize,
+    buffered: usize,
     /// The process is about to end: nothing more is read from clients.
-    deaf: bool,
+    reading_stopped: bool,
     /// Seed of the secrets for cancel requests.
     seed: u64,
 }
@@ -113,8 +113,8 @@
         key.data().as_ffi() << 32 | secret.finish() >> 32
     }
 
-    pub fn has_later(&self) -> bool {
-        !self.later.is_empty()
+    pub fn has_deferred(&self) -> bool {
+        !self.deferred.is_empty()
     }
 
     pub fn count(&self) -> usize {
@@ -137,19 +137,19 @@
 }
 
 impl Client {
-    fn is_between(&self) -> bool {
+    fn is_idle(&self) -> bool {
         self.command.is_none() && self.unsent == 0 && self.input.is_empty()
     }
 
     /// The arrival time of the message that ends `left` bytes before the end of what was read.
-    fn came(&self, left: usize, now: Tenths) -> Tenths {
+    fn arrived_at(&self, left: usize, now: Tenths) -> Tenths {
         let end = self.read - left as u64;
-        self.marks.iter().find(|(read, _)| *read >= end).map_or(now, |(_, at)| *at)
+        self.arrivals.iter().find(|(read, _)| *read >= end).map_or(now, |(_, at)| *at)
     }
 }
 
 impl Program {
-    fn welcome(&mut self, stream: TcpStream) {
+    fn add_client(&mut self, stream: TcpStream) {
         if let Err(e) = stream.set_nonblocking(true) {
             return log!("a client's connection cannot be used: {e}");
         }
@@ -163,19 +163,19 @@
             stage: Stage::Opening,
             input: Vec::new(),
             read: 0,
-            marks: VecDeque::new(),
+            arrivals: VecDeque::new(),
             output: VecDeque::new(),
             written: 0,
             unsent: 0,
             command: None,
-            came: 0,
-            asked: false,
+            query_at: 0,
+            sent_query: false,
             served: false,
             paused: false,
-            quiet_since: self.now,
+            idle_since: self.now,
             retry: Backoff::default(),
-            turn: 0,
-            spent: 0,
+            round: 0,
+            used_quota: 0,
         });
         let token = self.handle.insert_source(source, move |ready, _, program: &mut Program| {
             let event = |p: &mut Program| p.client_event(key, ready.readable);
@@ -186,7 +186,7 @@
             Ok(token) => {
                 self.clients.table[key].token = Some(token);
                 self.counters.connections += 1;
-                self.deadlines.set(Due::Message(key), self.now + BEGUN_MOST);
+                self.deadlines.set(Due::Message(key), self.now + MESSAGE_TIMEOUT);
                 // Read at once: a cancel request that has already arrived may concern a command that is about to be
                 // written.
                 let panicked = |p: &mut Program| p.drop_client(key, ClientClose::Panicked);
@@ -205,10 +205,11 @@
     pub fn client_event(&mut self, key: ClientKey, readable: bool) {
         let before = self.clients.table.get(key).map(|c| c.read);
         self.client_ready(key);
-        let owed = |c: &&Client| Some(c.read) == before || (c.command.is_none() && !c.input.is_empty());
-        let Some(client) = self.clients.table.get(key).filter(owed) else { return };
+        let expects_more =
+            |c: &&Client| Some(c.read) == before || (c.command.is_none() && !c.input.is_empty());
+        let Some(client) = self.clients.table.get(key).filter(expects_more) else { return };
         let reads = !client.paused && matches!(client.stage, Stage::Opening | Stage::Ready | Stage::Skipping);
-        if readable && reads && !self.clients.deaf && !client.retry.is_spent() {
+        if readable && reads && !self.clients.reading_stopped && !client.retry.is_spent() {
             self.retry_client(key);
         }
     }
@@ -224,21 +225,21 @@
 
     /// Counts one step of a client; false once it has used up its share of this round, and it is read again in the
     /// next.
-    fn has_turn(&mut self, key: ClientKey) -> bool {
-        let turn = self.clients.turn;
+    fn use_quota(&mut self, key: ClientKey) -> bool {
+        let round = self.clients.round;
         let Some(client) = self.clients.table.get_mut(key) else { return false };
-        client.spent = if client.turn == turn { client.spent + 1 } else { 0 };
-        client.turn = turn;
-        if client.spent == TURN_MOST {
-            self.clients.later.push(key);
+        client.used_quota = if client.round == round { client.used_quota + 1 } else { 0 };
+        client.round = round;
+        if client.used_quota == MAX_STEPS_PER_ROUND {
+            self.clients.deferred.push(key);
         }
-        client.spent < TURN_MOST
+        client.used_quota < MAX_STEPS_PER_ROUND
     }
 
     /// Starts a round: reads the clients that used up their share of the last one.
-    pub fn hear_clients(&mut self) {
-        self.clients.turn += 1;
-        for key in std::mem::take(&mut self.clients.later) {
+    pub fn read_deferred_clients(&mut self) {
+        self.clients.round += 1;
+        for key in std::mem::take(&mut self.clients.deferred) {
             self.read_client(key);
         }
     }
@@ -246,52 +247,52 @@
     /// Reads all available bytes, as far as they may be buffered, and processes them.
     fn read_client(&mut self, key: ClientKey) {
         let stage = self.clients.table.get(key).map(|c| c.stage);
-        if matches!(stage, Some(Stage::Ending | Stage::Told)) {
-            return self.read_away(key);
+        if matches!(stage, Some(Stage::Ending | Stage::ShutDown)) {
+            return self.discard_input(key);
         }
         loop {
-            self.read_on(key);
-            self.advance(key);
+            self.fill_input(key);
+            self.process_input(key);
             // Consumed messages have made room, and no event reports the bytes that are still unread.
             let Some(client) = self.clients.table.get(key) else { return };
             let room =
-                client.command.is_none() && client.input.len() <= LONGEST && client.unsent <= UNSENT_MOST;
-            if !client.paused || !room || !self.has_turn(key) {
+                client.command.is_none() && client.input.len() <= MAX_MESSAGE && client.unsent <= MAX_UNSENT;
+            if !client.paused || !room || !self.use_quota(key) {
                 return;
             }
         }
     }
 
-    fn read_on(&mut self, key: ClientKey) {
+    fn fill_input(&mut self, key: ClientKey) {
         loop {
             let Some(client) = self.clients.table.get_mut(key) else { return };
-            let most = if client.command.is_some() { BEHIND_MOST } else { LONGEST };
-            client.paused = client.input.len() > most || client.unsent > UNSENT_MOST;
+            let most = if client.command.is_some() { MAX_READ_AHEAD } else { MAX_MESSAGE };
+            client.paused = client.input.len() > most || client.unsent > MAX_UNSENT;
             // Danger: if a client sends much and leaves, the end of its connection is behind unread bytes and no event
             // reports it again: its commands would be dispatched without a client.
-            if client.paused && has_gone(&client.stream) {
+            if client.paused && is_disconnected(&client.stream) {
                 return self.drop_client(key, ClientClose::Left);
             }
-            if client.paused || self.clients.deaf {
+            if client.paused || self.clients.reading_stopped {
                 return;
             }
             match (&*client.stream).read(&mut self.scratch) {
-                Ok(0) => return self.client_closed(key, ClientClose::Left),
-                Ok(_) if matches!(client.stage, Stage::Ending | Stage::Told) => {}
+                Ok(0) => return self.input_ended(key, ClientClose::Left),
+                Ok(_) if matches!(client.stage, Stage::Ending | Stage::ShutDown) => {}
                 Ok(read) => {
                     client.retry.reset();
                     client.input.extend_from_slice(&self.scratch[..read]);
                     client.read += read as u64;
-                    client.marks.push_back((client.read, self.now - waited(&client.stream)));
-                    self.clients.held += read;
-                    self.hold_less();
+                    client.arrivals.push_back((client.read, self.now - waited(&client.stream)));
+                    self.clients.buffered += read;
+                    self.limit_buffered_input();
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if is_transient(&e) => return self.retry_client(key),
-                Err(_) => return self.client_closed(key, ClientClose::Broken),
+                Err(_) => return self.input_ended(key, ClientClose::Broken),
             }
-            if !self.has_turn(key) {
+            if !self.use_quota(key) {
                 return;
             }
         }
@@ -299,12 +300,12 @@
 
     /// Handles the end of a client's input. Danger: a client may close right after its cancel request, and both are
     /// read at once, so the request is processed first.
-    fn client_closed(&mut self, key: ClientKey, reason: ClientClose) {
+    fn input_ended(&mut self, key: ClientKey, reason: ClientClose) {
         let Some(client) = self.clients.table.get(key) else { return };
         let opening = (client.stage == Stage::Opening).then(|| pgwire::opening(&client.input));
-        if let Some(Ok(Some((Opening::Cancel(whom), size)))) = opening {
-            let at = client.came(client.input.len() - size, self.now);
-            self.cancel(whom, at);
+        if let Some(Ok(Some((Opening::Cancel(target), size)))) = opening {
+            let at = client.arrived_at(client.input.len() - size, self.now);
+            self.cancel(target, at);
         }
         self.drop_client(key, reason);
     }
@@ -318,51 +319,51 @@
     }
 
     /// Processes buffered messages until one becomes a command or more bytes are needed.
-    fn advance(&mut self, key: ClientKey) {
+    fn process_input(&mut self, key: ClientKey) {
         let Some(client) = self.clients.table.get_mut(key) else { return };
         let input = std::mem::take(&mut client.input);
         let mut at = 0;
         let failed = loop {
             let Some(client) = self.clients.table.get_mut(key) else { break None };
-            if client.command.is_some() || client.unsent > UNSENT_MOST {
+            if client.command.is_some() || client.unsent > MAX_UNSENT {
                 break None;
             }
             let taken = match client.stage {
-                Stage::Opening => self.open_with(key, &input[at..]),
-                Stage::Ready | Stage::Skipping => self.take_message(key, &input[at..]),
-                Stage::Ending | Stage::Told => break None,
+                Stage::Opening => self.handle_opening(key, &input[at..]),
+                Stage::Ready | Stage::Skipping => self.handle_message(key, &input[at..]),
+                Stage::Ending | Stage::ShutDown => break None,
             };
             match taken {
                 Ok(Some(size)) => at += size,
                 Ok(None) => break None,
                 Err(why) => break Some(why),
             }
-            if !self.has_turn(key) {
+            if !self.use_quota(key) {
                 break None;
             }
         };
         // Consumed bytes are removed; the rest is the beginning of the next message.
         let Some(client) = self.clients.table.get_mut(key) else {
-            self.clients.held -= input.len();
+            self.clients.buffered -= input.len();
             return;
         };
-        self.clients.held -= at;
+        self.clients.buffered -= at;
         client.input = input;
         client.input.drain(..at);
         let start = client.read - client.input.len() as u64;
-        while client.marks.front().is_some_and(|(read, _)| *read <= start) {
-            client.marks.pop_front();
+        while client.arrivals.front().is_some_and(|(read, _)| *read <= start) {
+            client.arrivals.pop_front();
         }
         if client.input.is_empty() {
             client.input.shrink_to(4096);
         }
-        let waits = client.command.is_none() && client.unsent <= UNSENT_MOST && !client.input.is_empty();
+        let waits = client.command.is_none() && client.unsent <= MAX_UNSENT && !client.input.is_empty();
         let due = Due::Message(key);
-        if client.asked && (!waits || at > 0) {
+        if client.sent_query && (!waits || at > 0) {
             self.deadlines.clear(due);
         }
         if waits && self.deadlines.time(due).is_none() {
-            self.deadlines.set(due, self.now + BEGUN_MOST);
+            self.deadlines.set(due, self.now + MESSAGE_TIMEOUT);
         }
         if let Some((sqlstate, why)) = failed {
             self.end_client(key, sqlstate, &why);
@@ -372,13 +373,13 @@
     /// Sends a fatal error and ends the connection: the input is invalid, too large or did not arrive in time.
     pub fn end_client(&mut self, key: ClientKey, sqlstate: &str, why: &str) {
         let Some(client) = self.clients.table.get_mut(key) else { return };
-        if matches!(client.stage, Stage::Ending | Stage::Told) {
+        if matches!(client.stage, Stage::Ending | Stage::ShutDown) {
             return;
         }
         let begun = !client.input.is_empty();
-        self.clients.held -= client.input.len();
+        self.clients.buffered -= client.input.len();
         client.input = Vec::new();
-        client.marks.clear();
+        client.arrivals.clear();
         client.stage = Stage::Ending;
         self.deadlines.clear(Due::Message(key));
         self.counters.rejected += 1;
@@ -387,11 +388,15 @@
         pgwire::error(&mut answer, true, sqlstate, why, None);
         self.send(key, answer);
         if begun {
-            self.clients.unsent.push_owed(key);
+            self.clients.unsent.push_answer(key);
         }
     }
 
-    fn open_with(&mut self, key: ClientKey, input: &[u8]) -> Result<Option<usize>, (&'static str, String)> {
+    fn handle_opening(
+        &mut self,
+        key: ClientKey,
+        input: &[u8],
+    ) -> Result<Option<usize>, (&'static str, String)> {
         let Some((opening, size)) = pgwire::opening(input).map_err(|why| match why {
             Unreadable::Version(version) => {
                 ("0A000", format!("protocol version {}.{} is not spoken", version >> 16, version & 0xffff))
@@ -403,11 +408,11 @@
         };
         match opening {
             Opening::Encryption => self.send(key, b"N".to_vec()),
-            Opening::Cancel(whom) => {
-                let at = self.clients.table[key].came(input.len() - size, self.now);
+            Opening::Cancel(target) => {
+                let at = self.clients.table[key].arrived_at(input.len() - size, self.now);
                 // Cancelled before the close: a client that sees the close may send its next query, which must not be
                 // cancelled.
-                self.cancel(whom, at);
+                self.cancel(target, at);
                 self.drop_client(key, ClientClose::Cancelled);
             }
             Opening::Startup(minor) => {
@@ -420,7 +425,7 @@
         Ok(Some(size))
     }
 
-    fn take_message(
+    fn handle_message(
         &mut self,
         key: ClientKey,
         input: &[u8],
@@ -434,7 +439,7 @@
         let skipping = self.clients.table[key].stage == Stage::Skipping;
         let mut answer = Vec::new();
         match message.kind {
-            b'X' => self.end_after_output(key),
+            b'X' => self.shut_down_after_output(key),
             b'S' => {
                 self.clients.table[key].stage = Stage::Ready;
                 pgwire::ready(&mut answer);
@@ -443,7 +448,7 @@
             b'Q' => {
                 let statement = pgwire::text(message.body).filter(|(_, rest)| rest.is_empty());
                 let (statement, _) = statement.ok_or_else(|| wrong("a query that does not end".into()))?;
-                self.query(key, statement, input.len() - message.size);
+                self.handle_query(key, statement, input.len() - message.size);
             }
             b'P' | b'B' | b'D' | b'E' | b'C' => {
                 self.counters.rejected += 1;
@@ -463,12 +468,12 @@
     }
 
     /// Handles a query; `left` bytes were read after it.
-    fn query(&mut self, key: ClientKey, statement: &[u8], left: usize) {
+    fn handle_query(&mut self, key: ClientKey, statement: &[u8], left: usize) {
         let now = self.now;
         let Some(client) = self.clients.table.get_mut(key) else { return };
-        client.asked = true;
+        client.sent_query = true;
         self.deadlines.clear(Due::Message(key));
-        let arrived = client.came(left, now);
+        let arrived = client.arrived_at(left, now);
         let mut answer = Vec::new();
         if pgwire::is_empty(statement) {
             if self.watch.is_ready(self.now) {
@@ -481,7 +486,7 @@
         match self.take_command(key, statement, arrived) {
             Ok(command) => {
                 let client = &mut self.clients.table[key];
-                (client.command, client.came, client.served) = (Some(command), arrived, true);
+                (client.command, client.query_at, client.served) = (Some(command), arrived, true);
             }
             Err((sqlstate, why)) => {
                 self.counters.rejected += 1;
@@ -494,15 +499,15 @@
 
     /// Handles a cancel request, which arrives on a connection of its own at `at`. Danger: if neither connection was
     /// read for a while, the open query may be one that arrived after the request and must not be cancelled.
-    fn cancel(&mut self, whom: u64, at: Tenths) {
-        let Some(key) = self.clients.table.keys().find(|k| self.clients.cancel_key(*k) == whom) else {
+    fn cancel(&mut self, target: u64, at: Tenths) {
+        let Some(key) = self.clients.table.keys().find(|k| self.clients.cancel_key(*k) == target) else {
             return;
         };
         // The query that is meant may not have been read yet.
         self.read_client(key);
         let Some(client) = self.clients.table.get(key) else { return };
-        let Some(command) = client.command.filter(|_| client.came <= at + SAME_MOMENT) else { return };
-        self.command_left(command);
+        let Some(command) = client.command.filter(|_| client.query_at <= at + ARRIVAL_SLACK) else { return };
+        self.abandon_command(command);
         let mut answer = Vec::new();
         pgwire::error(&mut answer, false, "57014", "cancelled as its client asked", None);
         self.answer(key, answer);
@@ -512,14 +517,14 @@
     pub fn answer(&mut self, key: ClientKey, answer: Vec<u8>) {
         let Some(client) = self.clients.table.get_mut(key) else { return };
         client.command = None;
-        client.quiet_since = self.now;
+        client.idle_since = self.now;
         let mut ready = Vec::new();
         pgwire::ready(&mut ready);
         for bytes in [answer, ready] {
             client.unsent += bytes.len();
             client.output.push_back(bytes);
         }
-        self.clients.unsent.push_owed(key);
+        self.clients.unsent.push_answer(key);
     }
 
     /// Queues bytes to be written at the end of the round.
@@ -535,7 +540,7 @@
         while let Some(key) = self.clients.unsent.pop() {
             self.flush(key);
             self.resume(key);
-            self.thin_out();
+            self.limit_staying_clients();
             if self.clients.listener.is_none() {
                 self.end_if_idle(key);
             }
@@ -579,10 +584,10 @@
             }
         }
         if client.stage == Stage::Ending {
-            client.stage = Stage::Told;
+            client.stage = Stage::ShutDown;
             let _ = client.stream.shutdown(Shutdown::Write);
-            self.deadlines.set(Due::Client(key), self.now + CLOSING);
-        } else if before > 0 && client.stage != Stage::Told {
+            self.deadlines.set(Due::Client(key), self.now + CLOSE_TIMEOUT);
+        } else if before > 0 && client.stage != Stage::ShutDown {
             self.deadlines.clear(Due::Client(key));
         }
     }
@@ -592,8 +597,8 @@
         let Some(client) = self.clients.table.get(key) else { return };
         if client.paused && client.command.is_none() {
             self.read_client(key);
-        } else if !client.input.is_empty() && self.has_turn(key) {
-            self.advance(key);
+        } else if !client.input.is_empty() && self.use_quota(key) {
+            self.process_input(key);
         }
     }
 
@@ -604,21 +609,21 @@
         if let Some(command) = client.command {
             let id = self.commands.id(command);
             log!("command {id}: its client's connection is closed: {reason:?}");
-            if reason.is_ours() {
-                self.violated(&id, Violation::ClosedOwed);
+            if reason.is_closed_by_router() {
+                self.report_violation(&id, Violation::ClosedOwed);
             }
         }
-        self.clients.held -= client.input.len();
+        self.clients.buffered -= client.input.len();
         let dues = [Due::Client(key), Due::Message(key), Due::RetryClient(key)];
         dues.into_iter().for_each(|due| self.deadlines.clear(due));
-        if self.clients.crowded {
+        if self.clients.at_capacity {
             self.deadlines.set(Due::Accept, self.now);
         }
         if let Some(token) = client.token {
             self.handle.remove(token);
         }
         if let Some(command) = client.command {
-            self.command_left(command);
+            self.abandon_command(command);
         }
     }
 
@@ -627,7 +632,7 @@
     /// would begin long after its client left.
     pub fn see_leaving(&mut self, command: CommandKey) {
         let Some(key) = self.commands.client(command) else { return };
-        if self.clients.table.get(key).is_some_and(|c| has_gone(&c.stream)) {
+        if self.clients.table.get(key).is_some_and(|c| is_disconnected(&c.stream)) {
             self.drop_client(key, ClientClose::Left);
         }
     }
@@ -640,10 +645,11 @@
     fn end_if_idle(&mut self, key: ClientKey) {
         let Some(client) = self.clients.table.get_mut(key) else { return };
         let whole = || matches!(pgwire::message(&client.input), Ok(Some(_)));
-        let behind = if self.clients.deaf { whole() } else { !client.input.is_empty() };
-        let between = client.command.is_none() && !behind && (client.unsent == 0 || self.clients.deaf);
-        if between && client.asked && matches!(client.stage, Stage::Ready | Stage::Skipping) {
-            self.end_after_output(key);
+        let behind = if self.clients.reading_stopped { whole() } else { !client.input.is_empty() };
+        let between =
+            client.command.is_none() && !behind && (client.unsent == 0 || self.clients.reading_stopped);
+        if between && client.sent_query && matches!(client.stage, Stage::Ready | Stage::Skipping) {
+            self.shut_down_after_output(key);
         }
     }
 
@@ -653,8 +659,9 @@
     pub fn stop_accepting(&mut self) {
         self.end_start();
         self.accept_all();
-        let again = self.now + ACCEPT_AGAIN;
-        if self.clients.crowded && self.deadlines.time(Due::Last).is_some_and(|last| again < last) {
+        let again = self.now + ACCEPT_RETRY_INTERVAL;
+        if self.clients.at_capacity && self.deadlines.time(Due::FinalAnswers).is_some_and(|last| again < last)
+        {
             log!("stopping: at the limit, clients are waiting to be accepted");
             self.deadlines.set(Due::Stop, again);
         } else if let Some((_, token)) = self.clients.listener.take() {
@@ -666,8 +673,8 @@
     /// Answers all waiting clients and stops reading, as the process may be killed any moment. Danger: a client that
     /// always has a query queued behind the open one is never between commands, and its last query would be lost.
     pub fn end_clients(&mut self) {
-        self.clients.deaf = true;
-        self.answer_the_last();
+        self.clients.reading_stopped = true;
+        self.answer_open_commands();
         self.end_idle();
     }
 
--- a/crates/router/src/clients/closing.rs
+++ b/crates/router/src/clients/closing.rs
@@ -6,7 +6,7 @@
 use std::os::fd::AsRawFd;
 
 /// Bytes written that the peer has not acknowledged yet; 0 if unknown.
-pub(super) fn untaken(stream: &TcpStream) -> i32 {
+pub(super) fn unacknowledged_bytes(stream: &TcpStream) -> i32 {
     let mut bytes: libc::c_int = 0;
     // SAFETY: the system writes one int.
     let failed = unsafe { libc::ioctl(stream.as_raw_fd(), libc::TIOCOUTQ, &mut bytes) } != 0;
@@ -15,15 +15,15 @@
 
 impl Program {
     /// Takes nothing more from this client, and shuts down the sending side once all output is written.
-    pub(super) fn end_after_output(&mut self, key: ClientKey) {
+    pub(super) fn shut_down_after_output(&mut self, key: ClientKey) {
         let Some(client) = self.clients.table.get_mut(key) else { return };
         client.stage = Stage::Ending;
         self.clients.unsent.push(key);
     }
 
     /// Discards the input of a client whose connection is ending, until it closes.
-    pub(super) fn read_away(&mut self, key: ClientKey) {
-        while self.has_turn(key) {
+    pub(super) fn discard_input(&mut self, key: ClientKey) {
+        while self.use_quota(key) {
             let Some(client) = self.clients.table.get(key) else { return };
             match (&*client.stream).read(&mut self.scratch) {
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
@@ -39,7 +39,7 @@
     pub fn close_client(&mut self, key: ClientKey, reason: ClientClose) {
         let Some(client) = self.clients.table.get(key) else { return };
         let _ = client.stream.shutdown(Shutdown::Write);
-        for _ in 0..TURN_MOST {
+        for _ in 0..MAX_STEPS_PER_ROUND {
             match (&*client.stream).read(&mut self.scratch) {
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Ok(read) if read > 0 => {}
@@ -57,7 +57,7 @@
 
     /// Ends a client whose first complete query, or the rest of a message, did not arrive in time. While the process is
     /// stopping the error is 57P03: a client without a query may safely reconnect elsewhere.
-    pub fn end_unheard(&mut self, key: ClientKey) {
+    pub fn end_overdue_client(&mut self, key: ClientKey) {
         match self.clients.listener {
             Some(_) => self.end_client(key, "08P01", "no whole query came in time"),
             None => self.end_client(key, "57P03", "the process ends"),
@@ -68,9 +68,9 @@
     /// one; right before the process ends it gets an error.
     pub(super) fn end_soon(&mut self, key: ClientKey) {
         let Some(client) = self.clients.table.get_mut(key) else { return };
-        client.asked |= self.clients.deaf;
+        client.sent_query |= self.clients.reading_stopped;
         match client.stage {
-            Stage::Opening if self.clients.deaf => self.end_unheard(key),
+            Stage::Opening if self.clients.reading_stopped => self.end_overdue_client(key),
             _ => self.end_if_idle(key),
         }
     }
--- a/crates/router/src/clients/crowd.rs
+++ b/crates/router/src/clients/crowd.rs
@@ -1,36 +1,37 @@
 //! Admission and eviction of clients: the limits on connections and on buffered input.
 
-use super::closing::untaken;
+use super::closing::unacknowledged_bytes;
 use super::*;
 use crate::BACKLOG;
-use crate::leaving::{has_waiting, may_have_unread};
+use crate::leaving::{has_pending_client, may_have_unread_bytes};
 
 /// A client that has sent no command for this long since it connected may be closed to make room for others.
 const SILENT_LEAST: Tenths = 1_000;
 /// Clients accepted in one call.
 const ACCEPTED_MOST: usize = 64;
-pub(super) const ACCEPT_AGAIN: Tenths = 1_000;
-/// Additional polls of the listener after an event without a client (`LOOKS`) and after an accepted client
-/// (`LOOKS_BEHIND`), and the interval between two of them (`LOOK_AGAIN`).
-const LOOKS: u32 = 7;
-const LOOKS_BEHIND: u32 = 2;
-const LOOK_AGAIN: Tenths = 10;
+pub(super) const ACCEPT_RETRY_INTERVAL: Tenths = 1_000;
+/// Additional polls of the listener after an event without a client (`POLLS_AFTER_EVENT`) and after an accepted client
+/// (`POLLS_AFTER_CLIENT`), and the interval between two of them (`ACCEPT_POLL_INTERVAL`).
+const POLLS_AFTER_EVENT: u32 = 7;
+const POLLS_AFTER_CLIENT: u32 = 2;
+const ACCEPT_POLL_INTERVAL: Tenths = 10;
 
 impl Clients {
     /// The client to close when others wait for a connection: clients without a command so far come first, and among
     /// equals the one idle for longest. Recently accepted clients are spared, as they may be about to send a query.
     /// Danger: a client whose last answer is not acknowledged yet loses that answer if it sends something after the
     /// close. It is given time to receive the answer, unless room `must` be made and all clients are like that.
-    fn gives_way(&self, now: Tenths, must: bool) -> Option<ClientKey> {
+    fn eviction_candidate(&self, now: Tenths, must: bool) -> Option<ClientKey> {
         let idle = self.table.iter().filter(|(_, c)| match c.stage {
             Stage::Ending => false,
-            Stage::Told => true,
-            _ if c.served => c.is_between(),
-            _ => c.command.is_none() && c.quiet_since + SILENT_LEAST <= now,
+            Stage::ShutDown => true,
+            _ if c.served => c.is_idle(),
+            _ => c.command.is_none() && c.idle_since + SILENT_LEAST <= now,
         });
         let mut idle: Vec<(ClientKey, &Client)> = idle.collect();
-        idle.sort_by_key(|(_, c)| (c.served && c.stage != Stage::Told, c.quiet_since));
-        let free = idle.iter().find(|(_, c)| c.quiet_since + PATIENCE <= now || untaken(&c.stream) == 0);
+        idle.sort_by_key(|(_, c)| (c.served && c.stage != Stage::ShutDown, c.idle_since));
+        let free =
+            idle.iter().find(|(_, c)| c.idle_since + PATIENCE <= now || unacknowledged_bytes(&c.stream) == 0);
         free.or(idle.first().filter(|_| must)).map(|(key, _)| *key)
     }
 }
@@ -45,22 +46,22 @@
             return;
         }
         let listener = listener.clone();
-        self.clients.crowded = false;
+        self.clients.at_capacity = false;
         self.deadlines.clear(Due::Accept);
         for _ in 0..ACCEPTED_MOST {
             // One client above the limit shows that more are waiting: none is closed for a client that does not come.
-            if self.at_limit() && !self.make_room_for_a_client() {
+            if self.at_limit() && !self.make_room_for_client() {
                 return self.accept_later();
             }
             match listener.accept() {
                 Ok((stream, _)) => {
-                    self.clients.accept_looks = LOOKS_BEHIND;
-                    self.welcome(stream);
+                    self.clients.accept_polls = POLLS_AFTER_CLIENT;
+                    self.add_client(stream);
                 }
-                Err(e) if is_transient(&e) => return self.look_again(),
+                Err(e) if is_transient(&e) => return self.poll_listener_again(),
                 Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
                 // Danger: the system may grant fewer descriptors than the configured limit.
-                Err(e) if e.raw_os_error() == Some(libc::EMFILE) && self.make_room_for_a_client() => {}
+                Err(e) if e.raw_os_error() == Some(libc::EMFILE) && self.make_room_for_client() => {}
                 Err(e) => {
                     log!("cannot accept: {e}");
                     return self.accept_later();
@@ -73,23 +74,23 @@
 
     /// Handles a readiness event of the listener.
     pub fn accept_event(&mut self) {
-        self.clients.accept_looks = LOOKS;
+        self.clients.accept_polls = POLLS_AFTER_EVENT;
         self.accept();
     }
 
     /// Polls the listener a few more times after it had no client. Danger: the error may have been transient, and no
     /// event reports clients that are waiting by then.
-    fn look_again(&mut self) {
-        if self.clients.accept_looks > 0 {
-            self.clients.accept_looks -= 1;
-            self.deadlines.set(Due::Accept, self.now + LOOK_AGAIN);
+    fn poll_listener_again(&mut self) {
+        if self.clients.accept_polls > 0 {
+            self.clients.accept_polls -= 1;
+            self.deadlines.set(Due::Accept, self.now + ACCEPT_POLL_INTERVAL);
         }
     }
 
     /// Closes the client chosen for eviction, after processing the input that it has sent meanwhile.
-    fn make_room_for_a_client(&mut self) -> bool {
-        let way = self.clients.gives_way(self.now, false);
-        way.into_iter().for_each(|key| self.read_client(key));
+    fn make_room_for_client(&mut self) -> bool {
+        let candidate = self.clients.eviction_candidate(self.now, false);
+        candidate.into_iter().for_each(|key| self.read_client(key));
         self.make_room(false)
     }
 
@@ -102,16 +103,16 @@
 
     /// Accepts again when a client has closed, and at intervals, as clients may have become idle.
     fn accept_later(&mut self) {
-        self.clients.crowded = true;
-        self.deadlines.set(Due::Accept, self.now + ACCEPT_AGAIN);
+        self.clients.at_capacity = true;
+        self.deadlines.set(Due::Accept, self.now + ACCEPT_RETRY_INTERVAL);
     }
 
     /// Closes the client chosen for eviction at once, to free its descriptor. False if it has unread input, which is
     /// to be processed first, but not here: the module may be in the middle of its decisions.
     pub fn make_room(&mut self, must: bool) -> bool {
-        let Some(key) = self.clients.gives_way(self.now, must) else { return false };
+        let Some(key) = self.clients.eviction_candidate(self.now, must) else { return false };
         let client = &self.clients.table[key];
-        if may_have_unread(&client.stream) && client.stage != Stage::Told {
+        if may_have_unread_bytes(&client.stream) && client.stage != Stage::ShutDown {
             return false;
         }
         let kind = if client.served { "an idle one" } else { "one that asked for nothing" };
@@ -125,8 +126,8 @@
     /// attempt to accept when no client waits would close an existing client.
     pub fn accept_waiting(&mut self) {
         for _ in 0..BACKLOG as usize / ACCEPTED_MOST {
-            let waits = self.clients.listener.as_ref().is_some_and(|(l, _)| has_waiting(l));
-            if !waits || self.clients.crowded {
+            let waits = self.clients.listener.as_ref().is_some_and(|(l, _)| has_pending_client(l));
+            if !waits || self.clients.at_capacity {
                 return;
             }
             self.accept();
@@ -141,10 +142,10 @@
     }
 
     /// If the input buffered for all clients exceeds its limit, ends the client with most input and no open command.
-    pub(super) fn hold_less(&mut self) {
-        if self.clients.held > self.limits.held {
-            let owed_nothing = |c: &Client| c.command.is_none() && !c.input.is_empty();
-            let holding = self.clients.table.iter().filter(|(_, c)| owed_nothing(c));
+    pub(super) fn limit_buffered_input(&mut self) {
+        if self.clients.buffered > self.limits.buffered {
+            let has_no_command = |c: &Client| c.command.is_none() && !c.input.is_empty();
+            let holding = self.clients.table.iter().filter(|(_, c)| has_no_command(c));
             let most = holding.max_by_key(|(_, c)| c.input.len()).map(|(key, _)| key);
             if let Some(key) = most {
                 self.end_client(key, "53200", "more is held for clients than may be");
@@ -152,21 +153,21 @@
         }
     }
 
-    /// Once more than `Limits::asked` clients have sent a query, ends the one that has been idle for longest, clients
-    /// without a command first. Without this, clients that send one query and stay connected would take all
-    /// connections.
-    pub(super) fn thin_out(&mut self) {
-        let asked = |c: &Client| c.asked && matches!(c.stage, Stage::Ready | Stage::Skipping);
+    /// Once more than `Limits::staying_clients` clients have sent a query, ends the one that has been idle for
+    /// longest, clients without a command first. Without this, clients that send one query and stay connected would
+    /// take all connections.
+    pub(super) fn limit_staying_clients(&mut self) {
+        let sent_query = |c: &Client| c.sent_query && matches!(c.stage, Stage::Ready | Stage::Skipping);
         let table = &self.clients.table;
-        if table.len() <= self.limits.asked
-            || table.values().filter(|c| asked(c)).count() <= self.limits.asked
+        if table.len() <= self.limits.staying_clients
+            || table.values().filter(|c| sent_query(c)).count() <= self.limits.staying_clients
         {
             return;
         }
         let quiet = table
             .iter()
-            .filter(|(_, c)| asked(c) && c.is_between() && c.quiet_since + SILENT_LEAST <= self.now);
-        if let Some(key) = quiet.min_by_key(|(_, c)| (c.served, c.quiet_since)).map(|(key, _)| key) {
+            .filter(|(_, c)| sent_query(c) && c.is_idle() && c.idle_since + SILENT_LEAST <= self.now);
+        if let Some(key) = quiet.min_by_key(|(_, c)| (c.served, c.idle_since)).map(|(key, _)| key) {
             self.counters.quiet += 1;
             self.end_if_idle(key);
         }
--- a/crates/router/src/clients/unsent.rs
+++ b/crates/router/src/clients/unsent.rs
@@ -6,16 +6,16 @@
 
 #[derive(Default)]
 pub(super) struct Unsent {
-    owed: VecDeque<ClientKey>,
+    answers: VecDeque<ClientKey>,
     others: VecDeque<ClientKey>,
     /// The last one came from `others`, so an answer is next.
-    owed_is_next: bool,
+    answer_is_next: bool,
 }
 
 impl Unsent {
     /// Adds a client with the complete answer to its query, or the error for an incomplete message.
-    pub(super) fn push_owed(&mut self, key: ClientKey) {
-        self.owed.push_back(key);
+    pub(super) fn push_answer(&mut self, key: ClientKey) {
+        self.answers.push_back(key);
     }
 
     /// Adds a client with other output, or one to be checked again after its output.
@@ -25,15 +25,18 @@
 
     /// Removes the next client: the kinds alternate, each in order of arrival.
     pub(super) fn pop(&mut self) -> Option<ClientKey> {
-        let owed = self.owed_is_next || self.others.is_empty();
-        self.owed_is_next = !owed;
-        let (first, second) =
-            if owed { (&mut self.owed, &mut self.others) } else { (&mut self.others, &mut self.owed) };
+        let take_answer = self.answer_is_next || self.others.is_empty();
+        self.answer_is_next = !take_answer;
+        let (first, second) = if take_answer {
+            (&mut self.answers, &mut self.others)
+        } else {
+            (&mut self.others, &mut self.answers)
+        };
         first.pop_front().or_else(|| second.pop_front())
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.owed.is_empty() && self.others.is_empty()
+        self.answers.is_empty() && self.others.is_empty()
     }
 }
 
--- a/crates/router/src/clients/unsent/tests.rs
+++ b/crates/router/src/clients/unsent/tests.rs
@@ -6,20 +6,16 @@
 #[case::only_others(0, 3, "ooo")]
 #[case::only_answers(3, 0, "aaa")]
 #[case::alternating(3, 4, "oaoaoao")]
-fn answers_and_others_alternate_in_order(
-    #[case] answers: usize,
-    #[case] others: usize,
-    #[case] order: &str,
-) {
+fn answers_and_others_alternate_in_order(#[case] answers: usize, #[case] others: usize, #[case] order: &str) {
     let mut keys = SlotMap::<ClientKey, char>::with_key();
     let mut unsent = Unsent::default();
-    let told: Vec<ClientKey> = (0..answers).map(|_| keys.insert('a')).collect();
+    let answering: Vec<ClientKey> = (0..answers).map(|_| keys.insert('a')).collect();
     let rest: Vec<ClientKey> = (0..others).map(|_| keys.insert('o')).collect();
     rest.iter().for_each(|key| unsent.push(*key));
-    told.iter().for_each(|key| unsent.push_owed(*key));
+    answering.iter().for_each(|key| unsent.push_answer(*key));
     let popped: Vec<ClientKey> = std::iter::from_fn(|| unsent.pop()).collect();
     assert_eq!(popped.iter().map(|key| keys[*key]).collect::<String>(), order);
     let of = |kind| popped.iter().copied().filter(|key| keys[*key] == kind).collect::<Vec<_>>();
-    assert_eq!((of('a'), of('o')), (told, rest));
+    assert_eq!((of('a'), of('o')), (answering, rest));
     assert!(unsent.is_empty());
 }
--- a/crates/router/src/commands.rs
+++ b/crates/router/src/commands.rs
@@ -4,7 +4,7 @@
 use crate::Program;
 use crate::capture::{Asked, Begun, End};
 use crate::deadlines::Due;
-use crate::invariants::{Begun as AttemptBegun, History, Invariants};
+use crate::invariants::{AttemptStart, History, Invariants};
 use crate::keys::{ClientKey, CommandKey, Statement, Work};
 use slotmap::SlotMap;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,23 +17,23 @@
 use vetchkeel_pgwire as pgwire;
 
 /// Upper bound on a client's timeout, in ms: one hour, so that sums of times stay in range.
-const WAIT_MOST: f64 = 3_600_000.0;
+const MAX_CLIENT_TIMEOUT_MS: f64 = 3_600_000.0;
 /// Log lines per second about member state changes; they explain why a command was sent to a given member.
-const STATE_LINES: u32 = 100;
+const STATE_LOG_LINES: u32 = 100;
 
-/// A replica read that is within its staleness bound by less than this margin is logged, at most `AGE_LINES` per
+/// A replica read that is within its staleness bound by less than this margin is logged, at most `AGE_LOG_LINES` per
 /// second.
-const LITTLE_TO_SPARE: Tenths = 500;
-const AGE_LINES: u32 = 20;
+const LOW_FRESHNESS_MARGIN: Tenths = 500;
+const AGE_LOG_LINES: u32 = 20;
 
-struct Taken {
+struct OpenCommand {
     id: Id,
     /// The client that waits for the final answer; None once it is answered or the client has left.
     client: Option<ClientKey>,
     statement: Rc<Statement>,
     /// Dispatches so far, and how many of them are in flight.
-    number: u32,
-    out: u32,
+    dispatches: u32,
+    in_flight: u32,
     /// Attempts begun so far, for the run-time invariant checks.
     history: History,
     /// The command's record in the load capture.
@@ -71,7 +71,7 @@
 
 impl News {
     /// The member, if it reports itself as a replica, and when the request was begun.
-    fn of_replica(&self) -> Option<(&Id, Tenths)> {
+    fn reported_replica(&self) -> Option<(&Id, Tenths)> {
         let (node, asked, told) = match self {
             News::Role { node, asked, primary } => (node, asked, [Some(*primary), None]),
             News::Dispatch { node, asked, note, report, .. }
@@ -83,7 +83,7 @@
 
 pub struct Commands {
     router: Router,
-    taken: SlotMap<CommandKey, Taken>,
+    table: SlotMap<CommandKey, OpenCommand>,
     by_id: BTreeMap<Id, CommandKey>,
     groups: BTreeSet<String>,
     customers: BTreeSet<String>,
@@ -96,22 +96,22 @@
 
 impl Commands {
     pub fn start(told: &Told, seed: u64, now: Tenths) -> Result<Commands, String> {
-        let (taken, by_id) = (SlotMap::with_key(), BTreeMap::new());
+        let (table, by_id) = (SlotMap::with_key(), BTreeMap::new());
         let router = Router::start(told.clone(), seed, now)?;
         let (groups, customers, sessions) = (BTreeSet::new(), BTreeSet::new(), false);
-        let mut commands = Commands { router, taken, by_id, groups, customers, sessions };
-        commands.read(told);
+        let mut commands = Commands { router, table, by_id, groups, customers, sessions };
+        commands.apply_settings(told);
         Ok(commands)
     }
 
     /// Applies new settings to commands that arrive from now on. On error nothing changes.
     pub fn reconfigure(&mut self, told: &Told) -> Result<(), String> {
         self.router.reconfigure(told.clone())?;
-        self.read(told);
+        self.apply_settings(told);
         Ok(())
     }
 
-    fn read(&mut self, told: &Told) {
+    fn apply_settings(&mut self, told: &Told) {
         let names = |list| vetchkeel_settings::names(told, list).cloned().collect();
         (self.groups, self.customers) = (names("request_classes"), names("projects"));
         let reads = told.get("family_info.class_read");
@@ -120,12 +120,12 @@
 
     /// The client that waits for a command's answer.
     pub fn client(&self, key: CommandKey) -> Option<ClientKey> {
-        self.taken.get(key)?.client
+        self.table.get(key)?.client
     }
 
     /// A command's id for the log, "-" if the command is gone.
     pub fn id(&self, key: CommandKey) -> Id {
-        self.taken.get(key).map_or_else(|| "-".into(), |taken| taken.id.clone())
+        self.table.get(key).map_or_else(|| "-".into(), |entry| entry.id.clone())
     }
 
     /// Checks the invariants right before the first byte of an attempt is written; logs each violation.
@@ -137,32 +137,32 @@
         node: &Id,
         invariants: &mut Invariants,
     ) {
-        let Some(taken) = self.taken.get_mut(key) else { return };
-        let attempt = AttemptBegun { number, node, limit_at, has_client: taken.client.is_some() };
-        for violation in invariants.begins(now, &mut taken.history, &attempt) {
-            log!("violation: {violation:?}, command '{}', attempt {number} at {node}", taken.id);
+        let Some(entry) = self.table.get_mut(key) else { return };
+        let attempt = AttemptStart { number, node, limit_at, has_client: entry.client.is_some() };
+        for violation in invariants.check_attempt(now, &mut entry.history, &attempt) {
+            log!("violation: {violation:?}, command '{}', attempt {number} at {node}", entry.id);
         }
     }
 
     /// True if the module still allows a dispatch to be written.
     pub fn may_write(&self, now: Tenths, key: CommandKey, dispatch: u32) -> bool {
-        self.taken.get(key).is_some_and(|taken| self.router.may_write(now, &taken.id, dispatch))
+        self.table.get(key).is_some_and(|entry| self.router.may_write(now, &entry.id, dispatch))
     }
 
     /// Tells the module that an attempt was written completely, no later than `now`.
     pub fn attempt_written(&mut self, now: Tenths, key: CommandKey, dispatch: u32) -> Written {
-        let taken = self.taken.get(key);
-        taken.map_or(Written::Free, |taken| self.router.attempt_written(now, &taken.id, dispatch))
+        let entry = self.table.get(key);
+        entry.map_or(Written::Free, |entry| self.router.attempt_written(now, &entry.id, dispatch))
     }
 
     /// The outcome of an attempt for its command: an answer whose data may be too old becomes `TooOld`.
-    fn judged(&self, id: &Id, dispatch: u32, ending: Ending, note: Note) -> Ending {
+    fn effective_ending(&self, id: &Id, dispatch: u32, ending: Ending, note: Note) -> Ending {
         let old = ending == Ending::Answered && !self.router.may_serve(id, dispatch, note);
         if old { Ending::TooOld } else { ending }
     }
 }
 
-fn number(text: &str, what: &str) -> Result<f64, Rejection> {
+fn parse_number(text: &str, what: &str) -> Result<f64, Rejection> {
     // Plain decimals only: no sign and no exponent, as a node might parse those differently.
     let plain = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     let found = text.parse::<f64>().ok().filter(|v| plain && v.is_finite());
@@ -172,7 +172,7 @@
 impl Program {
     /// The number of commands that a client still waits for.
     pub fn open_commands(&self) -> u64 {
-        self.commands.taken.values().filter(|t| t.client.is_some()).count() as u64
+        self.commands.table.values().filter(|t| t.client.is_some()).count() as u64
     }
 
     /// Creates a command from a statement that arrived at `arrived`.
@@ -183,7 +183,7 @@
         arrived: Tenths,
     ) -> Result<CommandKey, Rejection> {
         let said = pgwire::said(statement).map_err(|why| ("42601", why.to_owned()))?;
-        let wait = number(said.wait, "d")?;
+        let wait = parse_number(said.wait, "d")?;
         let set = match said.set {
             Some(set) => {
                 set.parse().map_err(|_| ("22P02", format!("expected cluster as a number, found '{set}'")))?
@@ -201,13 +201,13 @@
             return Err(("22023", format!("no command group is named '{}'", said.group)));
         }
         // Some clients write these values for "no customer"; a customer that the settings name so takes precedence.
-        let none = |c: &str| matches!(c, "" | "0" | "-") && !self.commands.customers.contains(c);
-        let customer = said.customer.filter(|c| !none(c)).map(str::to_owned);
+        let means_none = |c: &str| matches!(c, "" | "0" | "-") && !self.commands.customers.contains(c);
+        let customer = said.customer.filter(|c| !means_none(c)).map(str::to_owned);
         let known = |c: &String| self.commands.customers.is_empty() || self.commands.customers.contains(c);
-        if let Some(stranger) = customer.as_ref().filter(|c| !known(c)) {
-            return Err(("22023", format!("no customer is named '{stranger}'")));
+        if let Some(unknown) = customer.as_ref().filter(|c| !known(c)) {
+            return Err(("22023", format!("no customer is named '{unknown}'")));
         }
-        let token_age = match said.after.map(|after| number(after, "after")).transpose()? {
+        let token_age = match said.after.map(|after| parse_number(after, "after")).transpose()? {
             // The session has not written anything yet, so any position is fresh enough.
             Some(0.0) => Some(0),
             // Rounded towards the stricter side, and never 0, which stands for no earlier write.
@@ -220,7 +220,8 @@
         if self.commands.by_id.contains_key(said.id) {
             return Err(("42710", format!("a command with id {} is open", said.id)));
         }
-        let time_left = self.allowed((wait.min(WAIT_MOST) * 10.0) as Tenths - (self.now - arrived));
+        let time_left =
+            self.remaining_time((wait.min(MAX_CLIENT_TIMEOUT_MS) * 10.0) as Tenths - (self.now - arrived));
         let id = Id::from(said.id);
         // The module stores each session's last write, so the session is passed on only if some command group reads
         // with session consistency.
@@ -236,27 +237,34 @@
         };
         let begun = self.capture.begun(self.now, asked);
         let group = command_group.clone();
-        let deadline = arrived + (wait.min(WAIT_MOST) * 10.0) as Tenths;
+        let deadline = arrived + (wait.min(MAX_CLIENT_TIMEOUT_MS) * 10.0) as Tenths;
         let command =
             Command { id: id.clone(), command_group, customer, set, time_left, token_age, session, repeat };
         self.commands.router.command_arrived(self.now, command).map_err(|why| ("22023", why))?;
         let statement = Rc::new(Statement { text: statement.to_vec(), wait_at });
-        let history = self.invariants.taken(&group, deadline);
-        let taken =
-            Taken { id: id.clone(), client: Some(client), statement, number: 0, out: 0, history, begun };
-        let key = self.commands.taken.insert(taken);
+        let history = self.invariants.start_history(&group, deadline);
+        let entry = OpenCommand {
+            id: id.clone(),
+            client: Some(client),
+            statement,
+            dispatches: 0,
+            in_flight: 0,
+            history,
+            begun,
+        };
+        let key = self.commands.table.insert(entry);
         self.commands.by_id.insert(id, key);
         self.counters.taken += 1;
         Ok(key)
     }
 
     /// Handles the departure of an open command's client.
-    pub fn command_left(&mut self, key: CommandKey) {
-        let Some(taken) = self.commands.taken.get_mut(key) else { return };
-        if taken.client.take().is_some() {
+    pub fn abandon_command(&mut self, key: CommandKey) {
+        let Some(entry) = self.commands.table.get_mut(key) else { return };
+        if entry.client.take().is_some() {
             self.counters.left += 1;
-            self.capture.ended(self.now, &taken.begun, taken.number, End::Left);
-            self.commands.router.command_left(&taken.id);
+            self.capture.ended(self.now, &entry.begun, entry.dispatches, End::Left);
+            self.commands.router.command_left(&entry.id);
         }
         self.forget(key);
     }
@@ -264,16 +272,16 @@
     /// Answers all open commands right before the process is killed. Without this, a command that was accepted before
     /// the stop signal and whose timeout ends after the kill would get no answer. A command that was never sent cannot
     /// have run and is throttled; any other one fails.
-    pub fn answer_the_last(&mut self) {
-        let open = self.commands.taken.iter().filter(|(_, taken)| taken.client.is_some());
+    pub fn answer_open_commands(&mut self) {
+        let open = self.commands.table.iter().filter(|(_, entry)| entry.client.is_some());
         let open: Vec<(CommandKey, Id, bool)> =
-            open.map(|(key, taken)| (key, taken.id.clone(), taken.number == 0)).collect();
+            open.map(|(key, entry)| (key, entry.id.clone(), entry.dispatches == 0)).collect();
         for (key, id, never_sent) in open {
             let mut answer = Vec::new();
             let (code, end) = if never_sent { ("53300", End::Throttled) } else { ("40003", End::Failed) };
             pgwire::error(&mut answer, false, code, "the process ends", None);
             self.commands.router.command_left(&id);
-            if self.final_answer(&id, answer, end) {
+            if self.send_final_answer(&id, answer, end) {
                 let counters = &mut self.counters;
                 *(if never_sent { &mut counters.throttled } else { &mut counters.failed }) += 1;
             }
@@ -282,10 +290,10 @@
     }
 
     fn forget(&mut self, key: CommandKey) {
-        if self.commands.taken.get(key).is_some_and(|t| t.client.is_none() && t.out == 0)
-            && let Some(taken) = self.commands.taken.remove(key)
+        if self.commands.table.get(key).is_some_and(|t| t.client.is_none() && t.in_flight == 0)
+            && let Some(entry) = self.commands.table.remove(key)
         {
-            self.commands.by_id.remove(&taken.id);
+            self.commands.by_id.remove(&entry.id);
         }
     }
 
@@ -299,10 +307,10 @@
     }
 
     /// Passes the queued results to the module.
-    pub fn tell_news(&mut self) {
+    pub fn pass_results(&mut self) {
         // Danger: with a time read before these bytes, members would seem to have a clock that is ahead.
         self.read_clock();
-        for (node, asked) in self.news.iter().filter_map(News::of_replica) {
+        for (node, asked) in self.news.iter().filter_map(News::reported_replica) {
             self.commands.router.heard_replica(self.now, node, asked);
         }
         while let Some(news) = self.news.pop_front() {
@@ -317,31 +325,31 @@
                 }
                 News::Dispatch { key, dispatch, node, ending, asked, idled, note, report, answer } => {
                     let id = self.commands.id(key);
-                    let judged = self.commands.judged(&id, dispatch, ending, note);
-                    if judged != ending {
+                    let effective_ending = self.commands.effective_ending(&id, dispatch, ending, note);
+                    if effective_ending != ending {
                         log!(
                             "command {id}: the answer of attempt {dispatch} at {node} is discarded: its data may be too old"
                         );
                     }
-                    if judged == Ending::Answered {
+                    if effective_ending == Ending::Answered {
                         self.log_data_age(&id, dispatch, &node);
                     }
-                    let (ending, took) = (judged, self.now - asked);
+                    let (ending, took) = (effective_ending, self.now - asked);
                     self.counters.dispatches.add(ending);
                     if ending == Ending::Answered {
                         self.check_answer(&id);
                     }
-                    let Some(taken) = self.commands.taken.get_mut(key) else { continue };
-                    taken.out -= 1;
-                    taken.history.ended(dispatch, ending);
-                    let client = if ending == Ending::Answered { taken.client.take() } else { None };
+                    let Some(entry) = self.commands.table.get_mut(key) else { continue };
+                    entry.in_flight -= 1;
+                    entry.history.ended(dispatch, ending);
+                    let client = if ending == Ending::Answered { entry.client.take() } else { None };
                     if client.is_some() {
                         let end = End::Answered(answer.len());
-                        self.capture.ended(self.now, &taken.begun, taken.number, end);
+                        self.capture.ended(self.now, &entry.begun, entry.dispatches, end);
                     }
-                    let over = taken.client.is_none();
+                    let over = entry.client.is_none();
                     let end = DispatchEnd { dispatch, ending, took, idled, over, note, report };
-                    self.commands.router.dispatch_ended(self.now, &taken.id, end);
+                    self.commands.router.dispatch_ended(self.now, &entry.id, end);
                     self.forget(key);
                     if let Some(client) = client {
                         self.counters.answered += 1;
@@ -358,14 +366,14 @@
         let Some(age) = self.commands.router.data_age(self.now, id, dispatch) else { return };
         let spare = age.spare();
         let ms = |tenths: Tenths| tenths as f64 / 10.0;
-        if spare < LITTLE_TO_SPARE {
+        if spare < LOW_FRESHNESS_MARGIN {
             self.counters.freshness.little_to_spare += 1;
             let data = match age.need {
                 DataNeed::Bound(_) => format!("data up to {} ms old", ms(age.behind)),
                 DataNeed::Session => "data newer than its session's last write".into(),
             };
             log_up_to!(
-                AGE_LINES,
+                AGE_LOG_LINES,
                 "command {id}: attempt {dispatch} at {node} is served with a margin of {} ms: {data} by {:?} received {} ms before, members' clock ahead by {} ms, at most {}",
                 ms(spare),
                 age.source,
@@ -378,13 +386,13 @@
         }
     }
 
-    /// Pulls decisions until there is none and carries each out. The backlog is read first: since the clock is read
+    /// Pulls decisions until there is none and carries each out. Pending input is read first: since the clock is read
     /// again here, answers that arrived in time while the process was stalled would otherwise count as timed out.
     pub fn decide(&mut self) {
         self.catch_up();
         self.read_clock();
         while let Some(decision) = self.commands.router.next_decision(self.now) {
-            self.carry_out(decision);
+            self.execute(decision);
         }
         for event in self.commands.router.take_events() {
             self.log_event(event);
@@ -403,7 +411,7 @@
                 log!("command {command}: given up after {attempts} attempts: {reason:?}");
             }
             Event::State { node, from, to, reason } => {
-                log_up_to!(STATE_LINES, "node {node}: {from:?} to {to:?}: {reason:?}");
+                log_up_to!(STATE_LOG_LINES, "node {node}: {from:?} to {to:?}: {reason:?}");
             }
             Event::OldRole { node, age } => {
                 log!(
@@ -414,7 +422,9 @@
             Event::Clock { offset, node } => {
                 self.counters.freshness.clock_moved += 1;
                 let ahead = offset as f64 / 10.0;
-                log!("estimated the members' clock to be {ahead} ms ahead of the local clock, from a report of {node}");
+                log!(
+                    "estimated the members' clock to be {ahead} ms ahead of the local clock, from a report of {node}"
+                );
             }
             Event::ReportFromBefore { node, age } => {
                 self.counters.freshness.reports_from_before += 1;
@@ -426,16 +436,16 @@
         }
     }
 
-    fn carry_out(&mut self, decision: Decision) {
+    fn execute(&mut self, decision: Decision) {
         match decision {
             Decision::Dispatch { command, node, limit, until } => {
                 let Some(&key) = self.commands.by_id.get(&command) else { return };
-                let Some(taken) = self.commands.taken.get_mut(key) else { return };
-                let number = taken.number;
-                taken.number += 1;
-                taken.out += 1;
-                taken.begun.dispatched(self.now, &node);
-                let statement = taken.statement.clone();
+                let Some(entry) = self.commands.table.get_mut(key) else { return };
+                let number = entry.dispatches;
+                entry.dispatches += 1;
+                entry.in_flight += 1;
+                entry.begun.dispatched(self.now, &node);
+                let statement = entry.statement.clone();
                 let work = Work::Dispatch(key, number);
                 self.begin(&node, work, statement, self.now + limit.max(0), until);
             }
@@ -449,14 +459,14 @@
                     "throttled: a repeat is harmless",
                     detail.as_deref(),
                 );
-                if self.final_answer(&command, answer, End::Throttled) {
+                if self.send_final_answer(&command, answer, End::Throttled) {
                     self.counters.throttled += 1;
                 }
             }
             Decision::Fail { command } => {
                 let mut answer = Vec::new();
                 pgwire::error(&mut answer, false, "40003", "failed: the command may have run", None);
-                if self.final_answer(&command, answer, End::Failed) {
+                if self.send_final_answer(&command, answer, End::Failed) {
                     self.counters.failed += 1;
                 }
             }
@@ -475,25 +485,25 @@
     }
 
     fn check_answer(&mut self, command: &Id) {
-        let taken = self.commands.by_id.get(command).and_then(|key| self.commands.taken.get(*key));
-        if let Some(taken) = taken.filter(|taken| taken.client.is_some())
-            && let Some(violation) = self.invariants.answers(self.now, &taken.history)
+        let entry = self.commands.by_id.get(command).and_then(|key| self.commands.table.get(*key));
+        if let Some(entry) = entry.filter(|entry| entry.client.is_some())
+            && let Some(violation) = self.invariants.check_answer(self.now, &entry.history)
         {
             log!("violation: {violation:?}, command '{command}'");
         }
     }
 
     /// Sends a command's final answer. Returns false if no client waits for it.
-    fn final_answer(&mut self, command: &Id, answer: Vec<u8>, end: End) -> bool {
+    fn send_final_answer(&mut self, command: &Id, answer: Vec<u8>, end: End) -> bool {
         self.check_answer(command);
         let Some(&key) = self.commands.by_id.get(command) else {
             log!("the decision module answered a command that is not open");
             return false;
         };
-        let taken = self.commands.taken.get_mut(key);
-        let client = taken.and_then(|t| {
+        let entry = self.commands.table.get_mut(key);
+        let client = entry.and_then(|t| {
             let client = t.client.take();
-            client.is_some().then(|| self.capture.ended(self.now, &t.begun, t.number, end));
+            client.is_some().then(|| self.capture.ended(self.now, &t.begun, t.dispatches, end));
             client
         });
         self.forget(key);
--- a/crates/router/src/deadlines.rs
+++ b/crates/router/src/deadlines.rs
@@ -30,7 +30,7 @@
     Start,
     /// Steps of stopping: the listener closes; open commands are answered; the remaining clients are closed.
     Stop,
-    Last,
+    FinalAnswers,
     End,
 }
 
--- a/crates/router/src/invariants.rs
+++ b/crates/router/src/invariants.rs
@@ -5,11 +5,11 @@
 use std::collections::BTreeMap;
 use vetchkeel::{Ending, Id, Tenths, Told};
 
-/// Tolerances from the operators' documentation: between reading the clock and a write (`SLACK`), for the time limit
-/// told to a member (`TOLD_SLACK`), and for a late answer (`LATE_MOST`).
-const SLACK: Tenths = 500;
-const TOLD_SLACK: Tenths = 1_500;
-const LATE_MOST: Tenths = 5_000;
+/// Tolerances from the operators' documentation: between reading the clock and a write (`CLOCK_SLACK`), for the time
+/// limit told to a member (`LIMIT_SLACK`), and for a late answer (`MAX_LATENESS`).
+const CLOCK_SLACK: Tenths = 500;
+const LIMIT_SLACK: Tenths = 1_500;
+const MAX_LATENESS: Tenths = 5_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
@@ -41,9 +41,9 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
-    Out,
-    Untouched,
+enum AttemptState {
+    InFlight,
+    NeverRan,
     MayHaveRun,
 }
 
@@ -52,11 +52,11 @@
 pub struct History {
     repeat: Repeat,
     deadline: Tenths,
-    attempts: Vec<(u32, Tenths, Fate)>,
+    attempts: Vec<(u32, Tenths, AttemptState)>,
 }
 
 /// An attempt whose first byte is about to be written.
-pub struct Begun<'a> {
+pub struct AttemptStart<'a> {
     pub number: u32,
     pub node: &'a Id,
     /// The time limit as told to the member: until when the router waits.
@@ -99,14 +99,14 @@
     }
 
     /// Starts the history of a command whose client waits until `deadline`.
-    pub fn taken(&self, group: &str, deadline: Tenths) -> History {
+    pub fn start_history(&self, group: &str, deadline: Tenths) -> History {
         let repeat = self.repeats.get(group).copied().unwrap_or(Repeat::Never);
         History { repeat, deadline, attempts: Vec::new() }
     }
 
-    /// Records a member of the list; `shut` if it is draining or removed.
-    pub fn listed(&mut self, now: Tenths, node: &Id, shut: bool) {
-        if shut {
+    /// Records a member of the list and whether it is draining or removed.
+    pub fn listed(&mut self, now: Tenths, node: &Id, is_draining: bool) {
+        if is_draining {
             self.draining.entry(node.clone()).or_insert(now);
         } else {
             self.draining.remove(node);
@@ -119,32 +119,38 @@
     }
 
     /// Records an attempt whose first byte is about to be written and returns the invariants that this violates.
-    pub fn begins(&mut self, now: Tenths, history: &mut History, attempt: &Begun) -> Vec<Violation> {
+    pub fn check_attempt(
+        &mut self,
+        now: Tenths,
+        history: &mut History,
+        attempt: &AttemptStart,
+    ) -> Vec<Violation> {
         let earlier = || history.attempts.iter().filter(|(number, ..)| *number != attempt.number);
-        let may_have_run = |&&(_, _, fate): &&(u32, Tenths, Fate)| fate != Fate::Untouched;
+        let may_have_run = |&&(_, _, state): &&(u32, Tenths, AttemptState)| state != AttemptState::NeverRan;
         let first = earlier().filter(may_have_run).map(|(_, at, _)| *at).min();
-        let twice = first.is_some_and(|at| match history.repeat {
+        let repeats_effect = first.is_some_and(|at| match history.repeat {
             Repeat::Free => false,
             Repeat::Within(window) => now > at + window,
             Repeat::Never => true,
         });
-        let shut = self.draining.get(attempt.node).is_some_and(|since| now > since + self.grace + SLACK);
+        let past_drain_grace =
+            self.draining.get(attempt.node).is_some_and(|since| now > since + self.grace + CLOCK_SLACK);
         let found = [
-            (earlier().any(|(.., fate)| *fate == Fate::Out), Violation::SecondCopy),
-            (twice, Violation::EffectTwice),
+            (earlier().any(|(.., state)| *state == AttemptState::InFlight), Violation::SecondCopy),
+            (repeats_effect, Violation::EffectTwice),
             (!attempt.has_client, Violation::ClientLeft),
-            (shut, Violation::Draining),
-            (attempt.limit_at > history.deadline + TOLD_SLACK, Violation::TooLong),
+            (past_drain_grace, Violation::Draining),
+            (attempt.limit_at > history.deadline + LIMIT_SLACK, Violation::TooLong),
         ];
-        history.attempts.push((attempt.number, now, Fate::Out));
+        history.attempts.push((attempt.number, now, AttemptState::InFlight));
         let found: Vec<Violation> = found.into_iter().filter(|(is, _)| *is).map(|(_, what)| what).collect();
         found.iter().for_each(|violation| self.violations.add(*violation));
         found
     }
 
     /// Checks a final answer that is about to be written.
-    pub fn answers(&mut self, now: Tenths, history: &History) -> Option<Violation> {
-        let late = now > history.deadline + LATE_MOST;
+    pub fn check_answer(&mut self, now: Tenths, history: &History) -> Option<Violation> {
+        let late = now > history.deadline + MAX_LATENESS;
         late.then(|| {
             self.violations.add(Violation::Late);
             Violation::Late
@@ -155,9 +161,9 @@
 impl History {
     pub fn ended(&mut self, number: u32, ending: Ending) {
         use Ending::*;
-        let untouched = matches!(ending, Full | Miss | ConnectFailed | NeverSent | NotDialled);
-        let fate = if untouched { Fate::Untouched } else { Fate::MayHaveRun };
-        self.attempts.iter_mut().filter(|(n, ..)| *n == number).for_each(|attempt| attempt.2 = fate);
+        let never_ran = matches!(ending, Full | Miss | ConnectFailed | NeverSent | NotDialled);
+        let state = if never_ran { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
+        self.attempts.iter_mut().filter(|(n, ..)| *n == number).for_each(|attempt| attempt.2 = state);
     }
 }
 
--- a/crates/router/src/invariants/tests.rs
+++ b/crates/router/src/invariants/tests.rs
@@ -17,8 +17,8 @@
     Invariants::new(&told.into_iter().map(|(name, value)| (name.to_owned(), value.to_owned())).collect())
 }
 
-fn attempt(number: u32, node: &Id) -> Begun<'_> {
-    Begun { number, node, limit_at: NOW + 10_000, has_client: true }
+fn attempt(number: u32, node: &Id) -> AttemptStart<'_> {
+    AttemptStart { number, node, limit_at: NOW + 10_000, has_client: true }
 }
 
 #[rstest]
@@ -35,10 +35,10 @@
     #[case] expected: &[Violation],
 ) {
     let (mut invariants, node) = (invariants(), Id::from("a"));
-    let mut history = invariants.taken(group, NOW + 100_000);
-    assert_eq!(invariants.begins(NOW, &mut history, &attempt(0, &node)), []);
+    let mut history = invariants.start_history(group, NOW + 100_000);
+    assert_eq!(invariants.check_attempt(NOW, &mut history, &attempt(0, &node)), []);
     history.ended(0, ending);
-    assert_eq!(invariants.begins(NOW + later, &mut history, &attempt(1, &node)), expected);
+    assert_eq!(invariants.check_attempt(NOW + later, &mut history, &attempt(1, &node)), expected);
     assert_eq!(invariants.violations.total(), expected.len() as u64);
 }
 
@@ -59,17 +59,17 @@
     let (mut invariants, node) = (invariants(), Id::from("a"));
     invariants.listed(NOW, &node, true);
     invariants.listed(NOW, &node, drains);
-    let mut history = invariants.taken("look", NOW + 20_000);
-    let begun = Begun { limit_at: NOW + limit, has_client, ..attempt(0, &node) };
-    assert_eq!(invariants.begins(NOW + later, &mut history, &begun), expected);
+    let mut history = invariants.start_history("look", NOW + 20_000);
+    let begun = AttemptStart { limit_at: NOW + limit, has_client, ..attempt(0, &node) };
+    assert_eq!(invariants.check_attempt(NOW + later, &mut history, &begun), expected);
 }
 
 #[rstest]
 fn attempt_while_another_is_in_flight_is_a_second_copy() {
     let (mut invariants, node) = (invariants(), Id::from("a"));
-    let mut history = invariants.taken("look", NOW + 20_000);
-    invariants.begins(NOW, &mut history, &attempt(0, &node));
-    assert_eq!(invariants.begins(NOW, &mut history, &attempt(1, &node)), [Violation::SecondCopy]);
+    let mut history = invariants.start_history("look", NOW + 20_000);
+    invariants.check_attempt(NOW, &mut history, &attempt(0, &node));
+    assert_eq!(invariants.check_attempt(NOW, &mut history, &attempt(1, &node)), [Violation::SecondCopy]);
 }
 
 #[rstest]
@@ -77,6 +77,6 @@
 #[case(25_001, Some(Violation::Late))]
 fn answer_long_after_its_deadline_is_late(#[case] at: Tenths, #[case] expected: Option<Violation>) {
     let mut invariants = invariants();
-    let history = invariants.taken("look", NOW + 20_000);
-    assert_eq!(invariants.answers(NOW + at, &history), expected);
+    let history = invariants.start_history("look", NOW + 20_000);
+    assert_eq!(invariants.check_answer(NOW + at, &history), expected);
 }
--- a/crates/router/src/leaving.rs
+++ b/crates/router/src/leaving.rs
@@ -8,33 +8,34 @@
 
 /// Attempts at a system call that is interrupted. Danger: if an interruption counted as "nothing there", a client that
 /// has left would be served, and one that has sent a query would be closed.
-const TRIES: u32 = 64;
+const MAX_ATTEMPTS: u32 = 64;
 
 /// True once the peer has closed, shut down its sending side or reset the connection. Neither reads nor blocks; an
 /// unknown state counts as connected.
-pub fn has_gone(stream: &TcpStream) -> bool {
+pub fn is_disconnected(stream: &TcpStream) -> bool {
     ready(stream, libc::POLLRDHUP) & (libc::POLLRDHUP | libc::POLLHUP | libc::POLLERR) != 0
 }
 
 /// True if a client waits to be accepted.
-pub fn has_waiting(listener: &TcpListener) -> bool {
+pub fn has_pending_client(listener: &TcpListener) -> bool {
     ready(listener, libc::POLLIN) & libc::POLLIN != 0
 }
 
 /// The events that `poll` reports for a descriptor now; none if the call fails.
 fn ready(descriptor: &impl AsRawFd, events: libc::c_short) -> libc::c_short {
-    let mut asked = libc::pollfd { fd: descriptor.as_raw_fd(), events, revents: 0 };
+    let mut poll_fd = libc::pollfd { fd: descriptor.as_raw_fd(), events, revents: 0 };
     // SAFETY: `poll` reads and writes this one value.
-    let mut poll = || unsafe { libc::poll(&mut asked, 1, 0) };
+    let mut poll = || unsafe { libc::poll(&mut poll_fd, 1, 0) };
     let interrupted =
-        |answered: &i32| *answered < 0 && io::Error::last_os_error().kind() == ErrorKind::Interrupted;
-    let answered = (0..TRIES).map(|_| poll()).find(|answered| !interrupted(answered)).unwrap_or(0);
-    if answered == 1 { asked.revents } else { 0 }
+        |ready_count: &i32| *ready_count < 0 && io::Error::last_os_error().kind() == ErrorKind::Interrupted;
+    let ready_count =
+        (0..MAX_ATTEMPTS).map(|_| poll()).find(|ready_count| !interrupted(ready_count)).unwrap_or(0);
+    if ready_count == 1 { poll_fd.revents } else { 0 }
 }
 
 /// What a read would return: one byte, 0 bytes at the end of the connection, or the error.
 pub fn peek(stream: &TcpStream) -> io::Result<usize> {
-    let peeked = (0..TRIES).map(|_| stream.peek(&mut [0]));
+    let peeked = (0..MAX_ATTEMPTS).map(|_| stream.peek(&mut [0]));
     let mut peeked = peeked.skip_while(|p| p.as_ref().is_err_and(|e| e.kind() == ErrorKind::Interrupted));
     peeked.next().unwrap_or_else(|| Err(ErrorKind::Interrupted.into()))
 }
@@ -58,7 +59,7 @@
 }
 
 /// False only if there are certainly no unread bytes.
-pub fn may_have_unread(stream: &TcpStream) -> bool {
+pub fn may_have_unread_bytes(stream: &TcpStream) -> bool {
     match peek(stream) {
         Ok(bytes) => bytes > 0,
         Err(e) => {
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -9,7 +9,7 @@
 const SPARE_PART: f64 = 0.125;
 /// In the deployment, clients hold a third of the descriptors at most. Once clients that have sent a query hold three
 /// quarters of that third (0.75 / 3.0), idle ones are closed, so that some descriptors stay free.
-const ASKED_PART: f64 = 0.75 / 3.0;
+const IDLE_CLOSE_PART: f64 = 0.75 / 3.0;
 /// The largest descriptor limit that the deployment configures. A router with a larger limit serves clients that stay
 /// connected: they may hold the whole client share, except for a twelfth of this limit, which is kept for new clients.
 const DEPLOYED_MOST: usize = 1_024;
@@ -19,8 +19,8 @@
 const STAYING_PART: f64 = 0.125;
 const STAYING_COST: usize = 2_048;
 /// The share of the memory limit for client input that is not consumed yet. Danger: memory over half of the limit is
-/// charged, and answers, member lists and the module's tables need memory as well.
-const HELD_PART: f64 = 0.125;
+/// charged for, and answers, member lists and the module's tables need memory as well.
+const BUFFERED_PART: f64 = 0.125;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
@@ -32,22 +32,22 @@
     /// The part of the nodes' share that is never lent to clients.
     pub spare: usize,
     /// If more clients than this have sent a query, idle ones are closed.
-    pub asked: usize,
+    pub staying_clients: usize,
     /// Bytes of client input that may be buffered in total.
-    pub held: usize,
+    pub buffered: usize,
 }
 
 fn part(of: usize, share: f64) -> usize {
     (of as f64 * share) as usize
 }
 
-fn asked(sockets: usize, memory: usize, clients: usize) -> usize {
-    let deployed = part(sockets.min(DEPLOYED_MOST), ASKED_PART);
+fn staying_clients(sockets: usize, memory: usize, clients: usize) -> usize {
+    let deployed = part(sockets.min(DEPLOYED_MOST), IDLE_CLOSE_PART);
     if sockets <= DEPLOYED_MOST {
         return deployed;
     }
-    let borne = part(memory, STAYING_PART) / STAYING_COST;
-    clients.saturating_sub(NEWCOMERS).min(borne).max(deployed)
+    let by_memory = part(memory, STAYING_PART) / STAYING_COST;
+    clients.saturating_sub(NEWCOMERS).min(by_memory).max(deployed)
 }
 
 impl Limits {
@@ -60,8 +60,8 @@
             clients,
             nodes,
             spare,
-            asked: asked(sockets, memory, clients),
-            held: part(memory, HELD_PART),
+            staying_clients: staying_clients(sockets, memory, clients),
+            buffered: part(memory, BUFFERED_PART),
         }
     }
 }
--- a/crates/router/src/limits/tests.rs
+++ b/crates/router/src/limits/tests.rs
@@ -8,27 +8,33 @@
 #[case::large(16_384, 192, [16_352, 7_358, 8_994, 2_044, 7_273, 24 << 20])]
 #[case::large_with_little_memory(16_384, 64, [16_352, 7_358, 8_994, 2_044, 4_096, 8 << 20])]
 #[case::large_with_minimal_memory(16_384, 1, [16_352, 7_358, 8_994, 2_044, 256, 1 << 17])]
-fn limits_are_derived_from_configured_ones(#[case] sockets: usize, #[case] mb: usize, #[case] want: [usize; 6]) {
-    let Limits { room, clients, nodes, spare, asked, held } = Limits::new(sockets, mb << 20);
-    assert_eq!([room, clients, nodes, spare, asked, held], want);
+fn limits_are_derived_from_configured_ones(
+    #[case] sockets: usize,
+    #[case] mb: usize,
+    #[case] want: [usize; 6],
+) {
+    let Limits { room, clients, nodes, spare, staying_clients, buffered } = Limits::new(sockets, mb << 20);
+    assert_eq!([room, clients, nodes, spare, staying_clients, buffered], want);
 }
 
 /// Up to the deployment's largest descriptor limit, the documented quarter is used.
 #[rstest]
-fn staying_clients_get_a_quarter_up_to_the_deployed_limit(#[values(256, 384, 512, 768, 1023, 1024)] sockets: usize) {
+fn staying_clients_get_a_quarter_up_to_the_deployed_limit(
+    #[values(256, 384, 512, 768, 1023, 1024)] sockets: usize,
+) {
     for mb in [1, 32, 192] {
-        assert_eq!(Limits::new(sockets, mb << 20).asked, sockets / 4, "{mb} MB");
+        assert_eq!(Limits::new(sockets, mb << 20).staying_clients, sockets / 4, "{mb} MB");
     }
 }
 
 /// More descriptors or more memory never reduce the number of clients that may stay connected.
 #[rstest]
 fn staying_clients_never_decrease_with_larger_limits() {
-    let asked = |sockets, mb: usize| Limits::new(sockets, mb << 20).asked;
+    let staying = |sockets, mb: usize| Limits::new(sockets, mb << 20).staying_clients;
     for sockets in (256..40_000).step_by(37) {
         for mb in [1, 8, 32, 64, 192, 1_024] {
-            assert!(asked(sockets + 37, mb) >= asked(sockets, mb), "{sockets} sockets, {mb} MB");
-            assert!(asked(sockets, mb + 1) >= asked(sockets, mb), "{sockets} sockets, {mb} MB");
+            assert!(staying(sockets + 37, mb) >= staying(sockets, mb), "{sockets} sockets, {mb} MB");
+            assert!(staying(sockets, mb + 1) >= staying(sockets, mb), "{sockets} sockets, {mb} MB");
         }
     }
 }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -48,30 +48,30 @@
 use vetchkeel_log::log;
 use watch::Watch;
 
-/// After SIGTERM the process runs for the longest client timeout, capped at `LONGEST_WAIT`, plus this time, in which
-/// new clients may still connect.
-const STILL_COMING: Tenths = 7_000;
-/// New clients are still directed here for 0.4 s after SIGTERM, so open commands are not cut off earlier than this,
-/// however short the client timeouts are.
-const COMING_MOST: Tenths = 4_500;
-const LONGEST_WAIT: Tenths = 30_000;
+/// After SIGTERM the process runs for the longest client timeout, capped at `MAX_CLIENT_TIMEOUT`, plus this time, in
+/// which new clients may still connect.
+const ACCEPTING_TIME: Tenths = 7_000;
+/// New clients still arrive for 0.4 s after SIGTERM, so clients are accepted and read for at least this long, however
+/// short the client timeouts are.
+const MIN_ACCEPTING_TIME: Tenths = 4_500;
+const MAX_CLIENT_TIMEOUT: Tenths = 30_000;
 /// Steps of stopping, as the time that remains until the process may be killed: when the listener closes
-/// (`LAST_TAKEN`); what commands that arrive after SIGTERM must leave unused (`LAST_ANSWER`); when all open commands
-/// are answered (`LAST_MARGIN`); when the process ends, whether or not all clients have closed by then
-/// (`LAST_CLOSED`). A router may be stalled for 0.15 s between reading the clock and writing, and again before it
-/// sleeps.
-const LAST_TAKEN: Tenths = 12_000;
-const LAST_ANSWER: Tenths = 3_600;
-const LAST_MARGIN: Tenths = 3_500;
-const LAST_CLOSED: Tenths = 500;
+/// (`STOP_ACCEPTING_MARGIN`); what commands that arrive after SIGTERM must leave unused (`COMMAND_MARGIN`); when all
+/// open commands are answered (`FINAL_ANSWER_MARGIN`); when the process ends, whether or not all clients have closed
+/// by then (`EXIT_MARGIN`). A router may be stalled for 0.15 s between reading the clock and writing, and again before
+/// it sleeps.
+const STOP_ACCEPTING_MARGIN: Tenths = 12_000;
+const COMMAND_MARGIN: Tenths = 3_600;
+const FINAL_ANSWER_MARGIN: Tenths = 3_500;
+const EXIT_MARGIN: Tenths = 500;
 const BACKLOG: i32 = 1024;
 /// How long a start waits for its listen address, which the previous process may still hold, and the retry interval.
-const LISTEN_MOST: Duration = Duration::from_secs(8);
-const LISTEN_AGAIN: Duration = Duration::from_millis(50);
+const LISTEN_TIMEOUT: Duration = Duration::from_secs(8);
+const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// The process ends if the event loop fails again after this many consecutive failed rounds.
-const FAILED_ROUNDS_MOST: u32 = 100;
+const MAX_FAILED_ROUNDS: u32 = 100;
 /// A deadline that is overdue by more than this shows that the process was stalled.
-const OVERDUE: Tenths = 50;
+const STALL_THRESHOLD: Tenths = 50;
 
 /// Unix time in tenths of a millisecond that never goes backwards.
 struct Clock {
@@ -94,7 +94,7 @@
     clock: Clock,
     now: Tenths,
     /// When the sockets were last polled: all input that arrived before this time has been read.
-    looked_at: Tenths,
+    last_poll: Tenths,
     handle: LoopHandle<'static, Program>,
     commands: Commands,
     clients: Clients,
@@ -113,18 +113,18 @@
     /// Set by SIGTERM: the time from which the process may be killed.
     stopping: Option<Tenths>,
     /// The longest client timeout in the settings.
-    longest_wait: Tenths,
+    longest_client_timeout: Tenths,
     /// The settings in force.
     told: Told,
     /// Configuration values that take effect at a start only.
-    fixed: BTreeMap<&'static str, serde_json::Value>,
+    startup_only: BTreeMap<&'static str, serde_json::Value>,
 }
 
 fn tenths(told: &Told, name: &str, or: f64) -> Tenths {
     (told.get(name).and_then(|v| v.parse().ok()).unwrap_or(or) * 10.0) as Tenths
 }
 
-fn longest_wait(told: &Told) -> Tenths {
+fn longest_client_timeout(told: &Told) -> Tenths {
     let names = (0..).map(|i| format!("request_classes.{i}.hard_limit_ms"));
     names.take_while(|n| told.contains_key(n)).map(|n| tenths(told, &n, 0.0)).max().unwrap_or(0)
 }
@@ -140,7 +140,7 @@
 
 /// Listens as soon as the address is free and a socket is available. Without the retries, a start that fails because
 /// of a transient error would never be repeated.
-fn listen_patiently(address: SocketAddr) -> Result<TcpListener, String> {
+fn listen_with_retries(address: SocketAddr) -> Result<TcpListener, String> {
     let began = Instant::now();
     loop {
         match listen(address) {
@@ -148,10 +148,10 @@
             Err(e)
                 if is_local(&e)
                     && e.kind() != ErrorKind::PermissionDenied
-                    && began.elapsed() < LISTEN_MOST =>
+                    && began.elapsed() < LISTEN_TIMEOUT =>
             {
                 log!("cannot listen on {address} yet: {e}");
-                std::thread::sleep(LISTEN_AGAIN);
+                std::thread::sleep(LISTEN_RETRY_INTERVAL);
             }
             Err(e) => return Err(format!("expected to listen on {address}: {e}")),
         }
@@ -172,7 +172,7 @@
         let mut program = Program {
             clock,
             now,
-            looked_at: now,
+            last_poll: now,
             handle,
             commands: Commands::start(told, start.seed, now)?,
             clients: Clients::new(start.seed),
@@ -188,9 +188,9 @@
             news: VecDeque::new(),
             scratch: vec![0; 64 * 1024].into(),
             stopping: None,
-            longest_wait: longest_wait(told),
+            longest_client_timeout: longest_client_timeout(told),
             told: start.told,
-            fixed: start.fixed,
+            startup_only: start.startup_only,
         };
         program.start_watch();
         let listener = Rc::new(listener);
@@ -221,7 +221,7 @@
 
     /// Checks every connection for readiness. Guards against a round that fails halfway: its remaining events are lost
     /// and, as events are edge-triggered, are not reported again.
-    fn look_everywhere(&mut self) {
+    fn check_all_connections(&mut self) {
         self.guarded("accepting", Program::accept_event, |_| {});
         for key in self.clients.keys() {
             self.guarded(
@@ -238,12 +238,12 @@
     }
 
     /// Runs the steps that follow each poll of the event loop.
-    fn turn(&mut self) {
-        self.guarded("a round", Program::steps, |_| {});
+    fn run_round(&mut self) {
+        self.guarded("a round", Program::round_steps, |_| {});
     }
 
-    fn steps(&mut self) {
-        self.hear_clients();
+    fn round_steps(&mut self) {
+        self.read_deferred_clients();
         let (mut last, now) = (false, self.now);
         while let Some(due) = self.deadlines.take(now) {
             match due {
@@ -255,15 +255,15 @@
                 Due::RetryClient(key) => self.client_event(key, true),
                 Due::RetryConn(key) => self.conn_event(key, true),
                 Due::RetryWatch => self.retry_watch_now(),
-                Due::Message(key) => self.end_unheard(key),
+                Due::Message(key) => self.end_overdue_client(key),
                 Due::Accept => self.accept(),
                 Due::Watch => self.watch_silent(),
                 Due::Start => self.end_start(),
                 Due::Stop => self.stop_accepting(),
-                Due::Last => last = true,
+                Due::FinalAnswers => last = true,
             }
         }
-        self.tell_news();
+        self.pass_results();
         self.decide();
         // Danger: before the decisions above, this error would replace an answer that has arrived by now or the
         // module's own decision.
@@ -286,7 +286,7 @@
         }
     }
 
-    fn signalled(&mut self, signal: Signal) {
+    fn on_signal(&mut self, signal: Signal) {
         self.read_clock();
         match signal {
             Signal::SIGUSR1 => self.print_counters(),
@@ -295,14 +295,15 @@
             _ => {
                 log!("stopping: {} commands open", self.open_commands());
                 self.fleet.leave();
-                let lives = STILL_COMING + self.longest_wait.min(LONGEST_WAIT);
-                self.stopping = Some(self.now + lives);
-                let last = (lives - LAST_MARGIN).max(COMING_MOST);
-                // Danger: nothing is read after `Due::Last`, so the last clients must be accepted and read before it.
-                let stop = STILL_COMING.max(lives - LAST_TAKEN).min(last);
+                let lifetime = ACCEPTING_TIME + self.longest_client_timeout.min(MAX_CLIENT_TIMEOUT);
+                self.stopping = Some(self.now + lifetime);
+                let last = (lifetime - FINAL_ANSWER_MARGIN).max(MIN_ACCEPTING_TIME);
+                // Danger: nothing is read after `Due::FinalAnswers`, so the last clients must be accepted and read
+                // before it.
+                let stop = ACCEPTING_TIME.max(lifetime - STOP_ACCEPTING_MARGIN).min(last);
                 self.deadlines.set(Due::Stop, self.now + stop);
-                self.deadlines.set(Due::Last, self.now + last);
-                self.deadlines.set(Due::End, self.now + lives - LAST_CLOSED);
+                self.deadlines.set(Due::FinalAnswers, self.now + last);
+                self.deadlines.set(Due::End, self.now + lifetime - EXIT_MARGIN);
             }
         }
     }
@@ -324,7 +325,9 @@
             }
         }
         self.counters.reloads += 1;
-        for (name, _) in start.fixed.iter().filter(|(name, value)| self.fixed.get(*name) != Some(*value)) {
+        for (name, _) in
+            start.startup_only.iter().filter(|(name, value)| self.startup_only.get(*name) != Some(*value))
+        {
             log!("reload: '{name}' has changed, which takes effect at the next start");
         }
         self.move_watch(start.discovery);
@@ -338,13 +341,13 @@
         self.commands.reconfigure(&told).map_err(refused)?;
         self.nodes.reconfigure(&told);
         self.invariants.reconfigure(&told);
-        self.longest_wait = longest_wait(&told);
+        self.longest_client_timeout = longest_client_timeout(&told);
         self.told = told;
         Ok(())
     }
 
     /// Counts and logs a violated invariant, with the command if there is one.
-    pub fn violated(&mut self, command: &str, violation: Violation) {
+    pub fn report_violation(&mut self, command: &str, violation: Violation) {
         self.invariants.violations.add(violation);
         log!("violation: {violation:?}, command '{command}'");
     }
@@ -359,14 +362,14 @@
 
     /// The time that a command with the client timeout `wait` may still take: while the process is stopping, the
     /// command must be answered before the process may be killed.
-    pub fn allowed(&self, wait: Tenths) -> Tenths {
-        self.stopping.map_or(wait, |lives| wait.min(lives - LAST_ANSWER - self.now))
+    pub fn remaining_time(&self, wait: Tenths) -> Tenths {
+        self.stopping.map_or(wait, |kill_at| wait.min(kill_at - COMMAND_MARGIN - self.now))
     }
 
     /// How long the event loop may sleep; None without a limit.
-    fn sleep(&self) -> Option<Duration> {
+    fn poll_timeout(&self) -> Option<Duration> {
         let unfinished = self.nodes.has_writable() || self.clients.has_unsent();
-        if !self.news.is_empty() || self.clients.has_later() || unfinished {
+        if !self.news.is_empty() || self.clients.has_deferred() || unfinished {
             return Some(Duration::ZERO);
         }
         let wait = (self.deadlines.first()? - self.clock.now()).max(0);
@@ -376,7 +379,7 @@
     /// True once all clients have closed or the time for it is over. Danger: a client may send something while its
     /// connection is being shut down; if that stays unread, the system resets the connection and the answer is lost.
     fn finished(&self) -> bool {
-        let over = self.stopping.is_some_and(|lives| lives - LAST_CLOSED <= self.now);
+        let over = self.stopping.is_some_and(|kill_at| kill_at - EXIT_MARGIN <= self.now);
         self.clients.listener.is_none() && (over || self.clients.count() == 0)
     }
 }
@@ -384,36 +387,36 @@
 fn run() -> Result<(), String> {
     vetchkeel_log::log_panics();
     // Danger: a reload signal that is sent to all processes would end one that has just started and has no handler yet.
-    let heeded = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGUSR1, Signal::SIGHUP];
-    let signals = Signals::new(&heeded).map_err(|e| e.to_string())?;
+    let handled = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGUSR1, Signal::SIGHUP];
+    let signals = Signals::new(&handled).map_err(|e| e.to_string())?;
     let start = startup::read()?;
     let name = start.name.clone();
     let mut event_loop = EventLoop::<Program>::try_new().map_err(|e| e.to_string())?;
     let handle = event_loop.handle();
-    let heard = handle.insert_source(signals, |event, _, program| program.signalled(event.signal()));
-    heard.map_err(|e| e.to_string())?;
-    let listener = listen_patiently(start.listen)?;
+    let registered = handle.insert_source(signals, |event, _, program| program.on_signal(event.signal()));
+    registered.map_err(|e| e.to_string())?;
+    let listener = listen_with_retries(start.listen)?;
     let mut program = Program::new(start, listener, handle)?;
     if let Some((listener, _)) = &program.clients.listener {
         let address = listener.local_addr().map_err(|e| e.to_string())?;
         vetchkeel_log::log_always!("router {name} serves on {address}");
     }
-    program.turn();
+    program.run_round();
     let mut failed_rounds = 0;
     while !program.finished() {
         match catch_up::poll(&mut event_loop, &mut program) {
             Ok(()) => failed_rounds = 0,
-            Err(e) if failed_rounds == FAILED_ROUNDS_MOST => return Err(format!("the loop failed: {e}")),
+            Err(e) if failed_rounds == MAX_FAILED_ROUNDS => return Err(format!("the loop failed: {e}")),
             Err(e) => {
                 log!("a round of the loop failed: {e}");
                 failed_rounds += 1;
-                program.look_everywhere();
+                program.check_all_connections();
             }
         }
-        program.turn();
+        program.run_round();
     }
     for _ in 0..program.open_commands() {
-        program.violated("", Violation::EndedOwed);
+        program.report_violation("", Violation::EndedOwed);
     }
     program.close_clients();
     program.print_counters();
--- a/crates/router/src/reasons.rs
+++ b/crates/router/src/reasons.rs
@@ -26,7 +26,7 @@
 
 impl ClientClose {
     /// True if the router chose to close, so that no command may be unanswered.
-    pub fn is_ours(self) -> bool {
+    pub fn is_closed_by_router(self) -> bool {
         matches!(
             self,
             ClientClose::GaveWay | ClientClose::Overdue | ClientClose::Panicked | ClientClose::ProcessEnds
--- a/crates/router/src/startup.rs
+++ b/crates/router/src/startup.rs
@@ -19,7 +19,7 @@
     /// The member list that this router had most recently.
     pub known: Option<Sheet>,
     /// Configuration fields, as in the file, that take effect at a start only.
-    pub fixed: BTreeMap<&'static str, Value>,
+    pub startup_only: BTreeMap<&'static str, Value>,
 }
 
 /// Reads the environment and the file that it names. The error is one line that names what was expected.
@@ -52,9 +52,9 @@
         Value::Null => None,
         list => Some(sheet_of(list).map_err(|why| format!("expected a list under 'known': {why}"))?),
     };
-    let fixed = ["name", "listen", "limits"].into_iter().map(|n| (n, config[n].clone())).collect();
+    let startup_only = ["name", "listen", "limits"].into_iter().map(|n| (n, config[n].clone())).collect();
     Ok(Start {
-        fixed,
+        startup_only,
         name: text("name", "NODE_NAME").unwrap_or_else(|| "router".to_owned()),
         listen: address("listen", "NODE_LISTEN")?,
         discovery: address("discovery", "NODE_DISCOVERY")?,
