--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -1,21 +1,21 @@
-//! Client connections: opening, queries one after another, answers in their order, and closing. Who comes in and who
-//! gives way is in `crowd`, how a connection is ended from here in `closing`.
+//! Client connections: opening, one query at a time, answers in order, and closing. `crowd` holds admission and
+//! eviction, `closing` how the router closes a connection, `unsent` the order of writes.
 
 mod closing;
 mod crowd;
 mod unsent;
 
 use crate::Program;
-use crate::arrival::{CERTAIN, waited};
+use crate::arrival::{MIN_AGE, waited};
 use crate::deadlines::Due;
 use crate::invariants::Violation;
 use crate::keys::{ClientKey, CommandKey};
-use crate::leaving::has_gone;
+use crate::leaving::is_disconnected;
 use crate::reasons::ClientClose;
 use crate::transient::{Backoff, is_transient};
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
-use crowd::ACCEPT_AGAIN;
+use crowd::ACCEPT_RETRY_INTERVAL;
 use slotmap::{Key, SlotMap};
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -25,31 +25,31 @@
 use unsent::Unsent;
 use vetchkeel::Tenths;
 use vetchkeel_log::log;
-use vetchkeel_pgwire::{self as pgwire, LONGEST, Opening, Unreadable};
+use vetchkeel_pgwire::{self as pgwire, MAX_MESSAGE, Opening, Unreadable};
 
-/// How long a client may take from connecting to its first whole query, and over any message that it has begun; to
-/// read its answers; to close at the end.
-const BEGUN_MOST: Tenths = 25_000;
+/// How long a client may take from connecting to its first complete query, and for any message that it has begun; to
+/// read its answers; to close after the router has shut down its side.
+const MESSAGE_TIMEOUT: Tenths = 25_000;
 const PATIENCE: Tenths = 100_000;
-const CLOSING: Tenths = 10_000;
-/// Reads and messages that one client may have taken in one turn.
-const TURN_MOST: u32 = 32;
-/// When bytes came is not known to the moment, on either of two connections.
-const SAME_MOMENT: Tenths = 2 * CERTAIN;
-/// Unsent bytes from which on nothing more is taken from a client, and unread ones held behind a command.
-const UNSENT_MOST: usize = 64 * 1024;
-const BEHIND_MOST: usize = 16 * 1024;
+const CLOSE_TIMEOUT: Tenths = 10_000;
+/// Reads and messages that one client may use up in one round of the event loop.
+const MAX_STEPS_PER_ROUND: u32 = 32;
+/// Resolution for comparing arrival times on two connections, each of which is known to within `MIN_AGE`.
+const ARRIVAL_SLACK: Tenths = 2 * MIN_AGE;
+/// Unsent bytes above which a client is not read any more, and bytes read ahead while its command is open.
+const MAX_UNSENT: usize = 64 * 1024;
+const MAX_READ_AHEAD: usize = 16 * 1024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Opening,
     Ready,
-    /// Between an error in extended messages and their Sync.
+    /// An extended-protocol message was rejected; messages are skipped up to the next Sync.
     Skipping,
-    /// Only what is still to be written goes out; then the connection ends.
+    /// The pending output is written, then the sending side is shut down.
     Ending,
-    /// All is written and the end is told; the client has yet to close.
-    Told,
+    /// The sending side is shut down; the client has not closed yet.
+    ShutDown,
 }
 
 struct Client {
@@ -57,46 +57,47 @@
     token: Option<RegistrationToken>,
     stage: Stage,
     input: Vec<u8>,
-    /// All bytes read so far, and when: what a message's last byte came with tells when it came.
+    /// The number of bytes read so far, and for each read the count behind it and its arrival time. A message's
+    /// arrival time is that of the read that contains its last byte.
     read: u64,
-    marks: VecDeque<(u64, Tenths)>,
+    arrivals: VecDeque<(u64, Tenths)>,
     output: VecDeque<Vec<u8>>,
-    /// Written bytes of the first piece of `output`.
+    /// Bytes already written of the first buffer in `output`.
     written: usize,
     unsent: usize,
     command: Option<CommandKey>,
-    /// When the query in hand came.
-    came: Tenths,
-    /// Has sent a query, and one that became a command.
-    asked: bool,
+    /// When the query of the open command arrived.
+    query_at: Tenths,
+    /// The client has sent a query (`sent_query`), and one that became a command (`served`).
+    sent_query: bool,
     served: bool,
-    /// Reading stopped because enough is held.
+    /// Reading is paused because enough bytes are buffered.
     paused: bool,
-    quiet_since: Tenths,
+    idle_since: Tenths,
     retry: Backoff,
-    /// The turn of the loop that it was last heard in, and what it took up in that.
-    turn: u64,
-    spent: u32,
+    /// The round in which it was last read, and the reads and messages that it used up in that round.
+    round: u64,
+    used_quota: u32,
 }
 
 #[derive(Default)]
 pub struct Clients {
     table: SlotMap<ClientKey, Client>,
     pub listener: Option<(Rc<TcpListener>, RegistrationToken)>,
-    /// Clients wait to be accepted until one of those held has gone.
-    crowded: bool,
-    /// How often it is still looked for who waits to be accepted.
-    accept_looks: u32,
-    /// Those with something to write.
+    /// At the connection limit: clients wait to be accepted until one of the current ones has closed.
+    at_capacity: bool,
+    /// How many more times the listener is polled for clients that wait to be accepted.
+    accept_polls: u32,
+    /// The clients with output to write.
     unsent: Unsent,
-    /// Those that have used up this turn: they are heard again in the next.
-    later: Vec<ClientKey>,
-    turn: u64,
-    /// Bytes sent and not yet taken, of all clients together.
-    held: usize,
-    /// The process is about to end: nothing more is read.
-    deaf: bool,
-    /// What the secrets for cancels come from.
+    /// Clients that have used up their share of this round: they are read again in the next.
+    deferred: Vec<ClientKey>,
+    round: u64,
+    /// Bytes read from all clients together and not consumed yet.
+    buffered: usize,
+    /// The process is about to end: nothing more is read from clients.
+    reading_stopped: bool,
+    /// Seed of the secrets for cancel requests.
     seed: u64,
 }
 
@@ -105,15 +106,15 @@
         Clients { seed, ..Clients::default() }
     }
 
-    /// What a cancel must say to mean this client: its slot, and a secret.
+    /// The key that a cancel request for this client must carry: its slot and a secret.
     fn cancel_key(&self, key: ClientKey) -> u64 {
         let mut secret = DefaultHasher::new();
         (self.seed, key).hash(&mut secret);
         key.data().as_ffi() << 32 | secret.finish() >> 32
     }
 
-    pub fn has_later(&self) -> bool {
-        !self.later.is_empty()
+    pub fn has_deferred(&self) -> bool {
+        !self.deferred.is_empty()
     }
 
     pub fn count(&self) -> usize {
@@ -124,7 +125,7 @@
         self.table.keys().collect()
     }
 
-    /// Those of whom nothing whole has come yet: a cancel may.
+    /// The clients without a complete opening packet yet, any of which may turn out to be a cancel request.
     pub fn opening(&self) -> Vec<ClientKey> {
         let opening = self.table.iter().filter(|(_, client)| client.stage == Stage::Opening);
         opening.map(|(key, _)| key).collect()
@@ -136,23 +137,23 @@
 }
 
 impl Client {
-    fn is_between(&self) -> bool {
+    fn is_idle(&self) -> bool {
         self.command.is_none() && self.unsent == 0 && self.input.is_empty()
     }
 
-    /// When the message came that ends this many bytes before the end of what was read.
-    fn came(&self, left: usize, now: Tenths) -> Tenths {
+    /// The arrival time of the message that ends `left` bytes before the end of what was read.
+    fn arrived_at(&self, left: usize, now: Tenths) -> Tenths {
         let end = self.read - left as u64;
-        self.marks.iter().find(|(read, _)| *read >= end).map_or(now, |(_, at)| *at)
+        self.arrivals.iter().find(|(read, _)| *read >= end).map_or(now, |(_, at)| *at)
     }
 }
 
 impl Program {
-    fn welcome(&mut self, stream: TcpStream) {
+    fn add_client(&mut self, stream: TcpStream) {
         if let Err(e) = stream.set_nonblocking(true) {
             return log!("a client's connection cannot be used: {e}");
         }
-        // Without it answers come a little later.
+        // Not essential: without it answers are slightly delayed.
         let _ = stream.set_nodelay(true);
         let stream = Rc::new(stream);
         let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
@@ -162,19 +163,19 @@
             stage: Stage::Opening,
             input: Vec::new(),
             read: 0,
-            marks: VecDeque::new(),
+            arrivals: VecDeque::new(),
             output: VecDeque::new(),
             written: 0,
             unsent: 0,
             command: None,
-            came: 0,
-            asked: false,
+            query_at: 0,
+            sent_query: false,
             served: false,
             paused: false,
-            quiet_since: self.now,
+            idle_since: self.now,
             retry: Backoff::default(),
-            turn: 0,
-            spent: 0,
+            round: 0,
+            used_quota: 0,
         });
         let token = self.handle.insert_source(source, move |ready, _, program: &mut Program| {
             let event = |p: &mut Program| p.client_event(key, ready.readable);
@@ -185,28 +186,30 @@
             Ok(token) => {
                 self.clients.table[key].token = Some(token);
                 self.counters.connections += 1;
-                self.deadlines.set(Due::Message(key), self.now + BEGUN_MOST);
-                // A cancel that is there already means a command that is about to be written.
+                self.deadlines.set(Due::Message(key), self.now + MESSAGE_TIMEOUT);
+                // Read at once: a cancel request that has already arrived may concern a command that is about to be
+                // written.
                 let panicked = |p: &mut Program| p.drop_client(key, ClientClose::Panicked);
                 self.guarded("a client's connection", |p| p.read_client(key), panicked);
             }
             Err(e) => {
-                log!("cannot watch a client: {e}");
+                log!("cannot register a client's connection: {e}");
                 self.clients.table.remove(key);
             }
         }
     }
 
-    /// The system says that the connection is ready. Danger: a read may be refused for a moment all the same, and
-    /// no further event tells of what lies there. So one that should have found something, or more of a message that has
-    /// begun, is made again a few times.
+    /// Handles a readiness event. Danger: a read may still fail transiently, and no further event reports the bytes
+    /// that remain. So a read that should have returned bytes, or the rest of a message that has begun, is retried a
+    /// few times.
     pub fn client_event(&mut self, key: ClientKey, readable: bool) {
         let before = self.clients.table.get(key).map(|c| c.read);
         self.client_ready(key);
-        let owed = |c: &&Client| Some(c.read) == before || (c.command.is_none() && !c.input.is_empty());
-        let Some(client) = self.clients.table.get(key).filter(owed) else { return };
+        let expects_more =
+            |c: &&Client| Some(c.read) == before || (c.command.is_none() && !c.input.is_empty());
+        let Some(client) = self.clients.table.get(key).filter(expects_more) else { return };
         let reads = !client.paused && matches!(client.stage, Stage::Opening | Stage::Ready | Stage::Skipping);
-        if readable && reads && !self.clients.deaf && !client.retry.is_spent() {
+        if readable && reads && !self.clients.reading_stopped && !client.retry.is_spent() {
             self.retry_client(key);
         }
     }
@@ -214,166 +217,169 @@
     fn client_ready(&mut self, key: ClientKey) {
         self.flush(key);
         self.read_client(key);
-        // What was kept from its end by its output is ended behind that.
+        // While stopping, a connection that was kept open only for its pending output is ended after it.
         if self.clients.listener.is_none() {
             self.clients.unsent.push(key);
         }
     }
 
-    /// False once a client has used up its part of this turn; it is heard again in the next.
-    fn has_turn(&mut self, key: ClientKey) -> bool {
-        let turn = self.clients.turn;
+    /// Counts one step of a client; false once it has used up its share of this round, and it is read again in the
+    /// next.
+    fn use_quota(&mut self, key: ClientKey) -> bool {
+        let round = self.clients.round;
         let Some(client) = self.clients.table.get_mut(key) else { return false };
-        client.spent = if client.turn == turn { client.spent + 1 } else { 0 };
-        client.turn = turn;
-        if client.spent == TURN_MOST {
-            self.clients.later.push(key);
+        client.used_quota = if client.round == round { client.used_quota + 1 } else { 0 };
+        client.round = round;
+        if client.used_quota == MAX_STEPS_PER_ROUND {
+            self.clients.deferred.push(key);
         }
-        client.spent < TURN_MOST
+        client.used_quota < MAX_STEPS_PER_ROUND
     }
 
-    /// A turn begins: those who used up the last one are heard.
-    pub fn hear_clients(&mut self) {
-        self.clients.turn += 1;
-        for key in std::mem::take(&mut self.clients.later) {
+    /// Starts a round: reads the clients that used up their share of the last one.
+    pub fn read_deferred_clients(&mut self) {
+        self.clients.round += 1;
+        for key in std::mem::take(&mut self.clients.deferred) {
             self.read_client(key);
         }
     }
 
-    /// Reads all there is, as far as it may be held, and takes it in.
+    /// Reads all available bytes, as far as they may be buffered, and processes them.
     fn read_client(&mut self, key: ClientKey) {
         let stage = self.clients.table.get(key).map(|c| c.stage);
-        if matches!(stage, Some(Stage::Ending | Stage::Told)) {
-            return self.read_away(key);
+        if matches!(stage, Some(Stage::Ending | Stage::ShutDown)) {
+            return self.discard_input(key);
         }
         loop {
-            self.read_on(key);
-            self.advance(key);
-            // What was taken without an answer has made room, and no event tells of what still lies unread.
+            self.fill_input(key);
+            self.process_input(key);
+            // Consumed messages have made room, and no event reports the bytes that are still unread.
             let Some(client) = self.clients.table.get(key) else { return };
             let room =
-                client.command.is_none() && client.input.len() <= LONGEST && client.unsent <= UNSENT_MOST;
-            if !client.paused || !room || !self.has_turn(key) {
+                client.command.is_none() && client.input.len() <= MAX_MESSAGE && client.unsent <= MAX_UNSENT;
+            if !client.paused || !room || !self.use_quota(key) {
                 return;
             }
         }
     }
 
-    fn read_on(&mut self, key: ClientKey) {
+    fn fill_input(&mut self, key: ClientKey) {
         loop {
             let Some(client) = self.clients.table.get_mut(key) else { return };
-            let most = if client.command.is_some() { BEHIND_MOST } else { LONGEST };
-            client.paused = client.input.len() > most || client.unsent > UNSENT_MOST;
-            // Danger: the end of a client that sent much and went lies behind what is not read, and no event
-            // tells of it again: its commands would be sent on for nobody.
-            if client.paused && has_gone(&client.stream) {
+            let most = if client.command.is_some() { MAX_READ_AHEAD } else { MAX_MESSAGE };
+            client.paused = client.input.len() > most || client.unsent > MAX_UNSENT;
+            // Danger: if a client sends much and leaves, the end of its connection is behind unread bytes and no event
+            // reports it again: its commands would be dispatched without a client.
+            if client.paused && is_disconnected(&client.stream) {
                 return self.drop_client(key, ClientClose::Left);
             }
-            if client.paused || self.clients.deaf {
+            if client.paused || self.clients.reading_stopped {
                 return;
             }
             match (&*client.stream).read(&mut self.scratch) {
-                Ok(0) => return self.client_closed(key, ClientClose::Left),
-                Ok(_) if matches!(client.stage, Stage::Ending | Stage::Told) => {}
+                Ok(0) => return self.input_ended(key, ClientClose::Left),
+                Ok(_) if matches!(client.stage, Stage::Ending | Stage::ShutDown) => {}
                 Ok(read) => {
                     client.retry.reset();
                     client.input.extend_from_slice(&self.scratch[..read]);
                     client.read += read as u64;
-                    client.marks.push_back((client.read, self.now - waited(&client.stream)));
-                    self.clients.held += read;
-                    self.hold_less();
+                    client.arrivals.push_back((client.read, self.now - waited(&client.stream)));
+                    self.clients.buffered += read;
+                    self.limit_buffered_input();
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if is_transient(&e) => return self.retry_client(key),
-                Err(_) => return self.client_closed(key, ClientClose::Broken),
+                Err(_) => return self.input_ended(key, ClientClose::Broken),
             }
-            if !self.has_turn(key) {
+            if !self.use_quota(key) {
                 return;
             }
         }
     }
 
-    /// The client has sent its last. Danger: one that asks for a cancel may close right behind that, and both are read at once.
-    fn client_closed(&mut self, key: ClientKey, reason: ClientClose) {
+    /// Handles the end of a client's input. Danger: a client may close right after its cancel request, and both are
+    /// read at once, so the request is processed first.
+    fn input_ended(&mut self, key: ClientKey, reason: ClientClose) {
         let Some(client) = self.clients.table.get(key) else { return };
         let opening = (client.stage == Stage::Opening).then(|| pgwire::opening(&client.input));
-        if let Some(Ok(Some((Opening::Cancel(whom), size)))) = opening {
-            let at = client.came(client.input.len() - size, self.now);
-            self.cancel(whom, at);
+        if let Some(Ok(Some((Opening::Cancel(target), size)))) = opening {
+            let at = client.arrived_at(client.input.len() - size, self.now);
+            self.cancel(target, at);
         }
         self.drop_client(key, reason);
     }
 
-    /// A system call on its connection failed for a moment. Danger: no event may tell when it succeeds.
+    /// Schedules a retry after a transient failure of a system call. Danger: there may be no event when it would
+    /// succeed.
     fn retry_client(&mut self, key: ClientKey) {
         let Some(client) = self.clients.table.get_mut(key) else { return };
         let at = self.now + client.retry.wait();
         self.deadlines.set(Due::RetryClient(key), at);
     }
 
-    /// Takes messages until one becomes a command or more bytes must come.
-    fn advance(&mut self, key: ClientKey) {
+    /// Processes buffered messages until one becomes a command or more bytes are needed.
+    fn process_input(&mut self, key: ClientKey) {
         let Some(client) = self.clients.table.get_mut(key) else { return };
         let input = std::mem::take(&mut client.input);
         let mut at = 0;
         let failed = loop {
             let Some(client) = self.clients.table.get_mut(key) else { break None };
-            if client.command.is_some() || client.unsent > UNSENT_MOST {
+            if client.command.is_some() || client.unsent > MAX_UNSENT {
                 break None;
             }
             let taken = match client.stage {
-                Stage::Opening => self.open_with(key, &input[at..]),
-                Stage::Ready | Stage::Skipping => self.take_message(key, &input[at..]),
-                Stage::Ending | Stage::Told => break None,
+                Stage::Opening => self.handle_opening(key, &input[at..]),
+                Stage::Ready | Stage::Skipping => self.handle_message(key, &input[at..]),
+                Stage::Ending | Stage::ShutDown => break None,
             };
             match taken {
                 Ok(Some(size)) => at += size,
                 Ok(None) => break None,
                 Err(why) => break Some(why),
             }
-            if !self.has_turn(key) {
+            if !self.use_quota(key) {
                 break None;
             }
         };
-        // The bytes taken go; the rest stays for the next message, which has begun.
+        // Consumed bytes are removed; the rest is the beginning of the next message.
         let Some(client) = self.clients.table.get_mut(key) else {
-            self.clients.held -= input.len();
+            self.clients.buffered -= input.len();
             return;
         };
-        self.clients.held -= at;
+        self.clients.buffered -= at;
         client.input = input;
         client.input.drain(..at);
         let start = client.read - client.input.len() as u64;
-        while client.marks.front().is_some_and(|(read, _)| *read <= start) {
-            client.marks.pop_front();
+        while client.arrivals.front().is_some_and(|(read, _)| *read <= start) {
+            client.arrivals.pop_front();
         }
         if client.input.is_empty() {
             client.input.shrink_to(4096);
         }
-        let waits = client.command.is_none() && client.unsent <= UNSENT_MOST && !client.input.is_empty();
+        let waits = client.command.is_none() && client.unsent <= MAX_UNSENT && !client.input.is_empty();
         let due = Due::Message(key);
-        if client.asked && (!waits || at > 0) {
+        if client.sent_query && (!waits || at > 0) {
             self.deadlines.clear(due);
         }
         if waits && self.deadlines.time(due).is_none() {
-            self.deadlines.set(due, self.now + BEGUN_MOST);
+            self.deadlines.set(due, self.now + MESSAGE_TIMEOUT);
         }
         if let Some((sqlstate, why)) = failed {
             self.end_client(key, sqlstate, &why);
         }
     }
 
-    /// What a client sent can't be read on from, or does not come: it is told, and its connection ends.
+    /// Sends a fatal error and ends the connection: the input is invalid, too large or did not arrive in time.
     pub fn end_client(&mut self, key: ClientKey, sqlstate: &str, why: &str) {
         let Some(client) = self.clients.table.get_mut(key) else { return };
-        if matches!(client.stage, Stage::Ending | Stage::Told) {
+        if matches!(client.stage, Stage::Ending | Stage::ShutDown) {
             return;
         }
         let begun = !client.input.is_empty();
-        self.clients.held -= client.input.len();
+        self.clients.buffered -= client.input.len();
         client.input = Vec::new();
-        client.marks.clear();
+        client.arrivals.clear();
         client.stage = Stage::Ending;
         self.deadlines.clear(Due::Message(key));
         self.counters.rejected += 1;
@@ -382,11 +388,15 @@
         pgwire::error(&mut answer, true, sqlstate, why, None);
         self.send(key, answer);
         if begun {
-            self.clients.unsent.push_owed(key);
+            self.clients.unsent.push_answer(key);
         }
     }
 
-    fn open_with(&mut self, key: ClientKey, input: &[u8]) -> Result<Option<usize>, (&'static str, String)> {
+    fn handle_opening(
+        &mut self,
+        key: ClientKey,
+        input: &[u8],
+    ) -> Result<Option<usize>, (&'static str, String)> {
         let Some((opening, size)) = pgwire::opening(input).map_err(|why| match why {
             Unreadable::Version(version) => {
                 ("0A000", format!("protocol version {}.{} is not spoken", version >> 16, version & 0xffff))
@@ -398,10 +408,11 @@
         };
         match opening {
             Opening::Encryption => self.send(key, b"N".to_vec()),
-            Opening::Cancel(whom) => {
-                let at = self.clients.table[key].came(input.len() - size, self.now);
-                // Whoever sees it closed may send the next query, which is not meant.
-                self.cancel(whom, at);
+            Opening::Cancel(target) => {
+                let at = self.clients.table[key].arrived_at(input.len() - size, self.now);
+                // Cancelled before the close: a client that sees the close may send its next query, which must not be
+                // cancelled.
+                self.cancel(target, at);
                 self.drop_client(key, ClientClose::Cancelled);
             }
             Opening::Startup(minor) => {
@@ -414,7 +425,7 @@
         Ok(Some(size))
     }
 
-    fn take_message(
+    fn handle_message(
         &mut self,
         key: ClientKey,
         input: &[u8],
@@ -428,7 +439,7 @@
         let skipping = self.clients.table[key].stage == Stage::Skipping;
         let mut answer = Vec::new();
         match message.kind {
-            b'X' => self.end_after_output(key),
+            b'X' => self.shut_down_after_output(key),
             b'S' => {
                 self.clients.table[key].stage = Stage::Ready;
                 pgwire::ready(&mut answer);
@@ -437,7 +448,7 @@
             b'Q' => {
                 let statement = pgwire::text(message.body).filter(|(_, rest)| rest.is_empty());
                 let (statement, _) = statement.ok_or_else(|| wrong("a query that does not end".into()))?;
-                self.query(key, statement, input.len() - message.size);
+                self.handle_query(key, statement, input.len() - message.size);
             }
             b'P' | b'B' | b'D' | b'E' | b'C' => {
                 self.counters.rejected += 1;
@@ -449,20 +460,20 @@
                 pgwire::error(&mut answer, false, "0A000", "function calls are not taken", None);
                 pgwire::ready(&mut answer);
             }
-            // Flush asks for nothing, and what belongs to a copy that was never begun is passed over.
+            // Flush needs no action, and COPY messages without a COPY in progress are ignored.
             _ => {}
         }
         self.send(key, answer);
         Ok(Some(message.size))
     }
 
-    /// `left` bytes were read behind the query.
-    fn query(&mut self, key: ClientKey, statement: &[u8], left: usize) {
+    /// Handles a query; `left` bytes were read after it.
+    fn handle_query(&mut self, key: ClientKey, statement: &[u8], left: usize) {
         let now = self.now;
         let Some(client) = self.clients.table.get_mut(key) else { return };
-        client.asked = true;
+        client.sent_query = true;
         self.deadlines.clear(Due::Message(key));
-        let arrived = client.came(left, now);
+        let arrived = client.arrived_at(left, now);
         let mut answer = Vec::new();
         if pgwire::is_empty(statement) {
             if self.watch.is_ready(self.now) {
@@ -475,7 +486,7 @@
         match self.take_command(key, statement, arrived) {
             Ok(command) => {
                 let client = &mut self.clients.table[key];
-                (client.command, client.came, client.served) = (Some(command), arrived, true);
+                (client.command, client.query_at, client.served) = (Some(command), arrived, true);
             }
             Err((sqlstate, why)) => {
                 self.counters.rejected += 1;
@@ -486,37 +497,37 @@
         }
     }
 
-    /// A client asks, on a connection of its own, for the end of the query that it has in hand. Danger: one
-    /// that came later, while neither was read, is another query.
-    fn cancel(&mut self, whom: u64, at: Tenths) {
-        let Some(key) = self.clients.table.keys().find(|k| self.clients.cancel_key(*k) == whom) else {
+    /// Handles a cancel request, which arrives on a connection of its own at `at`. Danger: if neither connection was
+    /// read for a while, the open query may be one that arrived after the request and must not be cancelled.
+    fn cancel(&mut self, target: u64, at: Tenths) {
+        let Some(key) = self.clients.table.keys().find(|k| self.clients.cancel_key(*k) == target) else {
             return;
         };
-        // What it sent before may not be read yet.
+        // The query that is meant may not have been read yet.
         self.read_client(key);
         let Some(client) = self.clients.table.get(key) else { return };
-        let Some(command) = client.command.filter(|_| client.came <= at + SAME_MOMENT) else { return };
-        self.command_left(command);
+        let Some(command) = client.command.filter(|_| client.query_at <= at + ARRIVAL_SLACK) else { return };
+        self.abandon_command(command);
         let mut answer = Vec::new();
         pgwire::error(&mut answer, false, "57014", "cancelled as its client asked", None);
         self.answer(key, answer);
     }
 
-    /// The whole answer to the query in hand: it goes out with word that the next may come.
+    /// Queues the complete answer to the current query, followed by ReadyForQuery.
     pub fn answer(&mut self, key: ClientKey, answer: Vec<u8>) {
         let Some(client) = self.clients.table.get_mut(key) else { return };
         client.command = None;
-        client.quiet_since = self.now;
+        client.idle_since = self.now;
         let mut ready = Vec::new();
         pgwire::ready(&mut ready);
         for bytes in [answer, ready] {
             client.unsent += bytes.len();
             client.output.push_back(bytes);
         }
-        self.clients.unsent.push_owed(key);
+        self.clients.unsent.push_answer(key);
     }
 
-    /// Adds to what is written at the turn's end.
+    /// Queues bytes to be written at the end of the round.
     fn send(&mut self, key: ClientKey, bytes: Vec<u8>) {
         let Some(client) = self.clients.table.get_mut(key).filter(|_| !bytes.is_empty()) else { return };
         client.unsent += bytes.len();
@@ -524,12 +535,12 @@
         self.clients.unsent.push(key);
     }
 
-    /// Writes what waits, for as long as the last look at what has come is not long ago; what was held back behind it is taken up.
+    /// Writes queued output and resumes each client's input behind it; stops once the last poll is too long ago.
     pub fn write_clients(&mut self) {
         while let Some(key) = self.clients.unsent.pop() {
             self.flush(key);
             self.resume(key);
-            self.thin_out();
+            self.limit_staying_clients();
             if self.clients.listener.is_none() {
                 self.end_if_idle(key);
             }
@@ -573,80 +584,85 @@
             }
         }
         if client.stage == Stage::Ending {
-            client.stage = Stage::Told;
+            client.stage = Stage::ShutDown;
             let _ = client.stream.shutdown(Shutdown::Write);
-            self.deadlines.set(Due::Client(key), self.now + CLOSING);
-        } else if before > 0 && client.stage != Stage::Told {
+            self.deadlines.set(Due::Client(key), self.now + CLOSE_TIMEOUT);
+        } else if before > 0 && client.stage != Stage::ShutDown {
             self.deadlines.clear(Due::Client(key));
         }
     }
 
-    /// Takes up what lies behind an answer, and reads on where that had stopped.
+    /// Processes the input buffered behind an answer, and resumes reading if it was paused.
     fn resume(&mut self, key: ClientKey) {
         let Some(client) = self.clients.table.get(key) else { return };
         if client.paused && client.command.is_none() {
             self.read_client(key);
-        } else if !client.input.is_empty() && self.has_turn(key) {
-            self.advance(key);
+        } else if !client.input.is_empty() && self.use_quota(key) {
+            self.process_input(key);
         }
     }
 
-    /// Closes a client's connection; a command in hand has lost its client.
+    /// Closes a client's connection; its open command is left without a client.
     pub fn drop_client(&mut self, key: ClientKey, reason: ClientClose) {
         let Some(client) = self.clients.table.remove(key) else { return };
         self.counters.clients_closed.add(reason);
         if let Some(command) = client.command {
             let id = self.commands.id(command);
             log!("command {id}: its client's connection is closed: {reason:?}");
-            if reason.is_ours() {
-                self.violated(&id, Violation::ClosedOwed);
+            if reason.is_closed_by_router() {
+                self.report_violation(&id, Violation::ClosedOwed);
             }
         }
-        self.clients.held -= client.input.len();
+        self.clients.buffered -= client.input.len();
         let dues = [Due::Client(key), Due::Message(key), Due::RetryClient(key)];
         dues.into_iter().for_each(|due| self.deadlines.clear(due));
-        if self.clients.crowded {
+        if self.clients.at_capacity {
             self.deadlines.set(Due::Accept, self.now);
         }
         if let Some(token) = client.token {
             self.handle.remove(token);
         }
         if let Some(command) = client.command {
-            self.command_left(command);
+            self.abandon_command(command);
         }
     }
 
-    /// Asked before a command is written. Danger: after the process stood still, a node that is ready is
-    /// heard before the client that left meanwhile, and its command would begin long after.
+    /// Drops the command's client if it has disconnected; called before a command is written. Danger: after a stall,
+    /// the event of a node that is ready may be handled before that of a client that left meanwhile, and the command
+    /// would begin long after its client left.
     pub fn see_leaving(&mut self, command: CommandKey) {
         let Some(key) = self.commands.client(command) else { return };
-        if self.clients.table.get(key).is_some_and(|c| has_gone(&c.stream)) {
+        if self.clients.table.get(key).is_some_and(|c| is_disconnected(&c.stream)) {
             self.drop_client(key, ClientClose::Left);
         }
     }
 
     // ---- stopping ----
 
-    /// Ends the connection if it is between commands; whatever it has sent before is served first, and before its
-    /// answers are written it may send more. At the very end nothing more is read, and half a message is none.
+    /// Ends the connection if it is between commands. Queries that it has already sent are served first, and it may
+    /// send more until their answers are written. Right before the process ends nothing more is read, and an
+    /// incomplete message is ignored.
     fn end_if_idle(&mut self, key: ClientKey) {
         let Some(client) = self.clients.table.get_mut(key) else { return };
         let whole = || matches!(pgwire::message(&client.input), Ok(Some(_)));
-        let behind = if self.clients.deaf { whole() } else { !client.input.is_empty() };
-        let between = client.command.is_none() && !behind && (client.unsent == 0 || self.clients.deaf);
-        if between && client.asked && matches!(client.stage, Stage::Ready | Stage::Skipping) {
-            self.end_after_output(key);
+        let behind = if self.clients.reading_stopped { whole() } else { !client.input.is_empty() };
+        let between =
+            client.command.is_none() && !behind && (client.unsent == 0 || self.clients.reading_stopped);
+        if between && client.sent_query && matches!(client.stage, Stage::Ready | Stage::Skipping) {
+            self.shut_down_after_output(key);
         }
     }
 
-    /// Nothing new is taken any more; who waits for an answer still gets it. Danger: the system resets whoever it has
-    /// let in and nobody has accepted, so at the limit the listener stays while others may still make room.
+    /// Stops accepting clients; open commands are still answered. Danger: when the listener closes, the system resets
+    /// established connections that were not accepted, so at the connection limit it stays open while other clients may
+    /// still make room.
     pub fn stop_accepting(&mut self) {
         self.end_start();
         self.accept_all();
-        let again = self.now + ACCEPT_AGAIN;
-        if self.clients.crowded && self.deadlines.time(Due::Last).is_some_and(|last| again < last) {
-            log!("stopping: at the limit, clients wait to be accepted");
+        let again = self.now + ACCEPT_RETRY_INTERVAL;
+        if self.clients.at_capacity && self.deadlines.time(Due::FinalAnswers).is_some_and(|last| again < last)
+        {
+            log!("stopping: at the limit, clients are waiting to be accepted");
             self.deadlines.set(Due::Stop, again);
         } else if let Some((_, token)) = self.clients.listener.take() {
             self.handle.remove(token);
@@ -654,11 +670,11 @@
         self.end_idle();
     }
 
-    /// The process may be killed any moment: whoever still waits is answered. Danger: a client that always has a
-    /// query behind the one in hand is never between commands, and its last would be lost.
+    /// Answers all waiting clients and stops reading, as the process may be killed any moment. Danger: a client that
+    /// always has a query queued behind the open one is never between commands, and its last query would be lost.
     pub fn end_clients(&mut self) {
-        self.clients.deaf = true;
-        self.answer_the_last();
+        self.clients.reading_stopped = true;
+        self.answer_open_commands();
         self.end_idle();
     }
 
--- a/crates/router/src/invariants.rs
+++ b/crates/router/src/invariants.rs
@@ -1,63 +1,65 @@
-//! The rules, checked at run time beside the decisions: what is about to be written, answered or closed is compared with
-//! what this process has seen, by books of its own. A violation is counted, logged and changes nothing.
+//! Run-time checks of the router's invariants, independent of the decision module: each write, answer and close is
+//! compared with records kept here. A violation is counted and logged but changes nothing.
 
 use crate::reasons::Tally;
 use std::collections::BTreeMap;
 use vetchkeel::{Ending, Id, Tenths, Told};
 
-/// What the operators' pages grant between a clock that is read and a write, and at the answer's end.
-const SLACK: Tenths = 500;
-const TOLD_SLACK: Tenths = 1_500;
-const LATE_MOST: Tenths = 5_000;
+/// Tolerances from the operators' documentation: between reading the clock and a write (`CLOCK_SLACK`), for the time
+/// limit told to a member (`LIMIT_SLACK`), and for a late answer (`MAX_LATENESS`).
+const CLOCK_SLACK: Tenths = 500;
+const LIMIT_SLACK: Tenths = 1_500;
+const MAX_LATENESS: Tenths = 5_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// An attempt begins while another of the command is out.
+    /// An attempt begins while another one of the command is in flight.
     SecondCopy,
-    /// An attempt begins though an earlier one may have run and the command may not run again.
+    /// An attempt begins although an earlier one may have run and the command must not run again.
     EffectTwice,
     /// An attempt begins for a client that has left.
     ClientLeft,
-    /// An attempt begins at a member that was told to drain, past its grace.
+    /// An attempt begins at a draining member after its grace period.
     Draining,
-    /// An attempt tells more time than its client has left.
+    /// An attempt carries a time limit beyond its client's deadline.
     TooLong,
-    /// A final answer comes more than half a second after its client's time.
+    /// A final answer is sent more than half a second after its client's deadline.
     Late,
-    /// A client's connection is closed by this side with its command unanswered.
+    /// The router closes a client's connection whose command is unanswered.
     ClosedOwed,
     /// The process ends with a command unanswered.
     EndedOwed,
 }
 
-/// What a command's group says of running it again.
+/// Whether a command may run again, by its command group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
     Free,
+    /// Within this time after the first attempt that may have run.
     Within(Tenths),
     Never,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
-    Out,
-    Untouched,
+enum AttemptState {
+    InFlight,
+    NeverRan,
     MayHaveRun,
 }
 
-/// The attempts of one command that were begun to be written.
+/// The attempts of one command whose writing has begun.
 #[derive(Debug)]
 pub struct History {
     repeat: Repeat,
     deadline: Tenths,
-    attempts: Vec<(u32, Tenths, Fate)>,
+    attempts: Vec<(u32, Tenths, AttemptState)>,
 }
 
 /// An attempt whose first byte is about to be written.
-pub struct Begun<'a> {
+pub struct AttemptStart<'a> {
     pub number: u32,
     pub node: &'a Id,
-    /// Until when its router waits, as the member is told.
+    /// The time limit as told to the member: until when the router waits.
     pub limit_at: Tenths,
     pub has_client: bool,
 }
@@ -66,7 +68,7 @@
 pub struct Invariants {
     repeats: BTreeMap<String, Repeat>,
     grace: Tenths,
-    /// Since when members are known to drain or to be gone.
+    /// The members that are draining or removed, and since when this is known.
     draining: BTreeMap<Id, Tenths>,
     pub violations: Tally<Violation>,
 }
@@ -96,53 +98,59 @@
         }
     }
 
-    /// A command is taken, whose client waits until then.
-    pub fn taken(&self, group: &str, deadline: Tenths) -> History {
+    /// Starts the history of a command whose client waits until `deadline`.
+    pub fn start_history(&self, group: &str, deadline: Tenths) -> History {
         let repeat = self.repeats.get(group).copied().unwrap_or(Repeat::Never);
         History { repeat, deadline, attempts: Vec::new() }
     }
 
-    /// The list names a member.
-    pub fn listed(&mut self, now: Tenths, node: &Id, shut: bool) {
-        if shut {
+    /// Records a member of the list and whether it is draining or removed.
+    pub fn listed(&mut self, now: Tenths, node: &Id, is_draining: bool) {
+        if is_draining {
             self.draining.entry(node.clone()).or_insert(now);
         } else {
             self.draining.remove(node);
         }
     }
 
-    /// A member is known no more.
+    /// Removes a member that is no longer known.
     pub fn forgotten(&mut self, node: &Id) {
         self.draining.remove(node);
     }
 
-    /// An attempt's first byte is about to be written; the violations of that.
-    pub fn begins(&mut self, now: Tenths, history: &mut History, attempt: &Begun) -> Vec<Violation> {
+    /// Records an attempt whose first byte is about to be written and returns the invariants that this violates.
+    pub fn check_attempt(
+        &mut self,
+        now: Tenths,
+        history: &mut History,
+        attempt: &AttemptStart,
+    ) -> Vec<Violation> {
         let earlier = || history.attempts.iter().filter(|(number, ..)| *number != attempt.number);
-        let may_have_run = |&&(_, _, fate): &&(u32, Tenths, Fate)| fate != Fate::Untouched;
+        let may_have_run = |&&(_, _, state): &&(u32, Tenths, AttemptState)| state != AttemptState::NeverRan;
         let first = earlier().filter(may_have_run).map(|(_, at, _)| *at).min();
-        let twice = first.is_some_and(|at| match history.repeat {
+        let repeats_effect = first.is_some_and(|at| match history.repeat {
             Repeat::Free => false,
             Repeat::Within(window) => now > at + window,
             Repeat::Never => true,
         });
-        let shut = self.draining.get(attempt.node).is_some_and(|since| now > since + self.grace + SLACK);
+        let past_drain_grace =
+            self.draining.get(attempt.node).is_some_and(|since| now > since + self.grace + CLOCK_SLACK);
         let found = [
-            (earlier().any(|(.., fate)| *fate == Fate::Out), Violation::SecondCopy),
-            (twice, Violation::EffectTwice),
+            (earlier().any(|(.., state)| *state == AttemptState::InFlight), Violation::SecondCopy),
+            (repeats_effect, Violation::EffectTwice),
             (!attempt.has_client, Violation::ClientLeft),
-            (shut, Violation::Draining),
-            (attempt.limit_at > history.deadline + TOLD_SLACK, Violation::TooLong),
+            (past_drain_grace, Violation::Draining),
+            (attempt.limit_at > history.deadline + LIMIT_SLACK, Violation::TooLong),
         ];
-        history.attempts.push((attempt.number, now, Fate::Out));
+        history.attempts.push((attempt.number, now, AttemptState::InFlight));
         let found: Vec<Violation> = found.into_iter().filter(|(is, _)| *is).map(|(_, what)| what).collect();
         found.iter().for_each(|violation| self.violations.add(*violation));
         found
     }
 
-    /// A final answer is about to be written.
-    pub fn answers(&mut self, now: Tenths, history: &History) -> Option<Violation> {
-        let late = now > history.deadline + LATE_MOST;
+    /// Checks a final answer that is about to be written.
+    pub fn check_answer(&mut self, now: Tenths, history: &History) -> Option<Violation> {
+        let late = now > history.deadline + MAX_LATENESS;
         late.then(|| {
             self.violations.add(Violation::Late);
             Violation::Late
@@ -153,9 +161,9 @@
 impl History {
     pub fn ended(&mut self, number: u32, ending: Ending) {
         use Ending::*;
-        let untouched = matches!(ending, Full | Miss | ConnectFailed | NeverSent | NotDialled);
-        let fate = if untouched { Fate::Untouched } else { Fate::MayHaveRun };
-        self.attempts.iter_mut().filter(|(n, ..)| *n == number).for_each(|attempt| attempt.2 = fate);
+        let never_ran = matches!(ending, Full | Miss | ConnectFailed | NeverSent | NotDialled);
+        let state = if never_ran { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
+        self.attempts.iter_mut().filter(|(n, ..)| *n == number).for_each(|attempt| attempt.2 = state);
     }
 }
 
--- a/crates/router/src/invariants/tests.rs
+++ b/crates/router/src/invariants/tests.rs
@@ -17,39 +17,39 @@
     Invariants::new(&told.into_iter().map(|(name, value)| (name.to_owned(), value.to_owned())).collect())
 }
 
-fn attempt(number: u32, node: &Id) -> Begun<'_> {
-    Begun { number, node, limit_at: NOW + 10_000, has_client: true }
+fn attempt(number: u32, node: &Id) -> AttemptStart<'_> {
+    AttemptStart { number, node, limit_at: NOW + 10_000, has_client: true }
 }
 
 #[rstest]
-#[case::free("look", Ending::TimedOut, 40_000, &[])]
-#[case::in_its_window("save", Ending::TimedOut, 30_000, &[])]
-#[case::past_its_window("save", Ending::TimedOut, 30_001, &[Violation::EffectTwice])]
-#[case::never("order", Ending::Reset, 1, &[Violation::EffectTwice])]
-#[case::never_but_untouched("order", Ending::Miss, 1, &[])]
+#[case::replayable("look", Ending::TimedOut, 40_000, &[])]
+#[case::within_window("save", Ending::TimedOut, 30_000, &[])]
+#[case::after_window("save", Ending::TimedOut, 30_001, &[Violation::EffectTwice])]
+#[case::not_replayable("order", Ending::Reset, 1, &[Violation::EffectTwice])]
+#[case::not_replayable_but_never_ran("order", Ending::Miss, 1, &[])]
 #[case::unknown_group("other", Ending::Error, 1, &[Violation::EffectTwice])]
-fn a_repeat_is_checked_by_what_became_of_the_first(
+fn repeated_attempt_is_checked_against_the_first_outcome(
     #[case] group: &str,
     #[case] ending: Ending,
     #[case] later: Tenths,
     #[case] expected: &[Violation],
 ) {
     let (mut invariants, node) = (invariants(), Id::from("a"));
-    let mut history = invariants.taken(group, NOW + 100_000);
-    assert_eq!(invariants.begins(NOW, &mut history, &attempt(0, &node)), []);
+    let mut history = invariants.start_history(group, NOW + 100_000);
+    assert_eq!(invariants.check_attempt(NOW, &mut history, &attempt(0, &node)), []);
     history.ended(0, ending);
-    assert_eq!(invariants.begins(NOW + later, &mut history, &attempt(1, &node)), expected);
+    assert_eq!(invariants.check_attempt(NOW + later, &mut history, &attempt(1, &node)), expected);
     assert_eq!(invariants.violations.total(), expected.len() as u64);
 }
 
 #[rstest]
-#[case::in_its_grace(5_500, true, 10_000, true, &[])]
-#[case::past_its_grace(5_501, true, 10_000, true, &[Violation::Draining])]
-#[case::up_again(9_000, false, 10_000, true, &[])]
+#[case::within_grace(5_500, true, 10_000, true, &[])]
+#[case::after_grace(5_501, true, 10_000, true, &[Violation::Draining])]
+#[case::no_longer_draining(9_000, false, 10_000, true, &[])]
 #[case::client_left(0, false, 10_000, false, &[Violation::ClientLeft])]
-#[case::told_in_the_slack(0, false, 21_500, true, &[])]
-#[case::told_too_long(0, false, 21_501, true, &[Violation::TooLong])]
-fn what_begins_is_checked(
+#[case::limit_within_slack(0, false, 21_500, true, &[])]
+#[case::limit_too_long(0, false, 21_501, true, &[Violation::TooLong])]
+fn attempt_start_is_checked(
     #[case] later: Tenths,
     #[case] drains: bool,
     #[case] limit: Tenths,
@@ -59,24 +59,24 @@
     let (mut invariants, node) = (invariants(), Id::from("a"));
     invariants.listed(NOW, &node, true);
     invariants.listed(NOW, &node, drains);
-    let mut history = invariants.taken("look", NOW + 20_000);
-    let begun = Begun { limit_at: NOW + limit, has_client, ..attempt(0, &node) };
-    assert_eq!(invariants.begins(NOW + later, &mut history, &begun), expected);
+    let mut history = invariants.start_history("look", NOW + 20_000);
+    let begun = AttemptStart { limit_at: NOW + limit, has_client, ..attempt(0, &node) };
+    assert_eq!(invariants.check_attempt(NOW + later, &mut history, &begun), expected);
 }
 
 #[rstest]
-fn an_attempt_beside_one_that_is_out_is_a_second_copy() {
+fn attempt_while_another_is_in_flight_is_a_second_copy() {
     let (mut invariants, node) = (invariants(), Id::from("a"));
-    let mut history = invariants.taken("look", NOW + 20_000);
-    invariants.begins(NOW, &mut history, &attempt(0, &node));
-    assert_eq!(invariants.begins(NOW, &mut history, &attempt(1, &node)), [Violation::SecondCopy]);
+    let mut history = invariants.start_history("look", NOW + 20_000);
+    invariants.check_attempt(NOW, &mut history, &attempt(0, &node));
+    assert_eq!(invariants.check_attempt(NOW, &mut history, &attempt(1, &node)), [Violation::SecondCopy]);
 }
 
 #[rstest]
 #[case(25_000, None)]
 #[case(25_001, Some(Violation::Late))]
-fn an_answer_long_after_its_time_is_late(#[case] at: Tenths, #[case] expected: Option<Violation>) {
+fn answer_long_after_its_deadline_is_late(#[case] at: Tenths, #[case] expected: Option<Violation>) {
     let mut invariants = invariants();
-    let history = invariants.taken("look", NOW + 20_000);
-    assert_eq!(invariants.answers(NOW + at, &history), expected);
+    let history = invariants.start_history("look", NOW + 20_000);
+    assert_eq!(invariants.check_answer(NOW + at, &history), expected);
 }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,5 +1,5 @@
-//! The query router on sockets: one process, one thread, one loop. Each turn takes in all that is readable, tells
-//! the module, pulls its decisions until there is none, writes, and sleeps until the next deadline.
+//! The query router on sockets: one process, one thread, one event loop. Each round reads all that is readable, passes
+//! it to the decision module, pulls decisions until there is none, writes, and sleeps until the next deadline.
 
 mod arrival;
 mod capture;
@@ -48,29 +48,32 @@
 use vetchkeel_log::log;
 use watch::Watch;
 
-/// After SIGTERM the process is let live for the longest wait, as far as that counts, and for as long as new
-/// clients may still come.
-const STILL_COMING: Tenths = 7_000;
-/// The front still brings in new ones for 0.4 s: what is told to come to them holds, however short the waits are.
-const COMING_MOST: Tenths = 4_500;
-const LONGEST_WAIT: Tenths = 30_000;
-/// What is left of that when nothing more is taken, what no command taken from then on may use, when whoever has
-/// waited since before is answered, and when the process ends, whether or not all clients have closed by then. A router
-/// may be held up for 0.15 s between its look at the clock and what it writes, and again on its way to sleep.
-const LAST_TAKEN: Tenths = 12_000;
-const LAST_ANSWER: Tenths = 3_600;
-const LAST_MARGIN: Tenths = 3_500;
-const LAST_CLOSED: Tenths = 500;
+/// After SIGTERM the process runs for the longest client timeout, capped at `MAX_CLIENT_TIMEOUT`, plus this time, in
+/// which new clients may still connect.
+const ACCEPTING_TIME: Tenths = 7_000;
+/// New clients still arrive for 0.4 s after SIGTERM, so clients are accepted and read for at least this long, however
+/// short the client timeouts are.
+const MIN_ACCEPTING_TIME: Tenths = 4_500;
+const MAX_CLIENT_TIMEOUT: Tenths = 30_000;
+/// Steps of stopping, as the time that remains until the process may be killed: when the listener closes
+/// (`STOP_ACCEPTING_MARGIN`); what commands that arrive after SIGTERM must leave unused (`COMMAND_MARGIN`); when all
+/// open commands are answered (`FINAL_ANSWER_MARGIN`); when the process ends, whether or not all clients have closed
+/// by then (`EXIT_MARGIN`). A router may be stalled for 0.15 s between reading the clock and writing, and again before
+/// it sleeps.
+const STOP_ACCEPTING_MARGIN: Tenths = 12_000;
+const COMMAND_MARGIN: Tenths = 3_600;
+const FINAL_ANSWER_MARGIN: Tenths = 3_500;
+const EXIT_MARGIN: Tenths = 500;
 const BACKLOG: i32 = 1024;
-/// How long a start waits for its address, which the process before it may still hold, and how often it looks.
-const LISTEN_MOST: Duration = Duration::from_secs(8);
-const LISTEN_AGAIN: Duration = Duration::from_millis(50);
-/// So many rounds of the loop in a row that fail end the process.
-const FAILED_ROUNDS_MOST: u32 = 100;
-/// A deadline that is over for longer was not waited for: the process stood still.
-const OVERDUE: Tenths = 50;
+/// How long a start waits for its listen address, which the previous process may still hold, and the retry interval.
+const LISTEN_TIMEOUT: Duration = Duration::from_secs(8);
+const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// The process ends if the event loop fails again after this many consecutive failed rounds.
+const MAX_FAILED_ROUNDS: u32 = 100;
+/// A deadline that is overdue by more than this shows that the process was stalled.
+const STALL_THRESHOLD: Tenths = 50;
 
-/// Unix time in tenths of a millisecond, that never goes back.
+/// Unix time in tenths of a millisecond that never goes backwards.
 struct Clock {
     start: Tenths,
     since: Instant,
@@ -90,8 +93,8 @@
 pub struct Program {
     clock: Clock,
     now: Tenths,
-    /// All that came before this has been taken in.
-    looked_at: Tenths,
+    /// When the sockets were last polled: all input that arrived before this time has been read.
+    last_poll: Tenths,
     handle: LoopHandle<'static, Program>,
     commands: Commands,
     clients: Clients,
@@ -104,24 +107,24 @@
     fleet: Fleet,
     configuration: Configuration,
     limits: Limits,
-    /// What has ended since the module last heard.
+    /// Results that have not been passed to the module yet.
     news: VecDeque<News>,
     scratch: Box<[u8]>,
-    /// SIGTERM has come: until when the process may expect to live.
+    /// Set by SIGTERM: the time from which the process may be killed.
     stopping: Option<Tenths>,
-    /// The longest that a client may wait, by the settings.
-    longest_wait: Tenths,
+    /// The longest client timeout in the settings.
+    longest_client_timeout: Tenths,
     /// The settings in force.
     told: Told,
-    /// What the configuration said at the start and can't change.
-    fixed: BTreeMap<&'static str, serde_json::Value>,
+    /// Configuration values that take effect at a start only.
+    startup_only: BTreeMap<&'static str, serde_json::Value>,
 }
 
 fn tenths(told: &Told, name: &str, or: f64) -> Tenths {
     (told.get(name).and_then(|v| v.parse().ok()).unwrap_or(or) * 10.0) as Tenths
 }
 
-fn longest_wait(told: &Told) -> Tenths {
+fn longest_client_timeout(told: &Told) -> Tenths {
     let names = (0..).map(|i| format!("request_classes.{i}.hard_limit_ms"));
     names.take_while(|n| told.contains_key(n)).map(|n| tenths(told, &n, 0.0)).max().unwrap_or(0)
 }
@@ -135,9 +138,9 @@
     Ok(socket.into())
 }
 
-/// Listens as soon as the address is free and the system has a socket to give. Danger: a start that fails for a moment
-/// is one that never comes.
-fn listen_patiently(address: SocketAddr) -> Result<TcpListener, String> {
+/// Listens as soon as the address is free and a socket is available. Without the retries, a start that fails because
+/// of a transient error would never be repeated.
+fn listen_with_retries(address: SocketAddr) -> Result<TcpListener, String> {
     let began = Instant::now();
     loop {
         match listen(address) {
@@ -145,10 +148,10 @@
             Err(e)
                 if is_local(&e)
                     && e.kind() != ErrorKind::PermissionDenied
-                    && began.elapsed() < LISTEN_MOST =>
+                    && began.elapsed() < LISTEN_TIMEOUT =>
             {
                 log!("cannot listen on {address} yet: {e}");
-                std::thread::sleep(LISTEN_AGAIN);
+                std::thread::sleep(LISTEN_RETRY_INTERVAL);
             }
             Err(e) => return Err(format!("expected to listen on {address}: {e}")),
         }
@@ -169,7 +172,7 @@
         let mut program = Program {
             clock,
             now,
-            looked_at: now,
+            last_poll: now,
             handle,
             commands: Commands::start(told, start.seed, now)?,
             clients: Clients::new(start.seed),
@@ -185,9 +188,9 @@
             news: VecDeque::new(),
             scratch: vec![0; 64 * 1024].into(),
             stopping: None,
-            longest_wait: longest_wait(told),
+            longest_client_timeout: longest_client_timeout(told),
             told: start.told,
-            fixed: start.fixed,
+            startup_only: start.startup_only,
         };
         program.start_watch();
         let listener = Rc::new(listener);
@@ -200,12 +203,12 @@
         Ok(program)
     }
 
-    /// Reads the clock once more. Danger: between a look at it and what rests on that look any time may pass.
+    /// Reads the clock again. Danger: any amount of time may pass between reading the clock and using the result.
     pub fn read_clock(&mut self) {
         self.now = self.clock.now();
     }
 
-    /// Runs what one connection asks for. A panic stops at that connection.
+    /// Runs the handler of one connection; if it panics, only that connection is ended, by `end`.
     pub fn guarded(&mut self, what: &str, run: impl FnOnce(&mut Program), end: impl FnOnce(&mut Program)) {
         self.read_clock();
         if catch_unwind(AssertUnwindSafe(|| run(self))).is_err() {
@@ -216,9 +219,9 @@
         }
     }
 
-    /// Danger: a round of the loop that fails in the middle loses the events behind, and none tells again of what lies
-    /// there. So all that may have been meant is looked at.
-    fn look_everywhere(&mut self) {
+    /// Checks every connection for readiness. Guards against a round that fails halfway: its remaining events are lost
+    /// and, as events are edge-triggered, are not reported again.
+    fn check_all_connections(&mut self) {
         self.guarded("accepting", Program::accept_event, |_| {});
         for key in self.clients.keys() {
             self.guarded(
@@ -234,13 +237,13 @@
         self.guarded("the watch", Program::hear_watch, |p| p.break_watch("a panic"));
     }
 
-    /// One turn, after all that was readable has been taken in.
-    fn turn(&mut self) {
-        self.guarded("a turn", Program::steps, |_| {});
+    /// Runs the steps that follow each poll of the event loop.
+    fn run_round(&mut self) {
+        self.guarded("a round", Program::round_steps, |_| {});
     }
 
-    fn steps(&mut self) {
-        self.hear_clients();
+    fn round_steps(&mut self) {
+        self.read_deferred_clients();
         let (mut last, now) = (false, self.now);
         while let Some(due) = self.deadlines.take(now) {
             match due {
@@ -252,26 +255,28 @@
                 Due::RetryClient(key) => self.client_event(key, true),
                 Due::RetryConn(key) => self.conn_event(key, true),
                 Due::RetryWatch => self.retry_watch_now(),
-                Due::Message(key) => self.end_unheard(key),
+                Due::Message(key) => self.end_overdue_client(key),
                 Due::Accept => self.accept(),
                 Due::Watch => self.watch_silent(),
                 Due::Start => self.end_start(),
                 Due::Stop => self.stop_accepting(),
-                Due::Last => last = true,
+                Due::FinalAnswers => last = true,
             }
         }
-        self.tell_news();
+        self.pass_results();
         self.decide();
-        // Danger: an answer that has come by now, or the module's own, gives way to word that the process ends.
+        // Danger: before the decisions above, this error would replace an answer that has arrived by now or the
+        // module's own decision.
         if last {
             self.end_clients();
             self.decide();
         }
         self.write_nodes();
-        // Danger: a list that came in this moment leaves decisions that no deadline wakes for.
+        // Danger: a member list that arrived meanwhile may lead to decisions for which no deadline is set.
         self.decide();
-        // What lies behind an answer becomes a command, and may be answered at once. Danger: a deadline that is due while
-        // writes are held up waits for this turn's end, so the rest is left to the next.
+        // A query buffered behind an answer becomes a command and may be answered at once. Danger: a deadline that
+        // passes while writes are stalled is not handled before the end of this round, so the rest is left to the next
+        // round.
         while self.clients.has_unsent() {
             self.write_clients();
             self.decide();
@@ -281,7 +286,7 @@
         }
     }
 
-    fn signalled(&mut self, signal: Signal) {
+    fn on_signal(&mut self, signal: Signal) {
         self.read_clock();
         match signal {
             Signal::SIGUSR1 => self.print_counters(),
@@ -290,19 +295,20 @@
             _ => {
                 log!("stopping: {} commands open", self.open_commands());
                 self.fleet.leave();
-                let lives = STILL_COMING + self.longest_wait.min(LONGEST_WAIT);
-                self.stopping = Some(self.now + lives);
-                let last = (lives - LAST_MARGIN).max(COMING_MOST);
-                // Danger: past the last nothing is read, so whoever still comes in must be heard before.
-                let stop = STILL_COMING.max(lives - LAST_TAKEN).min(last);
+                let lifetime = ACCEPTING_TIME + self.longest_client_timeout.min(MAX_CLIENT_TIMEOUT);
+                self.stopping = Some(self.now + lifetime);
+                let last = (lifetime - FINAL_ANSWER_MARGIN).max(MIN_ACCEPTING_TIME);
+                // Danger: nothing is read after `Due::FinalAnswers`, so the last clients must be accepted and read
+                // before it.
+                let stop = ACCEPTING_TIME.max(lifetime - STOP_ACCEPTING_MARGIN).min(last);
                 self.deadlines.set(Due::Stop, self.now + stop);
-                self.deadlines.set(Due::Last, self.now + last);
-                self.deadlines.set(Due::End, self.now + lives - LAST_CLOSED);
+                self.deadlines.set(Due::FinalAnswers, self.now + last);
+                self.deadlines.set(Due::End, self.now + lifetime - EXIT_MARGIN);
             }
         }
     }
 
-    /// The configuration is read again. A wrong one changes nothing.
+    /// Reads the configuration again. An invalid one changes nothing.
     fn reload(&mut self) {
         let start = match startup::read() {
             Ok(start) => start,
@@ -310,7 +316,7 @@
         };
         if self.configuration.is_held_elsewhere() {
             log!(
-                "reload: control machines hold the settings; those of the file stand only until these are heard"
+                "reload: the settings come from the control machines; those of the file apply only until a control machine is reached"
             );
         } else if start.told != self.told {
             match self.take_settings(start.told) {
@@ -319,27 +325,29 @@
             }
         }
         self.counters.reloads += 1;
-        for (name, _) in start.fixed.iter().filter(|(name, value)| self.fixed.get(*name) != Some(*value)) {
+        for (name, _) in
+            start.startup_only.iter().filter(|(name, value)| self.startup_only.get(*name) != Some(*value))
+        {
             log!("reload: '{name}' has changed, which takes effect at the next start");
         }
         self.move_watch(start.discovery);
     }
 
-    /// New settings, between two turns of the loop: in force from now on, whole or not at all. The error is one line that
-    /// says what was expected. What is in hand ends under what it came in with.
+    /// Applies new settings from now on, all of them or none; called between two rounds of the event loop. The error is
+    /// one line that names what was expected. Open commands keep the settings with which they arrived.
     pub fn take_settings(&mut self, told: Told) -> Result<(), String> {
         vetchkeel_settings::check(&told)?;
         let refused = |why| format!("expected settings that a router can serve under: {why}");
         self.commands.reconfigure(&told).map_err(refused)?;
         self.nodes.reconfigure(&told);
         self.invariants.reconfigure(&told);
-        self.longest_wait = longest_wait(&told);
+        self.longest_client_timeout = longest_client_timeout(&told);
         self.told = told;
         Ok(())
     }
 
-    /// A rule is broken, as this process sees it; the command is named where there is one.
-    pub fn violated(&mut self, command: &str, violation: Violation) {
+    /// Counts and logs a violated invariant, with the command if there is one.
+    pub fn report_violation(&mut self, command: &str, violation: Violation) {
         self.invariants.violations.add(violation);
         log!("violation: {violation:?}, command '{command}'");
     }
@@ -352,63 +360,63 @@
         self.configuration.print();
     }
 
-    /// How long a command may take from now on that would wait for `wait`: a process that is told to stop must
-    /// have answered it while it lives.
-    pub fn allowed(&self, wait: Tenths) -> Tenths {
-        self.stopping.map_or(wait, |lives| wait.min(lives - LAST_ANSWER - self.now))
+    /// The time that a command with the client timeout `wait` may still take: while the process is stopping, the
+    /// command must be answered before the process may be killed.
+    pub fn remaining_time(&self, wait: Tenths) -> Tenths {
+        self.stopping.map_or(wait, |kill_at| wait.min(kill_at - COMMAND_MARGIN - self.now))
     }
 
-    /// Until when the loop may sleep.
-    fn sleep(&self) -> Option<Duration> {
+    /// How long the event loop may sleep; None without a limit.
+    fn poll_timeout(&self) -> Option<Duration> {
         let unfinished = self.nodes.has_writable() || self.clients.has_unsent();
-        if !self.news.is_empty() || self.clients.has_later() || unfinished {
+        if !self.news.is_empty() || self.clients.has_deferred() || unfinished {
             return Some(Duration::ZERO);
         }
         let wait = (self.deadlines.first()? - self.clock.now()).max(0);
         Some(Duration::from_micros(wait as u64 * 100))
     }
 
-    /// All clients have gone, or have had their time for it. Danger: whoever was told the end may have sent something
-    /// in that moment; left unread, it would take away the answer before it.
+    /// True once all clients have closed or the time for it is over. Danger: a client may send something while its
+    /// connection is being shut down; if that stays unread, the system resets the connection and the answer is lost.
     fn finished(&self) -> bool {
-        let over = self.stopping.is_some_and(|lives| lives - LAST_CLOSED <= self.now);
+        let over = self.stopping.is_some_and(|kill_at| kill_at - EXIT_MARGIN <= self.now);
         self.clients.listener.is_none() && (over || self.clients.count() == 0)
     }
 }
 
 fn run() -> Result<(), String> {
     vetchkeel_log::log_panics();
-    // Danger: a reload that is told to all ends whoever has just been started and does not heed it yet.
-    let heeded = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGUSR1, Signal::SIGHUP];
-    let signals = Signals::new(&heeded).map_err(|e| e.to_string())?;
+    // Danger: a reload signal that is sent to all processes would end one that has just started and has no handler yet.
+    let handled = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGUSR1, Signal::SIGHUP];
+    let signals = Signals::new(&handled).map_err(|e| e.to_string())?;
     let start = startup::read()?;
     let name = start.name.clone();
     let mut event_loop = EventLoop::<Program>::try_new().map_err(|e| e.to_string())?;
     let handle = event_loop.handle();
-    let heard = handle.insert_source(signals, |event, _, program| program.signalled(event.signal()));
-    heard.map_err(|e| e.to_string())?;
-    let listener = listen_patiently(start.listen)?;
+    let registered = handle.insert_source(signals, |event, _, program| program.on_signal(event.signal()));
+    registered.map_err(|e| e.to_string())?;
+    let listener = listen_with_retries(start.listen)?;
     let mut program = Program::new(start, listener, handle)?;
     if let Some((listener, _)) = &program.clients.listener {
         let address = listener.local_addr().map_err(|e| e.to_string())?;
         vetchkeel_log::log_always!("router {name} serves on {address}");
     }
-    program.turn();
+    program.run_round();
     let mut failed_rounds = 0;
     while !program.finished() {
         match catch_up::poll(&mut event_loop, &mut program) {
             Ok(()) => failed_rounds = 0,
-            Err(e) if failed_rounds == FAILED_ROUNDS_MOST => return Err(format!("the loop failed: {e}")),
+            Err(e) if failed_rounds == MAX_FAILED_ROUNDS => return Err(format!("the loop failed: {e}")),
             Err(e) => {
                 log!("a round of the loop failed: {e}");
                 failed_rounds += 1;
-                program.look_everywhere();
+                program.check_all_connections();
             }
         }
-        program.turn();
+        program.run_round();
     }
     for _ in 0..program.open_commands() {
-        program.violated("", Violation::EndedOwed);
+        program.report_violation("", Violation::EndedOwed);
     }
     program.close_clients();
     program.print_counters();
