--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,7 +1,8 @@
-//! Every decision of the router, with every tuned value: the one policy file.
+//! The router's policy: every decision about commands and members, and every tuned value.
 //!
-//! What a [`Router`] is told (`command_arrived`, `dispatch_ended` and so on) only updates what is known. Pull
-//! `next_decision(now)` until there is none; come back at `wake_at()` or with news. Why: `docs/design.md`.
+//! The event methods of [`Router`] (`command_arrived`, `dispatch_ended` and so on) only update its state.
+//! After each event the host calls `next_decision(now)` until it returns `None`, and calls it again at
+//! `wake_at()` or after the next event. The reasons for the policy are in `docs/design.md`.
 
 use crate::decay::{ByAge, Decay, Mean};
 use crate::interface::*;
@@ -26,109 +27,146 @@
 mod withheld;
 
 const SECOND: Tenths = 10_000;
-/// Pause after a round of misses, and the first backoff after a round of transport errors (design page).
+/// Pause after a round of misses, base of the backoff after a round of transport errors, and shortest
+/// interval between most probes of one member (see the design page).
 const PAUSE: Tenths = 1_000;
 const BACKOFF_MAX: Tenths = 5 * SECOND;
-/// Half-lives: of usual latencies, work and refusals; of the long reads' part; of how slow fleet and set are.
+/// Half-lives of the decaying means and sums: of usual latencies, completed work and refusals; of the share
+/// of long reads and the breaks of kept connections (`SHARE_HALF`); of the router's recent latency ratio
+/// (`SLOW_HALF`); of a set's latency ratio (`SET_HALF`).
 const USUAL_HALF: Tenths = 10 * SECOND;
 const SHARE_HALF: Tenths = 60 * SECOND;
-/// Kept connections are stale from the age on at which this part of them, and so many, break at once.
+/// Kept connections count as stale from the idle time at which this share of sends on them, and at least this
+/// many, fail at once (within `AT_ONCE`).
 const STALE_PART: f64 = 0.15;
 const STALE_LEAST: f64 = 4.0;
 const AT_ONCE: Tenths = 50;
 const SLOW_HALF: Tenths = 2 * SECOND;
 const SET_HALF: Tenths = 20 * SECOND;
-/// How long a session's last write is remembered, once this many are.
+/// How long a session's last write is remembered once more than `SESSIONS_LEAST` sessions are held.
 const SESSION_KEPT: Tenths = 60 * SECOND;
 const SESSIONS_LEAST: usize = 4096;
-/// How long a report may take from being made to being handed on. For as long after the start a clock that no primary has
-/// borne out makes nobody warm.
+/// Longest time that a report may take from its creation to its delivery. For `UNCONFIRMED_MOST` after the
+/// router's start, a clock offset that no primary has confirmed is not used to treat a member as warm.
 const REPORT_DELAY: Tenths = SECOND;
 const UNCONFIRMED_MOST: Tenths = SECOND;
-/// By how much the members' clock must have moved to be told of.
+/// Smallest change of the members' clock offset that is reported as an event.
 const CLOCK_NEWS: Tenths = 20;
-/// A host may be held up for so long between reading its clock and writing (standing page).
+/// Longest stall of the host between reading its clock and writing to a socket (see the standing page).
 const HELD_UP: Tenths = 1_500;
-/// Until seen, an unhurried answer is taken to need this share of the response target.
+/// Latency of an answer without load, as a share of the response target, assumed until latencies are
+/// measured.
 const USUAL_GUESS: f64 = 0.2;
-/// Latency over response target above which an answer shrinks its member's window; below, it grows.
+/// Ratio of latency to response target above which an answer shrinks its member's congestion window; an
+/// answer below it lets the window grow.
 const CROWDED: f64 = 0.27;
-/// Dispatches out to one member, over all routers: what a start supposes, and what keeps a slow primary busy;
-/// the least for one router.
+/// Congestion window of one member, in dispatches in flight: the initial window and the number that is always
+/// allowed at a slow primary (both over all routers), the smallest window of one router, and the factor by
+/// which a slow answer shrinks the window.
 const WINDOW_START: f64 = 10.0;
 const WINDOW_BUSY: f64 = 4.0;
 const WINDOW_LEAST: f64 = 0.3;
 const WINDOW_LOSS: f64 = 0.5;
-/// How much dearer a turn is in another zone, for each point in a hundred that all crossings cost.
+/// Extra cost of a turn in another zone, for each percentage point of `penalties.cross_zone`.
 const CROSSING: f64 = 0.4;
-/// A cold member's part of the ordinary load, times what it can do and the multiple that pushes it over, as it starts;
-/// the part rises to the whole as it warms.
+/// Share of a cold member's admissible load (ordinary load times its current capacity times
+/// `rules.tip_multiple`) that may be sent to it at its start. The share rises to 1 as the member warms up.
 const COLD_PART: f64 = 0.8;
-/// The most turns that a member's turn may cost, and that it may be behind.
+/// Highest cost of one turn, and the most turns by which a member may trail the others.
 const TURN_MOST: f64 = 12.0;
-/// Mean latency over response target above which a router slows its pace; the least and the most of it.
+/// Mean ratio of latency to response target above which the router lowers its pace, and the lowest pace.
 const PACE_MARK: f64 = 0.45;
 const PACE_LEAST: f64 = 0.3;
-/// How much faster it rises than it falls.
+/// How much faster the pace rises than it falls.
 const PACE_RISE: f64 = 3.0;
 const PACE_MOST: f64 = 1.5;
-/// The mean of one set, over a longer while, above which the pace holds for it.
+/// A set's mean ratio of latency to response target, over a longer time, above which pacing applies to the
+/// set.
 const SET_MARK: f64 = 0.4;
-/// A command that erred gets one more dispatch while this part of such dispatches is answered.
+/// A command that ended with an error is dispatched once more only while at least this share of such further
+/// dispatches is answered.
 const CURED: f64 = 0.3;
-/// A command is worth sending while it has this many usual latencies left: where they spread as exponentials
-/// do, nine in ten answers come in so many means (ln 10).
+/// A command is dispatched only while its remaining time is at least this many usual latencies. If latencies
+/// are exponentially distributed, nine in ten answers arrive within ln 10 means.
 const TIME_TO_RUN: f64 = std::f64::consts::LN_10;
-/// For so long a check that is out is waited for by a read that has waited for as long as it should.
+/// Longest time that a read waits for a probe in flight after its ordinary waiting time is over.
 const CHECK_MOST: Tenths = 1_000;
-/// Part of the primary's window open to reads.
+/// Share of the primary's window that is open to reads.
 const PRIMARY_SPARE: f64 = 0.5;
 
+/// The decisions of one router instance.
 #[derive(Default)]
 pub struct Router {
+    /// The settings in force.
     told: Told,
     groups: CommandGroups,
+    /// Places of the command groups, by benefit per work, highest first; groups that only open commands still use
+    /// stand in front.
     order: Vec<usize>,
+    /// Each customer's share of the traffic, with a decaying count of its recent commands.
     shares: BTreeMap<String, (f64, Decay)>,
+    /// Decaying count of the recent commands of all customers.
     all_traffic: Decay,
     rng: Chance,
+    /// The known members, by slot; `nodes` finds a slot by member id and `vacant` holds the unused ones.
     members: Vec<Member>,
     nodes: BTreeMap<Id, Node>,
     vacant: Vec<Node>,
     sets: BTreeMap<i64, MemberSet>,
+    /// Open commands by key; `by_id` finds a key by command id.
     open: BTreeMap<u64, Open>,
     by_id: BTreeMap<Id, u64>,
     next_key: u64,
+    /// Tasks by the time at which they are due.
     agenda: BTreeSet<(Tenths, Task)>,
+    /// Sets whose waiting commands have to be offered to members again.
     dirty: BTreeSet<i64>,
+    /// Decisions that the host has not pulled yet.
     ready: VecDeque<Decision>,
+    /// Members whose idle connections are released if connections are scarce.
     used: BTreeSet<Node>,
+    /// Decaying count of signs that members accept few connections; above 1, idle connections are released.
     scarce: Decay,
     sessions: Sessions,
     clock: MemberClock,
-    /// What was last told of it.
+    /// The clock offset in the last `Event::Clock`.
     clock_noted: Tenths,
     events: Vec<Event>,
+    /// How often sends on kept connections fail at once, by idle time.
     stale: ByAge,
+    /// Failed requests for the member list in a row.
     list_fails: u32,
+    /// Whether members check the age of their data themselves (`family_info.server_checks`).
     node_checks: bool,
-    /// The least window of one router: its part of the least over the fleet, once routers are many.
+    /// The smallest window of this router for one member; with many routers, this router's part of the
+    /// smallest window over all routers.
     least: f64,
+    /// Decaying sum of the work of answered dispatches. A command counts with its response target as work.
     done_work: Decay,
+    /// Decaying sum of the work of commands that arrived for paced sets.
     asked_work: Decay,
+    /// Pace: the work admitted in relation to the work requested. Below 1, commands wait for `allowance`.
     pace: f64,
+    /// Work that the pace admits at present.
     allowance: f64,
     paced_at: Tenths,
     began: Tenths,
+    /// Mean ratio of latency to response target over all answers, capped at 1.
     slow: Mean,
+    /// Share of the dispatches after an error that were answered.
     cured: Mean,
+    /// Decaying sums of the work of all reads that a replica may serve, and of the long ones among them.
     read_work: Decay,
     long_work: Decay,
+    /// Smallest cap of a work credit: three times the shortest response target in use.
     cheap: Tenths,
-    /// The least response target of the command groups that wait for a primary.
+    /// The shortest response target of the command groups that wait for a primary.
     held: f64,
+    /// Period at which the host runs the router.
     tick: Tenths,
+    /// The smallest staleness bound in use.
     tightest: Tenths,
+    /// Dispatches in flight that are always allowed at a slow primary: this router's part.
     busy: f64,
 }
 
@@ -142,23 +180,25 @@
         Ok(router)
     }
 
-    /// The host's time is the members' own, as in a simulator: no machine's wall clock stands between them.
+    /// Declares that the host's time is the members' own time, as in a simulator, so no wall-clock offset has
+    /// to be estimated.
     pub fn shares_clock(&mut self) {
         self.clock.is_theirs();
     }
 
-    /// New settings are in force from now on, whole; an error leaves the old ones. Danger: a command that
-    /// came in as repeatable must end as that. It keeps its group, with all that this says of it.
+    /// Puts new settings into force as a whole; on an error the old settings stay. Danger: a command that
+    /// arrived as replayable must keep that property until it ends, so an open command keeps its group as it
+    /// was at arrival.
     pub fn reconfigure(&mut self, told: Told) -> Result<(), String> {
-        // What is not told is read the cautious way: the primary alone, and never twice.
+        // Defaults where the settings say nothing are the cautious ones: primary only, and never sent twice.
         let mut groups = command_groups(&told, Access::Write, Effect::Mutating)?;
         let (routers, tick) = (pick(&told, "balancers", 1.0)?, tenths(pick(&told, "tick_ms", 1.0)?).max(1));
         let mut shares = numbers(&told).and_then(|()| shares(&told))?;
         let counted = |name: &String| self.shares.get(name).map_or(Decay::default(), |held| held.1);
         shares.iter_mut().for_each(|(name, share)| share.1 = counted(name));
         (self.told, self.tick, self.shares) = (told, tick, shares);
-        // Danger: without late benefit a further try is served for nothing and crowds out first tries. Such
-        // a client is kept away for as long as clients heed.
+        // Danger: without benefit for late answers, a client's retry is served for nothing and displaces
+        // first tries. Such a client is told to stay away for as long as clients honour.
         let heeded = tenths(self.number("permissions.max_retry_after_ms", 0.0));
         for (_, group) in groups.iter_mut().filter(|_| self.allows("permissions.retry_after")) {
             group.hold_off = if group.late_share > 0.0 { group.target } else { heeded.max(group.target) };
@@ -171,7 +211,8 @@
         let bound = |g: &CommandGroup| if let Access::Bounded(b) = g.access { Some(b) } else { None };
         self.tightest = in_use().filter_map(bound).min().unwrap_or(SECOND);
         self.cheap = in_use().map(|g| g.target).min().unwrap_or(0) * 3;
-        // What came in under earlier settings goes first, so that the others' places in the pace stay.
+        // Groups that only open commands still use go first, so that the pacing order of the current groups
+        // is unchanged.
         let mut order: Vec<usize> = self.groups.named.values().copied().collect();
         held.retain(|place| !order.contains(place));
         let density = |i: usize| self.groups.places[i].benefit / self.groups.places[i].target as f64;
@@ -192,13 +233,13 @@
         is(&self.told, name, "true")
     }
 
-    // ---- what the host tells: what is known is brought up to date, nothing is decided ----
+    // ---- events from the host: they update the state and decide nothing ----
 
     pub fn command_arrived(&mut self, now: Tenths, command: Command) -> Result<(), String> {
         let kind = *self.groups.named.get(&command.command_group).ok_or("no such command group")?;
         let group = &self.groups.places[kind];
         let (timeout, target) = (now + command.time_left, now + group.target);
-        // Without late benefit nothing is spent past the response target, nor ended past it.
+        // If a late answer has no benefit, the command ends at its response target.
         let ends = if group.late_share > 0.0 { timeout } else { timeout.min(target) } - 2 * self.tick;
         let remembered = is(&self.told, "family_info.token_mode", "remembered");
         let needs = match (group.access, command.token_age) {
@@ -207,7 +248,8 @@
             }
             (Access::Session, Some(0)) => 0,
             (Access::Session, Some(age)) => now + 1 - age,
-            // Danger: what is not told counts as written just now, as late as that may be by the members' clock.
+            // Danger: an unknown write time counts as a write just now, at the latest time that the members'
+            // clock may show.
             (Access::Session, None) => now + 1 + self.clock.ahead(now).1,
             _ => now + 1,
         };
@@ -224,8 +266,8 @@
         self.next_key += 1;
         self.by_id.insert(command.id.clone(), key);
         let (id, set, session) = (command.id, command.set, command.session);
-        // Danger: a client is left waiting for what has no way to any member. With nothing written by half
-        // its time, it is told to come back while it still can.
+        // Danger: without this, a client waits its whole timeout for a set with no reachable member. If
+        // nothing has been written by half of its time, it is throttled while it can still retry.
         let patience = now + command.time_left / 2 - 2 * self.tick;
         self.open
             .insert(key, Open { id, kind, set, rank, ends, patience, needs, session, ..Open::default() });
@@ -261,14 +303,16 @@
         idled.into_iter().for_each(|age| self.stale.add(now, SHARE_HALF, age, broke));
         cmd.broken_round |= matches!(ending, Ending::ConnectFailed | Ending::Reset | Ending::TimedOut);
         if let (true, true, Some(session)) = (write, answered, cmd.session.clone()) {
-            // Danger: a commit that a wrong clock takes for yet to come would leave its session without one.
+            // Danger: if the position of a commit lies in the future by a wrong clock, it has been discarded,
+            // and the session would lose its write. It counts as committed now instead.
             let known = note.position > 0;
             let commit = if known { note.position } else { now + self.clock.ahead(now).1 };
             self.session_wrote(now, session, commit + 1);
         }
         let Some(cmd) = self.open.get_mut(&key) else { return };
-        // Danger: commands that err at any member take others' turns. Whether a dispatch after an error is
-        // answered tells them from members that err; only beside the latter is one more worth it.
+        // Danger: commands that fail at every member take turns from others. Whether a dispatch after an
+        // error is answered tells failing commands from failing members; only in the second case is one more
+        // dispatch worthwhile.
         let (again, erred) = (cmd.erred, ending == Ending::Error);
         (again && (answered || erred)).then(|| self.cured.add(now, USUAL_HALF, answered as u8 as f64));
         let written = !matches!(ending, Ending::ConnectFailed | Ending::NeverSent);
@@ -298,7 +342,8 @@
         let m = &mut self.members[node];
         m.out.remove(&(key, dispatch));
         m.written_as_primary.remove(&(key, dispatch));
-        // The note of a write that went through is its commit, not the member's position.
+        // The position in the note of an answered write is the write's commit, not the member's applied
+        // position.
         let told = if write && answered { 0 } else { note.position };
         self.learn_position(now, asked, node, Note { position: told, ..note });
         let m = &mut self.members[node];
@@ -314,8 +359,8 @@
         let can_probe = self.allows("permissions.may_probe");
         let refused = can_probe && 2 * took < tenths(self.number("permissions.dial_timeout_ms", 0.0));
         let m = &mut self.members[node];
-        // Danger: a member that died is back, and cold, before the list says so, or unlisted; or only a
-        // connection broke, and one that works is held for dead and cold. A probe tells which.
+        // Danger: after a reset, the member may have died and come back cold before the list shows it (or it
+        // is not listed), or only the connection broke and the member is well. A probe distinguishes the two.
         let (reset, doubted) = (ending == Ending::Reset, can_probe && m.state != State::TransportError);
         (m.broke, m.died) = (m.broke || (reset && doubted), m.died || (reset && !doubted));
         match ending {
@@ -326,9 +371,9 @@
                 self.done_work.add(now, USUAL_HALF, target);
                 self.recover(now, node);
             }
-            // No position with it: far behind, until a report says by how much.
+            // A miss without a position: the member counts as far behind until a report gives its position.
             Ending::Miss if !write && note.position == 0 => (m.behind, m.behind_at) = (Tenths::MAX / 2, now),
-            // Danger: a full member turned to again at once, by every waiting command in turn.
+            // Danger: without this, every waiting command in turn is sent to a full member at once.
             Ending::Full => (m.window, m.turned_away) = ((m.window / 2.0).max(self.least), now),
             Ending::ConnectFailed if refused => self.refused(now, node),
             Ending::Reset if doubted => _ = self.agenda.insert((now, Task::Ask(node))),
@@ -336,10 +381,11 @@
             _ => {}
         }
         let m = &mut self.members[node];
-        // Danger: many routers, each with one out, crowd a small member. A window below one is a pause.
+        // Danger: many routers with one dispatch in flight each overload a small member. A window below one
+        // therefore becomes a pause between dispatches.
         let pause = (usual * (1.0 / m.window.min(1.0) - 1.0)) as Tenths;
         m.shy_until = m.shy_until.max(now + pause);
-        // And for reads at a primary their part of such a window is a longer one.
+        // For reads at a primary, their share of such a window becomes a longer pause.
         let spare = (usual * (1.0 / (m.window * PRIMARY_SPARE).min(1.0) - 1.0)) as Tenths;
         m.spare_at = m.spare_at.max(now + spare);
         let judged = answered || matches!(ending, Ending::TimedOut | Ending::CalledOff);
@@ -370,7 +416,7 @@
         }
         let m = &mut self.members[node];
         if ending != Ending::Answered && m.fails == 0 && m.state != State::TransportError {
-            // One lost probe proves nothing: it is asked once more.
+            // One lost probe proves nothing: the member is probed once more.
             m.fails = 1;
             self.agenda.insert((now, Task::Ask(node)));
             return;
@@ -380,7 +426,9 @@
             return self.break_member(now, node);
         }
         m.checked_at = now;
-        // Danger: until an answer shows that one which refuses works, others' connections idle for seconds.
+        // Danger: a member that refuses connections but answers a probe works and has no connection left. Without
+        // this, the scarcity is noticed only at the next answered dispatch, and idle connections are kept open
+        // for seconds.
         let squeezed = m.refused > 0 && m.state != State::TransportError;
         if squeezed && self.scarce.read(now, USUAL_HALF) <= 1.0 {
             self.scarce.add(now, USUAL_HALF, 1.0);
@@ -392,7 +440,7 @@
             return;
         }
         self.recover(now, node);
-        // As a broken one it could have no role.
+        // The report is applied again, because no role could be set while the member counted as broken.
         self.learn_reported_role(now, asked, node, report);
         primary.into_iter().for_each(|primary| self.learn_role(now, node, RoleClaim { primary, asked }));
     }
@@ -426,7 +474,7 @@
             m.shut = match e.phase {
                 Phase::Up => false,
                 Phase::Draining => true,
-                // A removal that does not bind leaves an earlier drain in force.
+                // A removal that is not binding leaves an earlier drain in force.
                 Phase::Removed => removal_binds || m.shut,
             };
             if fresh || e.started > m.started {
@@ -434,16 +482,18 @@
                     self.set_state(node, State::Unknown, StateReason::Restarted);
                 }
                 self.restarted(now, e.started, node);
-                // Danger: every router that starts, or meets a new member, asks it at once; hundreds started
-                // together are a herd of dials and probes. Where routers are more than ten (the fleet's least
-                // window is below a router's), only a restart is asked about.
+                // Danger: if every router probes a new member, or all members at its start, hundreds of
+                // routers that start together cause a burst of dials and probes. With more than ten routers
+                // (the smallest window per router is then below `WINDOW_LEAST`), a member is probed only
+                // after a restart.
                 let herd = fresh && self.least < WINDOW_LEAST;
                 (!herd).then(|| self.agenda.insert((now, Task::Ask(node))));
             }
         }
         self.forget_gone();
         let me: usize = pick(&self.told, "me", 0).unwrap_or(0);
-        // Danger: lists of thousands, of which a row changes now and then. A change costs what it touches.
+        // Danger: lists have thousands of rows, of which few change at a time. The work is limited to the
+        // sets that changed.
         for number in &self.dirty {
             let Some(set) = self.sets.get_mut(number) else { continue };
             set.nodes.sort_by(|a, b| self.members[*a].id.cmp(&self.members[*b].id));
@@ -454,8 +504,9 @@
         }
     }
 
-    /// Danger: members come and go under new ids for ever. One that is gone is forgotten once nothing is out
-    /// on it or may have run there; where removal does not bind, once it is broken as well.
+    /// Danger: members come and go under new ids without end, so state must not accumulate. A removed member
+    /// is forgotten once no dispatch is in flight there and no open command may have run there; if removal is
+    /// not binding, it must be broken as well.
     fn forget_gone(&mut self) {
         let soft = self.allows("rules.soft_removal");
         let held = |c: &Open| c.out.values().chain(&c.maybe_ran).map(|o| o.0).collect::<Vec<Node>>();
@@ -466,7 +517,7 @@
                 self.ready.push_back(Decision::Forget { node: m.id.clone() });
                 self.sets.get_mut(&m.set).into_iter().for_each(|set| set.nodes.retain(|n| *n != node));
                 self.dirty.insert(m.set);
-                // Danger: connections of a place that nobody holds any more are let go, without a name.
+                // Danger: connections of an unused slot would be released under no id.
                 self.used.remove(&node);
                 self.vacant.push(node);
                 *m = Member { shut: true, ..Member::default() };
@@ -474,8 +525,8 @@
         }
     }
 
-    /// Danger: a way between closes idle connections without a sign, and what is sent there may have run. For
-    /// how long one may idle, if that is known.
+    /// How long a connection may idle before reuse, if known. Danger: devices on the path may drop idle
+    /// connections silently, and a command sent on such a connection may have run.
     pub fn idle_most(&self, now: Tenths) -> Option<Tenths> {
         self.stale.first(now, SHARE_HALF, STALE_PART, STALE_LEAST)
     }
@@ -484,15 +535,16 @@
         self.nodes.contains_key(node)
     }
 
-    /// A watch or a fetch failed: ask again after a backoff, one second at the most.
+    /// The watch or a fetch of the list failed: it is requested again after a backoff of at most one second.
     pub fn list_failed(&mut self, now: Tenths) {
-        // Danger: what the list would tell counts as told after 6 s, however asked for and whatever failed.
+        // Danger: a change of the list is binding 6 s after it is made, even if the list cannot be read.
         let wait = self.rng.jittered((PAUSE << self.list_fails.min(6)).min(SECOND / 2));
         self.list_fails += 1;
         self.agenda.insert((now + wait, Task::Watch));
     }
 
-    /// True for a customer whose part of this router's recent traffic is above its share.
+    /// Counts a command of this customer. True if the customer's part of this router's recent traffic exceeds
+    /// its share.
     fn beyond_share(&mut self, now: Tenths, customer: &str) -> bool {
         self.all_traffic.add(now, USUAL_HALF, 1.0);
         let Some((share, mine)) = self.shares.get_mut(customer) else { return false };
@@ -509,8 +561,9 @@
             set.waiting.get_mut(cmd.kind).map(|queue| queue.remove(&(cmd.rank, Reverse(key))));
             set.scout = set.scout.filter(|s| *s != key);
         }
-        // An answer that nobody waits for any more is called off, so that waiting work is dropped. Danger:
-        // what still waits for its connection begins long after its client left. That needs no permission.
+        // Dispatches whose answer has no receiver any more are cancelled, so that members drop queued work.
+        // Danger: a dispatch still waiting for its connection would otherwise start long after its client
+        // left. Taking that back needs no permission.
         for &dispatch in cmd.out.keys() {
             self.ready.push_back(Decision::CallOff { command: cmd.id.clone(), dispatch, written });
         }
@@ -523,7 +576,7 @@
         }
     }
 
-    // ---- what the host pulls ----
+    // ---- decisions that the host pulls ----
 
     pub fn wake_at(&self) -> Option<Tenths> {
         self.agenda.first().map(|(at, _)| *at)
@@ -547,7 +600,8 @@
                 self.serve(now, set);
             } else {
                 let node = self.used.pop_first()?;
-                // Danger: connections that idle at one router are missed at others while members take few.
+                // Danger: while members accept few connections, those that idle at one router are missing at
+                // others.
                 if self.scarce.read(now, USUAL_HALF) > 1.0 {
                     return Some(Decision::LetGo { node: self.members[node].id.clone() });
                 }
@@ -555,7 +609,7 @@
         }
     }
 
-    /// A command with nothing out waits for its turn, or is answered at once if it may not be sent again.
+    /// A command with no dispatch in flight is queued, or ended at once if it may not be sent again.
     fn settle(&mut self, now: Tenths, key: u64) {
         let Some(cmd) = self.open.get(&key).filter(|c| !c.closed && c.out.is_empty()) else { return };
         let ran = cmd.maybe_ran.is_some_and(|(at, _)| self.repeatable_for(now, cmd, at) <= 0);
@@ -585,14 +639,15 @@
         self.settle_at(late.max(now + self.tick), key);
     }
 
-    /// Danger: settled twice in one turn, a command that came back to wait is given up before it is offered.
+    /// Schedules the next `settle` of a command in place of the one before. Danger: if a command that returns
+    /// to the queue is settled twice at the same time, it is given up before it is offered to a member.
     fn settle_at(&mut self, at: Tenths, key: u64) {
         let Some(cmd) = self.open.get_mut(&key) else { return };
         self.agenda.remove(&(std::mem::replace(&mut cmd.settles, at), Task::Settle(key)));
         self.agenda.insert((at, Task::Settle(key)));
     }
 
-    /// The final answer of a command that is given up: throttled where a repeat is harmless, else failed.
+    /// Ends a command that is given up: throttled if a retry is harmless, otherwise failed.
     fn give_up(&mut self, now: Tenths, key: u64, reason: GaveUp) {
         let Some(cmd) = self.open.get(&key) else { return };
         if cmd.closed || (!cmd.out.is_empty() && now < cmd.ends) {
@@ -607,7 +662,8 @@
         self.close(key);
     }
 
-    /// Offers the set's waiting commands to its members, dearest command group first, newest first.
+    /// Offers the set's waiting commands to its members: groups with the most benefit per work first, within
+    /// a group the lowest rank and then the newest first.
     fn serve(&mut self, now: Tenths, number: i64) {
         let mut left = false;
         for i in 0..self.order.len() {
@@ -628,19 +684,23 @@
         }
     }
 
-    /// Danger: members that fail or crawl in some sets slow commands to all others. A set whose own answers
-    /// are in time is not paced; for what few answers don't tell, it counts as slow as the whole.
+    /// Whether pacing applies to the set. Danger: failing or slow members of some sets would slow down
+    /// commands to all others. A set whose own answers are in time is not paced. Until a set has enough
+    /// answers of its own, the router's overall latency ratio counts.
     fn paced(&self, now: Tenths, number: i64) -> bool {
         let all = self.slow.read(now, SLOW_HALF, USUAL_GUESS);
         self.sets.get(&number).is_none_or(|set| set.slow.read(now, SET_HALF, all) > SET_MARK)
     }
 
-    /// Danger: with many routers each meets a member too seldom to see that it is crowded, and all go on.
-    /// So each also paces itself by all its answers: what is beyond the pace waits, cheapest groups first.
+    /// Updates the pace, and tells whether it admits the command group at this place of `order`. Danger: with
+    /// many routers, each sees a member too seldom to notice its overload, and all continue sending. So each
+    /// router also paces itself by all its answers: work beyond the pace waits, the groups with the least
+    /// benefit first.
     fn in_pace(&mut self, now: Tenths, rank: usize) -> bool {
         let past = (now - self.paced_at) as f64;
         let room = (PACE_MARK - self.slow.read(now, SLOW_HALF, USUAL_GUESS)) / SECOND as f64;
-        // Danger: a slowed router gets few answers, so what it learned in the crowd outlasts the crowd.
+        // Danger: a slowed-down router gets few answers, so its measurements from the overload outlast the
+        // overload. The pace therefore rises faster than it falls.
         let room = if room > 0.0 { room * PACE_RISE } else { room };
         (self.pace, self.paced_at) = ((self.pace + room * past).clamp(PACE_LEAST, PACE_MOST), now);
         let asked = self.asked_work.rate(now, SLOW_HALF);
@@ -650,7 +710,7 @@
         self.allowance + asked * (SECOND * (self.order.len() - rank - 1) as Tenths) as f64 > 0.0
     }
 
-    /// True if the command was sent.
+    /// Tries to dispatch a waiting command. True if it was sent.
     fn offer(&mut self, now: Tenths, number: i64, key: u64) -> bool {
         let node = match self.groups.places[self.open[&key].kind].access {
             Access::Write | Access::Fresh => match self.primary(number) {
--- a/src/decide/dialling.rs
+++ b/src/decide/dialling.rs
@@ -1,16 +1,19 @@
-//! Connections that the router's own machine cannot open: no port, socket, buffer or route to be had for a moment. That
-//! says nothing of the member. The command is offered again at once, the member is not dialled for a short while.
+//! Connections that this router's machine cannot open because it has no port, socket, buffer or route for a
+//! moment. That proves nothing about the member: the command is offered again at once, and the member is not
+//! dialled for a short while.
 
 use super::*;
 
-/// The first pause before a member is dialled again, and how often it doubles.
+/// First pause before a member is dialled again, and how often the pause doubles.
 const DIAL_PAUSE: Tenths = 10;
 const DOUBLINGS: u32 = 6;
-/// So many dials in a row that failed here (0.7 s) are taken for a member out of reach: another way may lead to the set.
+/// After this many local dial failures in a row (0.7 s) a member counts as unreachable, since the set may be
+/// reachable through another member.
 const OUT_OF_REACH: u32 = 16;
 
 impl Router {
-    /// A dispatch whose connection could not be opened here. The attempt is given back, as no member saw it.
+    /// Handles a dispatch whose connection could not be opened on this machine. It does not count as an
+    /// attempt, as no member saw it.
     pub(super) fn not_dialled(&mut self, now: Tenths, key: u64, dispatch: u32, over: bool) {
         let Some(cmd) = self.open.get_mut(&key) else { return };
         let Some((node, _)) = cmd.out.remove(&dispatch) else { return };
@@ -26,14 +29,15 @@
         }
     }
 
-    /// A probe whose connection could not be opened here: it is due again after the pause.
+    /// Handles a probe whose connection could not be opened on this machine: it is repeated after the pause.
     pub(super) fn probe_not_dialled(&mut self, now: Tenths, node: Node) {
         self.members[node].probing = false;
         let again = self.pause_dials(now, node);
         self.agenda.insert((again, Task::Ask(node)));
     }
 
-    /// Danger: commands that are offered again at once would dial in a circle while the machine has nothing to give.
+    /// Danger: without a pause, commands that are offered again at once would dial in a loop while the
+    /// machine has no resources.
     fn pause_dials(&mut self, now: Tenths, node: Node) -> Tenths {
         let m = &mut self.members[node];
         let until = now + self.rng.jittered(DIAL_PAUSE << m.local_errors.min(DOUBLINGS));
@@ -47,7 +51,7 @@
         until
     }
 
-    /// A connection to the member was open: the next command has one.
+    /// A connection to the member was opened: the next dispatch may dial without a pause.
     pub(super) fn dialled(&mut self, node: Node) {
         (self.members[node].local_errors, self.members[node].dial_at) = (0, 0);
     }
--- a/src/decide/events.rs
+++ b/src/decide/events.rs
@@ -1,12 +1,12 @@
-//! What the host may log of the decisions: states that change, and why commands are given up.
+//! Events for the host's log: changes of member states, and the reasons why commands are given up.
 
 use super::*;
 
-/// So many events are kept for a host that asks late; the newest are left out beyond that.
+/// Most events kept for a host that rarely takes them; newer ones are dropped.
 const EVENTS_MOST: usize = 256;
 
 impl Router {
-    /// What happened since this was asked last.
+    /// The events since the last call.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
--- a/src/decide/evidence.rs
+++ b/src/decide/evidence.rs
@@ -1,20 +1,21 @@
-//! What answers and reports prove of a member: its role, how far it has applied, and how its clock stands to this one.
-//! Everything heard is dated by when it can have been said: no earlier than its request was sent, no later than it was
-//! heard.
+//! What answers and reports prove about a member: its role, the position it has applied, and its clock's
+//! offset to this router's clock. A statement of a member was made no earlier than the request for it was
+//! sent, and no later than it was received.
 
 use super::*;
 
-/// What a member says of its role, on this router's clock.
+/// A member's claim about its role, dated by this router's clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RoleClaim {
     pub primary: bool,
-    /// No request that this answers, and no report that it hands on, is older.
+    /// Earliest time of the claim: no request that it answers, and no report that carries it, is older.
     pub asked: Tenths,
 }
 
 impl Router {
-    /// What an answer's note proves by now: a position that is yet to come is none. The clock learns from it. A commit
-    /// can't have been before the write was sent; any other position of a primary is dated by its progress.
+    /// The note of an answer, with a position that lies in the future set to 0. The position is also evidence
+    /// for the clock offset: a commit is no earlier than the sending of its write, and any other position of
+    /// a primary is dated by its progress.
     pub(super) fn past(&mut self, now: Tenths, asked: Tenths, node: Node, note: Note, commit: bool) -> Note {
         if note.position <= 0 {
             return Note { position: 0, ..note };
@@ -33,15 +34,15 @@
     fn learn_clock(&mut self, now: Tenths, node: Node, evidence: Evidence) {
         self.clock.learn(now, evidence);
         let (offset, _) = self.clock.ahead(now);
-        // The bounds' slow drift is no news.
+        // Slow drift of the bounds is not reported.
         if (offset - self.clock_noted).abs() >= CLOCK_NEWS {
             self.clock_noted = offset;
             self.note(Event::Clock { offset, node: self.members[node].id.clone() });
         }
     }
 
-    /// A report that was asked for at `asked`. Danger: how old it is nobody says; a member that hangs hands on the one from
-    /// before for as long as it does.
+    /// Takes in a report that was requested at `asked`. Danger: the age of a report is unknown; a hung member
+    /// keeps returning its last report for as long as it hangs.
     pub(super) fn learn_report(&mut self, now: Tenths, asked: Tenths, node: Node, report: Report) {
         if let Some(position) = report.position.filter(|position| *position > 0) {
             let m = &mut self.members[node];
@@ -61,8 +62,9 @@
         self.learn_reported_role(now, asked, node, report);
     }
 
-    /// A position in the note of an answer. Danger: what a member told as the primary it may not have had as a replica, and
-    /// one that tells less than it told before has not what was believed of it.
+    /// Takes in a position from the note of an answer. Danger: a replica need not have the position that it
+    /// gave while it was the primary, and a member that reports less than before does not have the position
+    /// recorded for it.
     pub(super) fn learn_position(&mut self, now: Tenths, asked: Tenths, node: Node, note: Note) {
         let m = &mut self.members[node];
         if note.position <= 0 || note.primary == Some(true) {
@@ -74,32 +76,35 @@
         }
     }
 
-    /// A report older than the last answer's note proves nothing against it; its position dates it.
+    /// Takes in the role in a report. A report older than the last answer's note proves nothing against the
+    /// note; the report's position dates it.
     pub(super) fn learn_reported_role(&mut self, now: Tenths, asked: Tenths, node: Node, report: Report) {
         let position = report.position.unwrap_or(0);
         let newer = position > self.clock.now(self.members[node].noted_at);
         match report.primary {
             Some(true) => {
                 let asked = asked.min(self.reported_at(now, asked, position));
-                // Danger: one that hangs is asked, found well by its report from before, and hangs on.
+                // Danger: a hung member would otherwise be probed, count as recovered by a report from before
+                // it hung, and go on hanging.
                 if asked > self.members[node].broken_at {
                     self.learn_role(now, node, RoleClaim { primary: true, asked });
                 }
             }
             Some(false) if newer => self.learn_role(now, node, RoleClaim { primary: false, asked }),
-            // Danger: one that was demoted lags, so its report may look older than it is.
+            // Danger: a demoted member lags, so its report may look older than it is.
             Some(false) => self.doubt(now, asked - REPORT_DELAY, asked, node),
             None => {}
         }
     }
 
-    /// The earliest time here at which a primary can have made a report: its position dates it, where there is one.
+    /// The earliest time, by this router's clock, at which a primary can have made a report: dated by its
+    /// position if it has one.
     fn reported_at(&self, now: Tenths, asked: Tenths, position: Tenths) -> Tenths {
         if position > 0 { self.clock.earliest_here(now, position) } else { asked - REPORT_DELAY }
     }
 
-    /// Whether a broken member's report calls it a primary and is from before it broke: it answers probes, and may hang. Such
-    /// a one stays broken, and is asked again after a pause.
+    /// Whether a broken member's report calls it a primary and dates from before it broke: the member answers
+    /// probes but may hang. It then stays broken and is probed again after a pause.
     pub(super) fn still_hangs(&mut self, now: Tenths, asked: Tenths, node: Node, report: Report) -> bool {
         let m = &self.members[node];
         let position = report.position.filter(|position| *position > 0);
@@ -113,29 +118,31 @@
         true
     }
 
-    /// A member has told its role by itself, as its connection was opened; that was begun at `asked`.
+    /// A member announced its role on its own as a connection to it was opened; the dial began at `asked`.
     pub fn role_told(&mut self, now: Tenths, node: &str, asked: Tenths, primary: bool) {
         if let Some(&node) = self.nodes.get(node) {
             self.learn_role(now, node, RoleClaim { primary, asked });
         }
     }
 
-    /// The host has heard this and has not told it yet. Danger: an answer that is passed on first comes from a member
-    /// that had said, before it was asked, that it is no primary any more.
+    /// The host has received a replica claim that it has not passed to `dispatch_ended`, `probe_ended` or
+    /// `role_told` yet. Danger: an answer that is processed first may come from a member that had given up
+    /// the primary role before the request was sent.
     pub fn heard_replica(&mut self, now: Tenths, node: &str, asked: Tenths) {
         if let Some(&node) = self.nodes.get(node) {
             self.doubt(now, asked - REPORT_DELAY, asked, node);
         }
     }
 
-    /// It may be a replica from now on, and since it was asked: what was written there since as to a primary may see old
-    /// data. What it told was so at `said` at the earliest.
+    /// Treats a member as possibly a replica from now on and since `asked`: a dispatch that was written to it
+    /// since as to a primary may read old data. The claim was made at `said` at the earliest.
     fn doubt(&mut self, now: Tenths, said: Tenths, asked: Tenths, node: Node) {
         let m = &mut self.members[node];
         m.roles.claims_replica(said, now);
         m.answered_positions.ends();
         m.reported_positions.ends();
-        // Danger: on a kept connection the write often has the very time at which it was decided.
+        // Danger: on a kept connection the write often has the same time as the decision to send, so equal
+        // times count too.
         let since: Vec<_> = m.written_as_primary.extract_if(.., |_, written| *written >= asked).collect();
         for ((key, dispatch), _) in since {
             self.open.get_mut(&key).into_iter().for_each(|cmd| _ = cmd.too_old.insert(dispatch));
@@ -151,14 +158,16 @@
     }
 
     fn learn_primary(&mut self, now: Tenths, node: Node, asked: Tenths) {
-        // Danger: an answer that lay on its way for long says what was so before the handover. One that is only likely the
-        // latest word makes a primary for writes, which a replica turns away; reads go by `is_current`.
+        // Danger: an answer that was long in transit describes the state before a handover. A claim that is
+        // only likely the latest makes the member the primary for writes, which a replica rejects; reads go
+        // by `is_current`.
         let standing = self.members[node].roles.claims_primary(asked);
         if standing == Standing::Old || self.has_later_primary(node, asked) {
             return self.note(Event::OldRole { node: self.members[node].id.clone(), age: now - asked });
         }
-        // Danger: what was held lands at once on a cold new primary, on credit that lay unused at hundreds of
-        // routers. As it becomes one, what would cover whole such commands lapses.
+        // Danger: commands held during a handover all reach a cold new primary at once, on credit that has
+        // accumulated unused at hundreds of routers. When a member becomes the primary, the part of its
+        // credit that covers whole such commands is cancelled.
         if self.members[node].state != State::Healthy {
             let credit = self.cold_credit(now, &self.members[node]) % self.held;
             (self.members[node].credit, self.members[node].credit_at) = (credit, now);
@@ -167,7 +176,7 @@
         self.set_state(node, State::Healthy, StateReason::Role);
         let Some(set) = self.sets.get_mut(&number) else { return };
         (set.broken_rounds, set.round_at) = (0, 0);
-        // One primary a set: whoever was held for it before is a replica by now, or broken.
+        // A set has one primary: any other member recorded as primary is a replica by now, or broken.
         let members = &self.members;
         let healthy = |n: &Node| *n != node && members[*n].state == State::Healthy;
         let superseded: Vec<Node> = set.nodes.iter().copied().filter(healthy).collect();
@@ -176,7 +185,7 @@
         }
     }
 
-    /// Another of its set is held for the primary, on an answer that was asked for later than this.
+    /// Whether another member of the set is recorded as primary by an answer to a later request than this.
     fn has_later_primary(&self, node: Node, asked: Tenths) -> bool {
         let later = |n: &Node| {
             let m = &self.members[*n];
@@ -189,7 +198,8 @@
         self.doubt(now, asked, asked, node);
         let m = &self.members[node];
         let to = match m.state {
-            // It has said "primary" to a later request, and likely is that. A write that misses tells.
+            // It has claimed the primary role in answer to a later request and is likely still the primary.
+            // If not, a write that ends as a miss shows it.
             State::Healthy if m.roles.was_primary_after(asked) => State::Healthy,
             State::TransportError => State::TransportError,
             _ => State::TopologyReject,
--- a/src/decide/freshness.rs
+++ b/src/decide/freshness.rs
@@ -1,20 +1,21 @@
-//! Which data a read may see, and for how long a member has it: the rule on age. It is asked before an attempt goes out,
-//! by the host before and after it writes, and once more before an answer is passed on.
+//! The staleness rule: which data a read may see, and for how long a member has it. The rule is checked
+//! before an attempt is sent, by the host before and after it writes the attempt, and once more before an
+//! answer is passed on.
 
 use super::*;
 
 impl Router {
-    /// Held for the primary, and nothing that it has said since may have been "replica".
+    /// Whether the member is recorded as primary and cannot have claimed to be a replica since.
     pub(super) fn is_current(m: &Member) -> bool {
         m.state == State::Healthy && !m.roles.may_be_replica()
     }
 
-    /// Whether the rule on age is this router's to keep for the command.
+    /// Whether this router has to enforce the staleness rule for the command.
     fn has_age(&self, cmd: &Open) -> bool {
         !self.node_checks && !matches!(self.groups.places[cmd.kind].access, Access::Write | Access::Any)
     }
 
-    /// For how long a member's data are new enough for the command.
+    /// For how long a member's data are new enough for the command; unlimited at a confirmed primary.
     pub(super) fn new_enough_for(&self, now: Tenths, cmd: &Open, m: &Member) -> Tenths {
         let write = self.groups.places[cmd.kind].access == Access::Write;
         if write || self.node_checks || Router::is_current(m) {
@@ -24,12 +25,13 @@
         }
     }
 
-    /// For how long a member stays fresh enough: known position against bound or token. Where nodes check for
-    /// themselves, how far behind it was at the last word of it. Danger: a miss for one need (a session's
-    /// write of 50 ms ago) says nothing of another (300 ms), and shut the dearer reads out.
+    /// For how long a replica stays fresh enough, by its known position against the bound or the session
+    /// token. Where members check staleness themselves, its last known lag is used instead. Danger: a miss
+    /// for one requirement (a session's write of 50 ms ago) says nothing about another (300 ms); treated as
+    /// one, such misses excluded the member from costlier reads.
     pub(super) fn fresh_for(&self, now: Tenths, cmd: &Open, m: &Member) -> Tenths {
         let fresh = match self.groups.places[cmd.kind].access {
-            // Danger: beside a clock that is wrong, old data looks fresh.
+            // Danger: by a wrong clock, old data look fresh, so the latest possible time counts.
             Access::Bounded(bound) if !self.node_checks => {
                 return self
                     .clock
@@ -46,8 +48,8 @@
         if fresh { Tenths::MAX } else { 0 }
     }
 
-    /// A session's write was answered; a read of it has to see all up to `needs`. Danger: reads of the session that came in before
-    /// the answer, and still wait to be sent, have to see it too.
+    /// A session's write was answered: its reads have to see all up to `needs`. Danger: this includes reads
+    /// of the session that arrived before the answer and still wait to be sent.
     pub(super) fn session_wrote(&mut self, now: Tenths, session: String, needs: Tenths) {
         if is(&self.told, "family_info.token_mode", "remembered") {
             let places = &self.groups.places;
@@ -57,14 +59,16 @@
                 .filter(|cmd| cmd.session.as_ref() == Some(&session))
                 .for_each(|cmd| cmd.needs = cmd.needs.max(needs));
         }
-        // Danger: sessions come and go for ever. One not remembered counts as written that long ago.
+        // Danger: sessions come and go without end, so old ones are forgotten. A forgotten session counts as
+        // last written `SESSION_KEPT` ago.
         let old = self.clock.now(now) - SESSION_KEPT;
         self.sessions.write(session, needs, old, SESSIONS_LEAST);
     }
 
-    /// The host has written an attempt's last byte, no later than `now` by a clock that it read behind the write. Danger: any
-    /// time may pass between a decision and its write, and a bound counts from the last byte. What is not new enough by
-    /// then is not served; the host need not wait for it where it may give it up.
+    /// The host has written an attempt's last byte, no later than `now` (it reads the clock after the write).
+    /// Danger: any time may pass between a decision and its write, and a staleness bound counts from the last
+    /// byte. An answer with data too old by then is not served; the host need not wait for it if it may give
+    /// the attempt up.
     pub fn attempt_written(&mut self, now: Tenths, command: &str, dispatch: u32) -> Written {
         let Some(&key) = self.by_id.get(command) else { return Written::Free };
         let Some(cmd) = self.open.get(&key).filter(|cmd| self.has_age(cmd)) else { return Written::Free };
@@ -88,7 +92,7 @@
         Written::TooOld { behind, may_give_up }
     }
 
-    /// What an attempt at a replica may have seen, by all that is known now.
+    /// What an attempt at a replica may have read, by what is known now.
     pub fn data_age(&self, now: Tenths, command: &str, dispatch: u32) -> Option<DataAge> {
         let cmd = self.open.get(self.by_id.get(command)?)?;
         let seen = cmd.seen.get(&dispatch)?;
@@ -104,9 +108,9 @@
         Some(DataAge { need, behind, source: seen.source, heard_before, clock_ahead, clock_ahead_most })
     }
 
-    /// Whether the data of an answer that has come may be passed on: its member was new enough as the attempt was written, by
-    /// all that is known now, and as the answer itself says. Danger: the members' clock may have turned out to be later
-    /// than it was taken to be as the attempt was written.
+    /// Whether an answer may be passed on: its member's data were new enough when the attempt was written, by
+    /// what is known now and by the answer's own note. Danger: the members' clock may have turned out to be
+    /// later than assumed at the write.
     pub fn may_serve(&self, command: &str, dispatch: u32, note: Note) -> bool {
         let Some(cmd) = self.by_id.get(command).and_then(|key| self.open.get(key)) else { return true };
         if !self.has_age(cmd) {
--- a/src/decide/gate.rs
+++ b/src/decide/gate.rs
@@ -1,11 +1,13 @@
-//! What may be sent, written or repeated now, and for how long: the one place that every send passes. The five rules
-//! stand here: one final answer, no effect twice, no send after a drain, no cold member pushed over, no stale read.
+//! Checks that every dispatch passes: what may be sent, written or repeated now, and for how long. The five
+//! rules are enforced here: one final answer, no effect applied twice, no dispatch to a draining member, no
+//! overload of a cold member, no stale read.
 
 use super::*;
 
 impl Router {
-    /// The one gate of every send: the rules on final answers, effects, drains, age and cold members. Danger:
-    /// what must first get a connection is written when a rule forbids it by then. So it says for how long.
+    /// For how long the command may be sent to the member, by the rules on final answers, effects, drains,
+    /// staleness and cold members; 0 if not at all. Danger: a dispatch that first needs a connection is
+    /// written later, when a rule may forbid it. So the result is a length of time.
     pub(super) fn lawful_for(&self, now: Tenths, key: u64, node: Node) -> Tenths {
         let (cmd, m) = (&self.open[&key], &self.members[node]);
         let group = &self.groups.places[cmd.kind];
@@ -16,30 +18,34 @@
         self.repeatable_for(now, cmd, node).min(self.takes_for(now, cmd, m))
     }
 
-    /// For how long a member may take what the command asks, by the rules on drains and on age.
+    /// For how long the member is eligible for the command, by the rules on drains and staleness.
     pub(super) fn takes_for(&self, now: Tenths, cmd: &Open, m: &Member) -> Tenths {
         if m.shut || self.may_drain(m) { 0 } else { self.new_enough_for(now, cmd, m) }
     }
 
-    /// Danger: what the list would tell counts as told after 6 s, heard or not. While asks for it fail, a
-    /// member that turns dispatches away may be draining, unless it is the primary: that hands over.
+    /// Danger: a change of the list is binding 6 s after it is made, whether it was received or not. While
+    /// requests for the list fail, a member that rejects dispatches may be draining, unless it is the
+    /// primary: a primary hands over first.
     pub(super) fn may_drain(&self, m: &Member) -> bool {
         self.list_fails > 0 && m.turned_away > 0 && m.state != State::Healthy
     }
 
-    /// Asked by the host before it writes what waited for its connection. Danger: meanwhile the member
-    /// drained, turned out to lag, or died: the credit was the old process's, and the new one is cold.
+    /// Checked by the host before it writes a dispatch that waited for its connection. Danger: in the
+    /// meantime the member may have begun to drain, turned out to lag, or restarted: the slow-start credit
+    /// was for the old process, and the new one is cold.
     pub fn may_write(&self, now: Tenths, command: &str, dispatch: u32) -> bool {
         let cmd = self.by_id.get(command).and_then(|key| self.open.get(key)).filter(|c| !c.closed);
         cmd.is_some_and(|cmd| {
-            // In the same moment too: nothing is sent to a member in the moment in which its start is learned.
+            // Equality counts too: nothing is sent to a member at the very time at which its start becomes
+            // known.
             let learned = |(node, sent): &(Node, Tenths)| self.members[*node].start_known >= *sent;
             let takes = |(node, _): &(Node, Tenths)| self.takes_for(now, cmd, &self.members[*node]) > 0;
             now < cmd.ends && cmd.out.get(&dispatch).is_some_and(|out| takes(out) && !learned(out))
         })
     }
 
-    /// What may have run goes out again only if it is replayable, or keyed, in scope and in time.
+    /// For how long a command that may have run may be sent again: only if it is replayable, or keyed and
+    /// within scope and time window.
     pub(super) fn repeatable_for(&self, now: Tenths, cmd: &Open, node: Node) -> Tenths {
         cmd.maybe_ran.map_or(Tenths::MAX, |(at, sent)| match self.groups.places[cmd.kind].effect {
             Effect::Replayable => Tenths::MAX,
@@ -51,16 +57,17 @@
         })
     }
 
-    /// Whether a client may ask again without harm: nothing of the command ran, or it may run again.
+    /// Whether the client may retry without harm: nothing of the command has run, or it may run again.
     pub(super) fn is_harmless_to_repeat(&self, cmd: &Open) -> bool {
         let effect = self.groups.places[cmd.kind].effect;
         let free = matches!(effect, Effect::Replayable | Effect::Keyed { everywhere: true, .. });
         free || (cmd.maybe_ran.is_none() && cmd.out.is_empty())
     }
 
-    /// Every dispatch goes out here, and only through the gate.
+    /// Sends a dispatch if the checks allow it. Every dispatch goes out here.
     pub(super) fn send(&mut self, now: Tenths, key: u64, node: Node) -> bool {
-        // Danger: a drain may be told right behind this, and the write held up behind the look at the clock.
+        // Danger: a drain may arrive right after this check, and the host may stall between reading its clock
+        // and writing.
         let grace = tenths(self.number("rules.drain_grace_ms", 500.0));
         let grace = (grace - HELD_UP).max(grace / 2).max(self.tick);
         let until = now + self.lawful_for(now, key, node).min(grace);
--- a/src/decide/patience.rs
+++ b/src/decide/patience.rs
@@ -1,21 +1,23 @@
-//! How long a waiting command is kept: up to half of its time, or as long as an answer is still likely in time; longer
-//! where what it waits for is known to come.
+//! How long a waiting command is kept: up to half of its time, and only as long as an answer in time is still
+//! likely; longer if what it waits for is known to come in time.
 
 use super::*;
 
 impl Router {
-    /// Until when a command waits that nothing is known to come for. Danger: a client is left waiting for what has no way to any
-    /// member. So with nothing written by half its time it is told to come back while it still can.
+    /// Until when a command waits if nothing that would let it through is known to come. Danger: without
+    /// this, a client waits its whole timeout for a set with no reachable member. If nothing has been written
+    /// by half of its time, it is throttled while it can still retry.
     pub(super) fn waits_until(&self, now: Tenths, cmd: &Open) -> Tenths {
         cmd.patience.min(self.last_send(now, cmd))
     }
 
-    /// Until when a send is likely to be answered in time, by what answers usually take.
+    /// Until when a dispatch is likely to be answered in time, by the usual latency.
     fn last_send(&self, now: Tenths, cmd: &Open) -> Tenths {
         cmd.ends - (self.usual(now, cmd.kind) * TIME_TO_RUN) as Tenths
     }
 
-    /// When to look again at a command that has waited for as long as it should, where what it waits for comes in time.
+    /// When to check again a command whose waiting time is over, if what it waits for will come in time;
+    /// `None` if not.
     pub(super) fn worth_waiting_until(&self, now: Tenths, key: u64) -> Option<Tenths> {
         let cmd = &self.open[&key];
         let primary = self.primary(cmd.set).filter(|primary| self.only_credit_is_missing(now, key, *primary));
@@ -24,15 +26,17 @@
         credit.or_else(|| self.check_ends_by(now, key))
     }
 
-    /// Nothing else keeps a command from a member, as far as is known. Danger: where a window or a dial does, a credit that is
-    /// there would hold it to its end.
+    /// Whether only slow-start credit, or a turn, keeps the command from the member, as far as is known.
+    /// Danger: if the window or a dial is the reason, a command whose credit suffices would be held to its
+    /// end.
     fn only_credit_is_missing(&self, now: Tenths, key: u64, node: Node) -> bool {
         matches!(self.withheld_at(now, key, node), Gate::SlowStart | Gate::Turn)
     }
 
-    /// Danger: after a slow time the usual latency stays high for seconds, and what has little time left would be refused while
-    /// the check that lets it through is out. A read waits for it where answers of the last seconds say that it would be in time,
-    /// and nothing else waits beside it: in a crowd a refusal at once is right.
+    /// Until when a read waits for a probe in flight. Danger: after a slow period the usual latency stays
+    /// high for seconds, and a command with little time left would be given up while the probe that lets it
+    /// through is in flight. The read waits only if it would be in time by the answers of the last seconds
+    /// and nothing else waits in its set: under load, immediate throttling is right.
     fn check_ends_by(&self, now: Tenths, key: u64) -> Option<Tenths> {
         let cmd = &self.open[&key];
         let set = self.sets.get(&cmd.set)?;
@@ -45,12 +49,12 @@
         (reads && alone && in_time && now < until).then_some(until)
     }
 
-    /// How long a command of this group would take by all answers of the last seconds.
+    /// Expected latency of a command of this group, by the latency ratio of all answers of the last seconds.
     fn lately(&self, now: Tenths, kind: usize) -> f64 {
         self.slow.read(now, SLOW_HALF, USUAL_GUESS) * self.groups.places[kind].target as f64
     }
 
-    /// A check of this member is out whose answer may let the read through.
+    /// Whether a probe of this member is in flight whose answer may let the read through.
     pub(super) fn is_checked_for(&self, now: Tenths, cmd: &Open, m: &Member) -> bool {
         let works = m.met && !m.shut && !matches!(m.state, State::Healthy | State::TransportError);
         works && m.probing && self.fresh_for(now, cmd, m) <= 0
--- a/src/decide/reads.rs
+++ b/src/decide/reads.rs
@@ -1,33 +1,35 @@
-//! Where reads go that a replica may serve: turns over those that are new enough and have room, checks of those that may be,
-//! and the primary where none is.
+//! Routing of reads that a replica may serve: round robin over the replicas that are fresh enough and have
+//! room, probes of those that may be, and the primary if there is none.
 
 use super::*;
 
-/// A member's turn, its place among equals, and the member.
+/// A member's turn count, its position among members with equal counts, and the member.
 type Turn = (f64, usize, Node);
 
-/// What a look at a set's readers found.
+/// The candidates found among a set's members.
 #[derive(Default)]
 struct Readers {
-    /// One that may be sent the read.
+    /// The next member that the read may be sent to.
     best: Option<Turn>,
-    /// One whose position may be too old, or that is broken, to be asked.
+    /// The next member to probe, whose known position may be too old or which is broken.
     ask: Option<Turn>,
-    /// One that was listed later and has never answered, to be asked.
+    /// The next member to probe that was listed later than the first list and has never answered.
     meet: Option<Turn>,
-    /// The latest turn of all.
+    /// The highest turn count of all members.
     top: f64,
-    /// The first by id of those that work, which long reads keep to, and how many work.
+    /// The first working replica by id, which takes the long reads, and the number of working replicas.
     first: Option<Node>,
     count: f64,
-    /// Some have answered and work.
+    /// Whether any replica works that has answered before.
     known: bool,
 }
 
 impl Router {
-    /// Takes turns over the replicas that are fresh enough and have room; a slow one has less room.
+    /// Picks a member for a read: replicas that are fresh enough and have room take turns; a slow one has
+    /// less room.
     pub(super) fn pick_reader(&mut self, now: Tenths, number: i64, key: u64) -> Option<Node> {
-        // Danger: long reads stop a replica applying. They keep to the first by id; the others stay fresh.
+        // Danger: long reads stop a replica from applying commits. They all go to the first by id, so that
+        // the others stay fresh.
         let long = self.outlasts(self.open[&key].kind);
         let found = self.look_at_readers(now, number, key, long)?;
         self.ask_in_turn(now, &found);
@@ -38,18 +40,19 @@
         if self.waits_for_a_check(now, number, key, found.known) {
             return None;
         }
-        // No replica qualifies or has room: the primary, as far as that leaves room for writes.
+        // If no replica qualifies or has room, the read goes to the primary, up to the part of its window
+        // that is open to reads.
         let primary = self.primary(number)?;
         self.ask_for_time(now, primary);
         let spared = self.members[primary].spare_at <= now && self.has_room(now, primary, PRIMARY_SPARE, 0.0);
         spared.then_some(primary)
     }
 
-    /// Whose turn it is: to be sent to, to be asked, to be met.
+    /// Finds whose turn it is to get the read, and whose turn it is to be probed.
     fn look_at_readers(&self, now: Tenths, number: i64, key: u64, long: bool) -> Option<Readers> {
         let (cmd, set) = (&self.open[&key], self.sets.get(&number)?);
-        // Danger: a list with names that are no members. One listed later that never answered is only asked,
-        // when its turn comes, while others work, and nothing waits for it.
+        // Danger: the list may contain names that are no members. A member listed later that never answered
+        // is only probed, when its turn comes, while others work; no read waits for it.
         let works =
             |m: &Member| m.met && !m.shut && !matches!(m.state, State::Healthy | State::TransportError);
         let known = set.nodes.iter().any(|n| works(&self.members[*n]));
@@ -84,7 +87,7 @@
         Some(found)
     }
 
-    /// Probes whoever's turn comes before that of the one that is sent to.
+    /// Probes the members whose turn comes before that of the member that gets the read.
     fn ask_in_turn(&mut self, now: Tenths, found: &Readers) {
         let ask = found.ask.filter(|a| found.best.is_none_or(|b| a.0 <= b.0));
         ask.into_iter().for_each(|(.., node)| self.probe(now, node));
@@ -94,9 +97,10 @@
         }
     }
 
-    /// A member's turn is over. One in another zone costs more.
+    /// Adds the cost of one turn to the member. A turn in another zone costs more.
     fn take_turn(&mut self, now: Tenths, node: Node, found: &Readers, long: bool) {
-        // Danger: long reads on top of an even part of the rest crowd the first. Its turns cost more.
+        // Danger: long reads on top of an equal share of the other reads overload the first replica. Its
+        // turns for other reads cost more.
         let part = self.long_work.read(now, SHARE_HALF) / self.read_work.read(now, SHARE_HALF).max(1.0);
         let even = long || found.first != Some(node);
         let cost = if even { 1.0 } else { 1.0 / (1.0 - found.count * part).max(1.0 / TURN_MOST) };
@@ -106,8 +110,9 @@
         m.turn = m.turn.max(found.top - TURN_MOST) + cost * (1.0 + price);
     }
 
-    /// Danger: where routers are many, hardly any replica's position is known when a read comes, and all
-    /// reads crowd the primaries. One being checked is waited for, for half a usual latency at most.
+    /// Whether the read waits for a probe in flight. Danger: with many routers, a replica's position is
+    /// rarely known when a read arrives, and all reads would crowd the primaries. A read waits for a member
+    /// being probed, for half a usual latency at most.
     fn waits_for_a_check(&self, now: Tenths, number: i64, key: u64, known: bool) -> bool {
         let cmd = &self.open[&key];
         let wait = (self.usual(now, cmd.kind) / 2.0) as Tenths;
@@ -119,8 +124,9 @@
         self.sets[&number].nodes.iter().any(checked)
     }
 
-    /// Danger: beside reads alone, whose answers need not tell a position, nothing ever bears the members' clock out. Two
-    /// reports of a primary whose position went on in between do.
+    /// Probes the primary for evidence of the clock offset. Danger: with reads alone, whose answers need not
+    /// carry a position, nothing ever confirms the offset to the members' clock. Two reports of a primary
+    /// whose position advanced in between do.
     pub(super) fn ask_for_time(&mut self, now: Tenths, primary: Node) {
         let m = &self.members[primary];
         if !self.node_checks && !self.clock.is_confirmed() && m.asked_at + PAUSE <= now {
@@ -128,29 +134,34 @@
         }
     }
 
-    /// A read that may outlast the tightest bound, at twice its unhurried time.
+    /// Whether a read of this group may, at twice its latency without load, take longer than the smallest
+    /// staleness bound.
     pub(super) fn outlasts(&self, kind: usize) -> bool {
         let time = self.groups.places[kind].target as f64 * USUAL_GUESS * 2.0;
         self.groups.places[kind].access == Access::Any && time > self.tightest as f64
     }
 
-    /// Danger: standing checks by all routers of all members outgrow the commands. A member is asked only
-    /// for a waiting read: a broken one after its backoff, else by its position's age, far behind less often.
+    /// Whether the member may be probed now. Danger: periodic probes of all members by all routers would
+    /// outnumber the commands. A member is probed only for a waiting read: a broken one after its backoff,
+    /// others by the age of their position, and less often if far behind.
     pub(super) fn ask_due(&self, now: Tenths, m: &Member) -> bool {
         let behind = (self.clock.now(m.checked_at) - m.position - self.tightest).clamp(0, 2 * SECOND);
         let rest = if m.position == 0 { PAUSE } else { PAUSE.max(self.tightest / 2).max(behind / 4) };
         if m.state == State::TransportError { self.rested(now, m) } else { m.checked_at + rest <= now }
     }
 
-    /// Danger: a set whose members were all out of reach is turned away until the longest rest is over, 10 s
-    /// after they are back. While none of it works, each is asked again after two seconds.
+    /// Whether a broken member may be probed again. Danger: if all members of a set were unreachable, the set
+    /// would be refused until the longest backoff is over, 10 s after they are back. While none of its
+    /// members works, each is probed again after two seconds.
     pub(super) fn rested(&self, now: Tenths, m: &Member) -> bool {
         let works = |n: &Node| !self.members[*n].shut && self.members[*n].state != State::TransportError;
         let none = |set: &MemberSet| !set.nodes.iter().any(works);
         m.retry_at <= now || (m.asked_at + 2 * SECOND <= now && self.sets.get(&m.set).is_some_and(none))
     }
 
-    /// Danger: a primary that is slow, not crowded, is spared until it idles; nobody else takes its writes.
+    /// Whether the member takes another dispatch: within `part` of its window, or with fewer than `least` in
+    /// flight. Danger: a primary that is slow but not crowded would be spared until it idles, although no
+    /// other member can take its writes; hence `least`.
     pub(super) fn has_room(&self, now: Tenths, node: Node, part: f64, least: f64) -> bool {
         let (m, out) = (&self.members[node], self.members[node].out.len() as f64);
         m.dial_at <= now
--- a/src/decide/search.rs
+++ b/src/decide/search.rs
@@ -1,9 +1,10 @@
-//! How a primary is found: the walk of one held write, and probes beside it.
+//! How a primary is found: by trying one held write at the set's members in turn, and by probes.
 
 use super::*;
 
 impl Router {
-    /// Danger: reads wait for a primary that may be a replica by now, and nothing else asks it.
+    /// Probes a primary that may be a replica by now. Danger: reads wait for it, and nothing else checks its
+    /// role.
     pub(super) fn ask_for_role(&mut self, now: Tenths, node: Node) {
         let m = &self.members[node];
         if m.state == State::Healthy && m.roles.may_be_replica() && m.asked_at + PAUSE <= now {
@@ -16,7 +17,8 @@
         self.sets.get(&number)?.nodes.iter().find(healthy).copied()
     }
 
-    /// The walk of a held write: by state, listed role, rotated ids. One write of a set scouts for all.
+    /// The next member to try for a held write: by state, then listed role, then rotated ids. One write of a
+    /// set is tried on behalf of all.
     pub(super) fn scout(&mut self, now: Tenths, number: i64, key: u64) -> Option<Node> {
         let can_probe = self.allows("permissions.may_probe");
         let set = self.sets.get_mut(&number)?;
@@ -27,8 +29,9 @@
             return None;
         }
         let open = |m: &Member| match m.state {
-            // Where probes are allowed they find out, and a write is not risked. Danger: on a slow way probes
-            // and new connections fail, and a working primary stays out of reach: the listed one is tried.
+            // If probes are allowed, they find out and no write is risked. Danger: on a slow path probes and
+            // new connections fail and a working primary stays out of reach, so the listed primary is tried
+            // all the same.
             State::TransportError => (!can_probe || m.listed_primary) && m.retry_at <= now,
             State::TopologyReject => !can_probe || m.noted_at + 5 * PAUSE < now,
             _ => true,
@@ -37,7 +40,7 @@
             !m.shut && open(m) && !cmd.tried.contains(n) && cmd.attempts() < most.div_ceil(2)
         });
         let ranked = walk.map(|(m, n)| (m.state, !m.listed_primary, !m.met, m.tie, n));
-        // One that this machine can't dial just now is waited for.
+        // A member that this machine cannot dial at present is waited for.
         let (paused, ready): (Vec<_>, Vec<_>) = ranked.partition(|r| self.members[r.4].dial_at > now);
         if let Some((.., node)) = ready.into_iter().min() {
             cmd.tried.push(node);
@@ -47,7 +50,8 @@
         if !paused.is_empty() {
             return None;
         }
-        // The round is over: misses cost the fixed pause, transport errors a backoff with equal jitter.
+        // The round is over: after misses the fixed pause follows, after transport errors a backoff with
+        // equal jitter.
         cmd.tried.clear();
         set.scout = None;
         let broken = std::mem::take(&mut cmd.broken_round);
@@ -57,7 +61,7 @@
         None
     }
 
-    /// While no primary is known, probes look for it, one a pause, where none was asked for longest.
+    /// While no primary is known, probes the member whose last probe is the longest ago, one per pause.
     pub(super) fn seek(&mut self, now: Tenths, number: i64) {
         let Some(set) = self.sets.get_mut(&number).filter(|s| s.seek_at <= now) else { return };
         set.seek_at = now + PAUSE;
@@ -65,7 +69,8 @@
             let m = &self.members[*n];
             !m.shut && !m.probing && (m.state != State::TransportError || self.rested(now, m))
         });
-        // Danger: one that never answers is asked for ever. A probe without an answer counts too.
+        // Danger: a member that never answers would be picked every time, so a probe without an answer counts
+        // too.
         let last = |m: &Member| m.asked_at.max(m.checked_at);
         if let Some(node) = open.min_by_key(|n| (last(&self.members[*n]), self.members[*n].tie)) {
             self.probe(now, node);
--- a/src/decide/slow_start.rs
+++ b/src/decide/slow_start.rs
@@ -1,18 +1,22 @@
-//! Slow start: what a member that has just started may be sent, by this router's part of what all send.
+//! Slow start: limits what is sent to a member that has just started to this router's part of what all
+//! routers may send.
 
 use super::*;
 
-/// The part of what may be sent to a cold member in a span that all routers' credits grow by: the rest is what they may hold, so that
-/// over one span both make the whole, no more. At a start what may be sent is little, and chance is more of it.
+/// Share of a cold member's admissible load at which all routers' credits for it grow. The rest is the most
+/// that the credits may hold, so that growth and stored credit together do not exceed the admissible load of
+/// one span (`rules.fall_ms`). At a start the load is small and random variation is a larger part of it.
 fn cold_part(warmth: f64) -> f64 {
     COLD_PART + (1.0 - COLD_PART) * warmth
 }
 
 impl Router {
-    /// Danger: all routers together push over a member that has just started, each with its little. So each
-    /// has a credit there that grows with what its own commands usually ask of a member, times what the cold
-    /// one can do by now, and starts by chance below the cheapest command: however many and unequal, they
-    /// send the ordinary load times that part from the first moment on, also where members fail by turns.
+    /// Work that this router may send to the member now; infinite for a warm one. Danger: all routers
+    /// together overload a member that has just started, each with a small amount. So each router's credit
+    /// grows with what its own commands usually ask of a member times the cold member's present capacity, and
+    /// starts at a random value below the cheapest command. However many and unequal the routers are,
+    /// together they send that part of the ordinary load from the first moment on, also where members fail in
+    /// turn.
     pub(super) fn cold_credit(&self, now: Tenths, m: &Member) -> f64 {
         let Some(warmth) = self.warmth(now, m) else { return f64::INFINITY };
         let pace = self.cold_pace(now, warmth);
@@ -21,7 +25,7 @@
         (m.credit + (now - m.credit_at) as f64 * pace).min(most.max(self.cheap as f64))
     }
 
-    /// How far a cold member has warmed, from 0 up to 1; None for a warm one.
+    /// How far a cold member has warmed up, from 0 up to 1; `None` for a warm one.
     fn warmth(&self, now: Tenths, m: &Member) -> Option<f64> {
         if m.started == 0 {
             return None;
@@ -30,18 +34,19 @@
         Some(warmth).filter(|warmth| *warmth < 1.0)
     }
 
-    /// What a cold member's credit grows by in a tenth of a millisecond.
+    /// Growth of a cold member's credit per tenth of a millisecond.
     fn cold_pace(&self, now: Tenths, warmth: f64) -> f64 {
         let from = self.number("rules.start_capacity", 0.1);
         let able = from + (1.0 - from) * warmth;
         let part = able * self.number("rules.tip_multiple", 1.0) * cold_part(warmth);
-        // Danger: a router that has just started takes its ordinary load for nothing and starves the cold.
+        // Danger: a router that has just started would take its ordinary load for zero and starve cold
+        // members.
         let since = self.began.min(now - SLOW_HALF);
         self.done_work.rate_since(now, USUAL_HALF, since) / self.nodes.len() as f64 * part
     }
 
-    /// Until when the credit at a cold primary has grown to cover a command and all that go before it there. None where it is
-    /// warm, or the command does not wait for it.
+    /// When the credit for a cold primary covers the command and all that go before it there. `None` if the
+    /// primary is warm or the command does not wait for one.
     pub(super) fn credit_comes_at(&self, now: Tenths, key: u64, primary: Node) -> Option<Tenths> {
         let cmd = &self.open[&key];
         let waits = |kind: usize| matches!(self.groups.places[kind].access, Access::Write | Access::Fresh);
@@ -62,8 +67,9 @@
         Some(now + ((work - self.cold_credit(now, m)).max(0.0) / pace).ceil() as Tenths)
     }
 
-    /// For how long a member has been up: as told, by the members' clock, and no less than that is known of. Danger:
-    /// while this machine's clock may be ahead, one that has just started looks warm.
+    /// How long a member has been up: by its listed start and the members' clock, and at least for as long as
+    /// this router has known of the start. Danger: if this machine's clock may be ahead, a member that has
+    /// just started would look warm.
     pub(super) fn age(&self, now: Tenths, m: &Member) -> Tenths {
         let known = now - m.start_known;
         let unrefuted = now - self.began > UNCONFIRMED_MOST && !self.clock.is_contradicted();
@@ -71,8 +77,9 @@
         if trusted { known.max(self.clock.now(now) - m.started) } else { known }
     }
 
-    /// A member that started at `at`, told or seen: its credit starts anew, by chance. Danger: with more than
-    /// the cheapest command to start with, hundreds of routers each send at once and push it over.
+    /// Records the start of a member at `at`, listed or observed, and resets its credit to a random value.
+    /// Danger: with an initial credit above the cheapest command, hundreds of routers each send at once and
+    /// overload the member.
     pub(super) fn restarted(&mut self, now: Tenths, at: Tenths, node: Node) {
         let credit = self.rng.below(self.cheap / 3) as f64;
         let window = (WINDOW_START / self.number("balancers", 1.0)).max(WINDOW_LEAST);
--- a/src/decide/withheld.rs
+++ b/src/decide/withheld.rs
@@ -1,10 +1,11 @@
-//! Which gate keeps a waiting command from every member just now. For events, the log and the counters alone: nothing is
-//! decided by it.
+//! Finds which gate keeps a waiting command from every member at present. Used for events, the log and the
+//! counters only; no decision depends on it, except that `patience` checks the gate at a primary.
 
 use super::*;
 
 impl Router {
-    /// What keeps a command back that is given up for lack of a member. Of several, the last that it would have had to pass.
+    /// The gate that withholds a command that is given up for lack of a member; of several, the last that it
+    /// would have passed.
     pub(super) fn withheld_by(&mut self, now: Tenths, key: u64) -> Gate {
         let (number, kind) = (self.open[&key].set, self.open[&key].kind);
         let rank = self.order.iter().position(|k| *k == kind).unwrap_or(0);
@@ -21,7 +22,7 @@
         }
     }
 
-    /// None where the set has no replica that works.
+    /// The gate at the set's replicas; `None` if no replica works.
     fn withheld_from_replicas(&self, now: Tenths, key: u64, number: i64) -> Option<Gate> {
         let works = |n: &&Node| {
             let m = &self.members[**n];
