--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,5 +1,5 @@
-//! The member list as discovery gives it: the watch's HTTP and its chunks into values, values into entries
-//! and addresses. Nothing here performs I/O and nothing is decided.
+//! The member list as discovery sends it: parses the watch's HTTP response and its chunks into JSON values,
+//! and values into entries and addresses. This crate performs no I/O and decides nothing.
 
 mod sheet;
 mod values;
--- a/crates/discovery/src/sheet.rs
+++ b/crates/discovery/src/sheet.rs
@@ -1,33 +1,33 @@
-//! One value of the watch: a whole list or a change of it.
+//! One value of the watch: the full member list or a change to it.
 
 use serde_json::Value;
 use std::net::SocketAddr;
 use vetchkeel::{Entry, Id, Phase, Tenths};
 
-/// A list or a change, with the rows that could be read.
+/// A full list or a change, with the rows that could be parsed.
 #[derive(Clone, Debug)]
 pub struct Sheet {
     pub version: u64,
     pub whole: bool,
     pub rows: Vec<Row>,
-    /// What was wrong with the rows that could not be read.
+    /// One error for each row that could not be parsed.
     pub unread: Vec<String>,
 }
 
 #[derive(Clone, Debug)]
 pub struct Row {
     pub entry: Entry,
-    /// None for a member that is gone and has no address any more.
+    /// `None` for a removed member that has no address any more.
     pub address: Option<SocketAddr>,
 }
 
-/// Reads one value.
+/// Parses one value of the watch.
 pub fn sheet(value: &[u8]) -> Result<Sheet, String> {
     let value = serde_json::from_slice(value).map_err(|e| format!("the list is not JSON: {e}"))?;
     sheet_of(&value)
 }
 
-/// Reads a list that is already taken apart.
+/// Reads a list from parsed JSON.
 pub fn sheet_of(value: &Value) -> Result<Sheet, String> {
     let servers = value["servers"].as_array().ok_or("the list has no 'servers'")?;
     let version = value["version"].as_u64().ok_or("the list has no 'version'")?;
@@ -60,7 +60,7 @@
         machine: text("kind"),
         set: value["cell"].as_i64().unwrap_or(0),
         phase,
-        // A start is rounded up: a member is never held to be warmer than it is.
+        // The start is rounded up, so that a member never counts as warmer than it is.
         started: (value["started_ms"].as_f64().unwrap_or(0.0) * 10.0).ceil() as Tenths,
         primary: value["role"].as_str() == Some("primary"),
     };
--- a/crates/discovery/src/tests.rs
+++ b/crates/discovery/src/tests.rs
@@ -11,7 +11,7 @@
     (read, found.into_iter().map(|v| String::from_utf8(v).expect("text")).collect(), watched)
 }
 
-/// Values laid out in four ways, with what is to be found of them.
+/// JSON values in four layouts, split over chunks, and the values expected from them.
 const INDENTED: &str = "{\n  \"a\": {\n    \"b\": [1, \"}{\\\"\"]\n  }\n}";
 const BODY: [&str; 5] = ["{\"a", "\":1}\n\n", INDENTED, "{}{\"b\" :\r\n\t2.5}\n", "\n\n[7]\r\n"];
 const VALUES: [&str; 5] = ["{\"a\":1}", INDENTED, "{}", "{\"b\" :\r\n\t2.5}", "[7]"];
@@ -65,7 +65,7 @@
     let mut parts: Vec<&[u8]> = vec![b"HTTP/1.1 200 OK\r\n\r\n"];
     parts.extend(list.as_bytes().chunks(16));
     assert_eq!(all(&parts).1.len(), 1);
-    // Read from its start again with each piece it would take hours.
+    // If the value were parsed again from its start with each piece, this would take hours.
     assert!(begun.elapsed().as_secs() < 20, "{:?}", begun.elapsed());
 }
 
--- a/crates/discovery/src/values.rs
+++ b/crates/discovery/src/values.rs
@@ -1,21 +1,21 @@
-//! The values of one watch: whole JSON objects, however they are laid out and wherever they are cut.
+//! Splits the body of a watch into JSON values, in any layout and cut at any byte.
 
 use actson::feeder::PushJsonFeeder;
 use actson::options::JsonParserOptionsBuilder;
 use actson::{JsonEvent, JsonParser};
 
-/// Danger: a value without an end fills the memory. The most bytes of one, and the most levels of nesting, which
-/// is what `serde_json` reads.
+/// Most bytes of one value and most levels of nesting (the limit of `serde_json`). Danger: without a limit, a
+/// value that never ends fills the memory.
 const LONGEST_VALUE: usize = 4 * 1024 * 1024;
 const DEEPEST: usize = 127;
 
-/// Finds where each value ends. Every byte is looked at once, however few come at a time.
+/// Finds the end of each value. Every byte is parsed once, however small the pieces are.
 pub(crate) struct Values {
     parser: JsonParser<PushJsonFeeder>,
-    /// The bytes of the value that has begun, and how many the parser had read before them.
+    /// Bytes received of the value in progress, and the number of bytes parsed before them.
     held: Vec<u8>,
     before: usize,
-    /// Objects and lists that are open.
+    /// Number of open objects and arrays.
     depth: usize,
 }
 
@@ -28,17 +28,17 @@
 }
 
 impl Values {
-    /// All that have come.
+    /// Number of bytes received so far.
     pub(crate) fn bytes(&self) -> usize {
         self.before + self.held.len()
     }
 
-    /// True while a value has begun and is not whole.
+    /// True while a value is incomplete.
     pub(crate) fn has_begun(&self) -> bool {
         self.depth > 0
     }
 
-    /// Takes more bytes; adds every value that is whole by now to `found`.
+    /// Takes more bytes and appends every value that is complete by now to `found`.
     pub(crate) fn feed(&mut self, mut bytes: &[u8], found: &mut Vec<Vec<u8>>) -> Result<(), String> {
         while !bytes.is_empty() {
             let taken = self.parser.feeder.push_bytes(bytes);
@@ -68,7 +68,7 @@
             }
         }
         if self.depth == 0 {
-            // What lies between values: empty lines alone.
+            // Only white space may stand between values.
             if !self.held.trim_ascii().is_empty() {
                 return Err("the list is not JSON: expected an object".into());
             }
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -1,11 +1,11 @@
-//! The watch as HTTP/1.1 carries it: a head, then chunks, then values across the chunks.
+//! The watch as an HTTP/1.1 response: a head, then chunks, then JSON values that may span chunks.
 
 use crate::values::Values;
 
-/// The longest head taken.
+/// Most bytes of a response head or chunk size line.
 const LONGEST_HEAD: usize = 16 * 1024;
 
-/// What asks for all changes since `version`.
+/// The HTTP request for all changes since `version`.
 pub fn ask(host: &str, version: u64) -> Vec<u8> {
     format!("GET /api/targets?stream=1&index={version} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n")
         .into_bytes()
@@ -14,17 +14,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Part {
     Head,
-    /// A body without chunks, to the connection's end.
+    /// A body without chunks, up to the end of the connection.
     Plain,
     Size,
-    /// Bytes of a chunk still to come.
+    /// Bytes of the chunk still to come.
     Chunk(usize),
-    /// The line end behind a chunk: bytes of it still to come.
+    /// Bytes still to come of the line end after a chunk.
     Close(usize),
     End,
 }
 
-/// Takes the bytes of one watch as they come, cut anywhere, and gives its values.
+/// Incremental parser of one watch: takes bytes cut anywhere and returns the JSON values.
 pub struct Watched {
     raw: Vec<u8>,
     body: Vec<u8>,
@@ -39,23 +39,24 @@
 }
 
 impl Watched {
-    /// True once the answer has come to its end.
+    /// True once the response is complete.
     pub fn ended(&self) -> bool {
         self.part == Part::End
     }
 
-    /// The bytes that have come behind the head, white space too.
+    /// Number of body bytes received, white space included.
     pub fn body_bytes(&self) -> usize {
         self.values.bytes()
     }
 
-    /// True while a value has begun and is not whole.
+    /// True while a value is incomplete.
     pub fn has_begun_value(&self) -> bool {
         self.values.has_begun()
     }
 
-    /// Takes more bytes; adds every JSON object that is whole by now to `found`. Between them there may be white
-    /// space: an empty line tells that the watch lives. After an error nothing more can be read from this watch.
+    /// Takes more bytes and appends every JSON object that is complete by now to `found`. White space may
+    /// stand between objects; an empty line is a keep-alive. After an error nothing more can be read from
+    /// this watch.
     pub fn feed(&mut self, bytes: &[u8], found: &mut Vec<Vec<u8>>) -> Result<(), String> {
         self.raw.extend_from_slice(bytes);
         let mut taken = 0;
@@ -72,7 +73,7 @@
         failed.and(read)
     }
 
-    /// One step over what has come; how many bytes it used, or None if more must come first.
+    /// Parses one part of the bytes received. Returns how many bytes it used, or `None` if more are needed.
     fn step(&mut self, from: usize) -> Result<Option<usize>, String> {
         let bytes = &self.raw[from..];
         match self.part {
