--- a/src/decide.rs
+++ b/src/decide.rs
@@ -38,61 +38,61 @@
 const SHARE_HALF: Tenths = 60 * SECOND;
 /// Kept connections count as stale from the idle time at which this share of sends on them, and at least this
 /// many, fail at once (within `AT_ONCE`).
-const STALE_PART: f64 = 0.15;
-const STALE_LEAST: f64 = 4.0;
+const STALE_BREAK_SHARE: f64 = 0.15;
+const STALE_MIN_BREAKS: f64 = 4.0;
 const AT_ONCE: Tenths = 50;
 const SLOW_HALF: Tenths = 2 * SECOND;
 const SET_HALF: Tenths = 20 * SECOND;
 /// How long a session's last write is remembered once more than `SESSIONS_LEAST` sessions are held.
 const SESSION_KEPT: Tenths = 60 * SECOND;
 const SESSIONS_LEAST: usize = 4096;
-/// Longest time that a report may take from its creation to its delivery. For `UNCONFIRMED_MOST` after the
+/// Longest time that a report may take from its creation to its delivery. For `UNCONFIRMED_CLOCK_GRACE` after the
 /// router's start, a clock offset that no primary has confirmed is not used to treat a member as warm.
 const REPORT_DELAY: Tenths = SECOND;
-const UNCONFIRMED_MOST: Tenths = SECOND;
+const UNCONFIRMED_CLOCK_GRACE: Tenths = SECOND;
 /// Smallest change of the members' clock offset that is reported as an event.
-const CLOCK_NEWS: Tenths = 20;
+const CLOCK_EVENT_THRESHOLD: Tenths = 20;
 /// Longest stall of the host between reading its clock and writing to a socket (see the standing page).
-const HELD_UP: Tenths = 1_500;
+const HOST_STALL_ALLOWANCE: Tenths = 1_500;
 /// Latency of an answer without load, as a share of the response target, assumed until latencies are
 /// measured.
-const USUAL_GUESS: f64 = 0.2;
+const UNLOADED_LATENCY_RATIO: f64 = 0.2;
 /// Ratio of latency to response target above which an answer shrinks its member's congestion window; an
 /// answer below it lets the window grow.
-const CROWDED: f64 = 0.27;
+const CROWDED_RATIO: f64 = 0.27;
 /// Congestion window of one member, in dispatches in flight: the initial window and the number that is always
 /// allowed at a slow primary (both over all routers), the smallest window of one router, and the factor by
 /// which a slow answer shrinks the window.
-const WINDOW_START: f64 = 10.0;
-const WINDOW_BUSY: f64 = 4.0;
+const WINDOW_INITIAL: f64 = 10.0;
+const PRIMARY_MIN_IN_FLIGHT: f64 = 4.0;
 const WINDOW_LEAST: f64 = 0.3;
-const WINDOW_LOSS: f64 = 0.5;
+const WINDOW_SHRINK_FACTOR: f64 = 0.5;
 /// Extra cost of a turn in another zone, for each percentage point of `penalties.cross_zone`.
-const CROSSING: f64 = 0.4;
+const ZONE_CROSSING_COST: f64 = 0.4;
 /// Share of a cold member's admissible load (ordinary load times its current capacity times
 /// `rules.tip_multiple`) that may be sent to it at its start. The share rises to 1 as the member warms up.
 const COLD_PART: f64 = 0.8;
 /// Highest cost of one turn, and the most turns by which a member may trail the others.
-const TURN_MOST: f64 = 12.0;
+const MAX_TURN_LAG: f64 = 12.0;
 /// Mean ratio of latency to response target above which the router lowers its pace, and the lowest pace.
-const PACE_MARK: f64 = 0.45;
+const PACE_TARGET_RATIO: f64 = 0.45;
 const PACE_LEAST: f64 = 0.3;
 /// How much faster the pace rises than it falls.
-const PACE_RISE: f64 = 3.0;
-const PACE_MOST: f64 = 1.5;
+const PACE_RISE_FACTOR: f64 = 3.0;
+const PACE_MAX: f64 = 1.5;
 /// A set's mean ratio of latency to response target, over a longer time, above which pacing applies to the
 /// set.
-const SET_MARK: f64 = 0.4;
+const SET_PACING_RATIO: f64 = 0.4;
 /// A command that ended with an error is dispatched once more only while at least this share of such further
 /// dispatches is answered.
-const CURED: f64 = 0.3;
+const MIN_RETRY_SUCCESS: f64 = 0.3;
 /// A command is dispatched only while its remaining time is at least this many usual latencies. If latencies
 /// are exponentially distributed, nine in ten answers arrive within ln 10 means.
-const TIME_TO_RUN: f64 = std::f64::consts::LN_10;
+const MIN_LATENCIES_LEFT: f64 = std::f64::consts::LN_10;
 /// Longest time that a read waits for a probe in flight after its ordinary waiting time is over.
 const CHECK_MOST: Tenths = 1_000;
 /// Share of the primary's window that is open to reads.
-const PRIMARY_SPARE: f64 = 0.5;
+const PRIMARY_READ_SHARE: f64 = 0.5;
 
 /// The decisions of one router instance.
 #[derive(Default)]
@@ -100,8 +100,8 @@
     /// The settings in force.
     told: Told,
     groups: CommandGroups,
-    /// Places of the command groups, by benefit per work, highest first; groups that only open commands still use
-    /// stand in front.
+    /// Places of the command groups, by benefit per work, highest first; groups that only open commands still
+    /// use stand in front.
     order: Vec<usize>,
     /// Each customer's share of the traffic, with a decaying count of its recent commands.
     shares: BTreeMap<String, (f64, Decay)>,
@@ -130,10 +130,10 @@
     sessions: Sessions,
     clock: MemberClock,
     /// The clock offset in the last `Event::Clock`.
-    clock_noted: Tenths,
+    reported_offset: Tenths,
     events: Vec<Event>,
     /// How often sends on kept connections fail at once, by idle time.
-    stale: ByAge,
+    breaks_by_idle_time: ByAge,
     /// Failed requests for the member list in a row.
     list_fails: u32,
     /// Whether members check the age of their data themselves (`family_info.server_checks`).
@@ -161,22 +161,23 @@
     /// Smallest cap of a work credit: three times the shortest response target in use.
     cheap: Tenths,
     /// The shortest response target of the command groups that wait for a primary.
-    held: f64,
+    primary_min_target: f64,
     /// Period at which the host runs the router.
     tick: Tenths,
     /// The smallest staleness bound in use.
     tightest: Tenths,
     /// Dispatches in flight that are always allowed at a slow primary: this router's part.
-    busy: f64,
+    primary_min_in_flight: f64,
 }
 
 impl Router {
-    pub fn start(told: Told, seed: u64, now: Tenths) -> Result<Router, String> {
-        let watch = (!is(&told, "membership_mode", "automatic")).then_some((now, Task::Watch));
-        let mut router = Router { rng: Chance::from(seed), pace: PACE_MOST, ..Router::default() };
+    /// Starts a router with these settings; `seed` determines all its random choices.
+    pub fn start(settings: Told, seed: u64, now: Tenths) -> Result<Router, String> {
+        let watch = (!is(&settings, "membership_mode", "automatic")).then_some((now, Task::Watch));
+        let mut router = Router { rng: Chance::from(seed), pace: PACE_MAX, ..Router::default() };
         (router.paced_at, router.began) = (now, now);
         router.agenda.extend(watch);
-        router.reconfigure(told)?;
+        router.reconfigure(settings)?;
         Ok(router)
     }
 
@@ -189,44 +190,47 @@
     /// Puts new settings into force as a whole; on an error the old settings stay. Danger: a command that
     /// arrived as replayable must keep that property until it ends, so an open command keeps its group as it
     /// was at arrival.
-    pub fn reconfigure(&mut self, told: Told) -> Result<(), String> {
+    pub fn reconfigure(&mut self, settings: Told) -> Result<(), String> {
         // Defaults where the settings say nothing are the cautious ones: primary only, and never sent twice.
-        let mut groups = command_groups(&told, Access::Write, Effect::Mutating)?;
-        let (routers, tick) = (pick(&told, "balancers", 1.0)?, tenths(pick(&told, "tick_ms", 1.0)?).max(1));
-        let mut shares = numbers(&told).and_then(|()| shares(&told))?;
-        let counted = |name: &String| self.shares.get(name).map_or(Decay::default(), |held| held.1);
-        shares.iter_mut().for_each(|(name, share)| share.1 = counted(name));
-        (self.told, self.tick, self.shares) = (told, tick, shares);
+        let mut groups = command_groups(&settings, Access::Write, Effect::Mutating)?;
+        let (routers, tick) =
+            (pick(&settings, "balancers", 1.0)?, tenths(pick(&settings, "tick_ms", 1.0)?).max(1));
+        let mut shares = numbers(&settings).and_then(|()| shares(&settings))?;
+        let recent_count =
+            |name: &String| self.shares.get(name).map_or(Decay::default(), |places_in_use| places_in_use.1);
+        shares.iter_mut().for_each(|(name, share)| share.1 = recent_count(name));
+        (self.told, self.tick, self.shares) = (settings, tick, shares);
         // Danger: without benefit for late answers, a client's retry is served for nothing and displaces
         // first tries. Such a client is told to stay away for as long as clients honour.
-        let heeded = tenths(self.number("permissions.max_retry_after_ms", 0.0));
+        let max_hold_off = tenths(self.number_setting("permissions.max_retry_after_ms", 0.0));
         for (_, group) in groups.iter_mut().filter(|_| self.allows("permissions.retry_after")) {
-            group.hold_off = if group.late_share > 0.0 { group.target } else { heeded.max(group.target) };
+            group.hold_off =
+                if group.late_share > 0.0 { group.target } else { max_hold_off.max(group.target) };
         }
-        let mut held: BTreeSet<usize> = self.open.values().map(|c| c.kind).collect();
-        self.groups.replace(groups, &held);
-        let in_use = || self.groups.in_use(&held);
-        let waits = in_use().filter(|g| matches!(g.access, Access::Write | Access::Fresh));
-        self.held = waits.map(|g| g.target as f64).fold(f64::INFINITY, f64::min);
+        let mut places_in_use: BTreeSet<usize> = self.open.values().map(|c| c.kind).collect();
+        self.groups.replace(groups, &places_in_use);
+        let in_use = || self.groups.in_use(&places_in_use);
+        let waiting_for_primary = in_use().filter(|g| matches!(g.access, Access::Write | Access::Fresh));
+        self.primary_min_target = waiting_for_primary.map(|g| g.target as f64).fold(f64::INFINITY, f64::min);
         let bound = |g: &CommandGroup| if let Access::Bounded(b) = g.access { Some(b) } else { None };
         self.tightest = in_use().filter_map(bound).min().unwrap_or(SECOND);
         self.cheap = in_use().map(|g| g.target).min().unwrap_or(0) * 3;
         // Groups that only open commands still use go first, so that the pacing order of the current groups
         // is unchanged.
         let mut order: Vec<usize> = self.groups.named.values().copied().collect();
-        held.retain(|place| !order.contains(place));
+        places_in_use.retain(|place| !order.contains(place));
         let density = |i: usize| self.groups.places[i].benefit / self.groups.places[i].target as f64;
         order.sort_by(|a, b| density(*b).total_cmp(&density(*a)).then(a.cmp(b)));
-        self.order = held.into_iter().chain(order).collect();
-        self.busy = (WINDOW_BUSY / routers).round();
-        self.least = (WINDOW_LEAST * WINDOW_START / routers).min(WINDOW_LEAST);
+        self.order = places_in_use.into_iter().chain(order).collect();
+        self.primary_min_in_flight = (PRIMARY_MIN_IN_FLIGHT / routers).round();
+        self.least = (WINDOW_LEAST * WINDOW_INITIAL / routers).min(WINDOW_LEAST);
         self.node_checks = ["refuse", "wait"].iter().any(|c| is(&self.told, "family_info.server_checks", c));
         self.dirty.extend(self.sets.keys());
         Ok(())
     }
 
-    fn number(&self, name: &str, or: f64) -> f64 {
-        pick(&self.told, name, or).unwrap_or(or)
+    fn number_setting(&self, name: &str, default: f64) -> f64 {
+        pick(&self.told, name, default).unwrap_or(default)
     }
 
     fn allows(&self, name: &str) -> bool {
@@ -235,6 +239,7 @@
 
     // ---- events from the host: they update the state and decide nothing ----
 
+    /// A client's command has arrived. An error means that its command group is unknown.
     pub fn command_arrived(&mut self, now: Tenths, command: Command) -> Result<(), String> {
         let kind = *self.groups.named.get(&command.command_group).ok_or("no such command group")?;
         let group = &self.groups.places[kind];
@@ -254,7 +259,7 @@
             _ => now + 1,
         };
         let work = group.target as f64;
-        let paced = self.paced(now, command.set);
+        let paced = self.is_paced(now, command.set);
         paced.then(|| self.asked_work.add(now, SLOW_HALF, work));
         if !matches!(group.access, Access::Write | Access::Fresh) {
             self.read_work.add(now, SHARE_HALF, work);
@@ -276,15 +281,17 @@
         Ok(())
     }
 
+    /// The client of a command has left.
     pub fn command_left(&mut self, id: &str) {
         self.by_id.get(id).copied().into_iter().for_each(|key| self.close(key));
     }
 
+    /// A dispatch has ended.
     pub fn dispatch_ended(&mut self, now: Tenths, id: &str, end: DispatchEnd) {
         let DispatchEnd { dispatch, ending, took, idled, over, note, report } = end;
         let Some(&key) = self.by_id.get(id) else { return };
         if ending == Ending::NotDialled {
-            return self.not_dialled(now, key, dispatch, over);
+            return self.dispatch_not_dialled(now, key, dispatch, over);
         }
         let out = self.open.get_mut(&key).and_then(|cmd| cmd.out.remove(&dispatch));
         let Some((node, sent)) = out else { return };
@@ -294,33 +301,33 @@
             self.open.get(&key).is_some_and(|cmd| self.groups.places[cmd.kind].access == Access::Write);
         let note = self.past(now, asked, node, note, write && answered);
         let Some(cmd) = self.open.get_mut(&key) else { return };
-        let unproven = matches!(
+        let may_have_run = matches!(
             ending,
             Ending::Error | Ending::TimedOut | Ending::Reset | Ending::CalledOff | Ending::TooOld
         );
-        cmd.maybe_ran = cmd.maybe_ran.or(unproven.then_some((node, sent)));
-        let broke = ending == Ending::Reset && took <= AT_ONCE;
-        idled.into_iter().for_each(|age| self.stale.add(now, SHARE_HALF, age, broke));
+        cmd.maybe_ran = cmd.maybe_ran.or(may_have_run.then_some((node, sent)));
+        let broke_at_once = ending == Ending::Reset && took <= AT_ONCE;
+        idled.into_iter().for_each(|age| self.breaks_by_idle_time.add(now, SHARE_HALF, age, broke_at_once));
         cmd.broken_round |= matches!(ending, Ending::ConnectFailed | Ending::Reset | Ending::TimedOut);
         if let (true, true, Some(session)) = (write, answered, cmd.session.clone()) {
             // Danger: if the position of a commit lies in the future by a wrong clock, it has been discarded,
             // and the session would lose its write. It counts as committed now instead.
             let known = note.position > 0;
             let commit = if known { note.position } else { now + self.clock.ahead(now).1 };
-            self.session_wrote(now, session, commit + 1);
+            self.record_session_write(now, session, commit + 1);
         }
         let Some(cmd) = self.open.get_mut(&key) else { return };
         // Danger: commands that fail at every member take turns from others. Whether a dispatch after an
         // error is answered tells failing commands from failing members; only in the second case is one more
         // dispatch worthwhile.
-        let (again, erred) = (cmd.erred, ending == Ending::Error);
-        (again && (answered || erred)).then(|| self.cured.add(now, USUAL_HALF, answered as u8 as f64));
+        let (erred_before, erred) = (cmd.erred, ending == Ending::Error);
+        (erred_before && (answered || erred)).then(|| self.cured.add(now, USUAL_HALF, answered as u8 as f64));
         let written = !matches!(ending, Ending::ConnectFailed | Ending::NeverSent);
         cmd.patience = if written { cmd.ends } else { cmd.patience };
-        cmd.hopeless |= erred && (again || self.cured.read(now, USUAL_HALF, 0.5) < CURED);
+        cmd.hopeless |= erred && (erred_before || self.cured.read(now, USUAL_HALF, 0.5) < MIN_RETRY_SUCCESS);
         cmd.erred |= erred;
-        let number = cmd.set;
-        self.dirty.insert(number);
+        let set_id = cmd.set;
+        self.dirty.insert(set_id);
         self.used.insert(node);
         let group = &mut self.groups.places[cmd.kind];
         let (kind, target, ratio) = (cmd.kind, group.target as f64, took as f64 / group.target as f64);
@@ -330,73 +337,75 @@
             (_, true) => self.forget(key),
             _ => self.settle_at(now, key),
         }
-        let tells = answered || matches!(ending, Ending::TimedOut | Ending::Full);
-        if let (true, Some(set)) = (tells, self.sets.get_mut(&number)) {
-            let slow = if answered { ratio.min(1.0) } else { 1.0 };
-            self.slow.add(now, SLOW_HALF, slow);
-            set.slow.add(now, SET_HALF, slow);
+        let shows_load = answered || matches!(ending, Ending::TimedOut | Ending::Full);
+        if let (true, Some(set)) = (shows_load, self.sets.get_mut(&set_id)) {
+            let capped_ratio = if answered { ratio.min(1.0) } else { 1.0 };
+            self.slow.add(now, SLOW_HALF, capped_ratio);
+            set.slow.add(now, SET_HALF, capped_ratio);
         }
-        let usual = self.usual(now, kind);
+        let usual_latency = self.usual(now, kind);
         self.learn_report(now, asked, node, report);
-        self.dialled(node);
+        self.reset_dial_pause(node);
         let m = &mut self.members[node];
         m.out.remove(&(key, dispatch));
         m.written_as_primary.remove(&(key, dispatch));
         // The position in the note of an answered write is the write's commit, not the member's applied
         // position.
-        let told = if write && answered { 0 } else { note.position };
-        self.learn_position(now, asked, node, Note { position: told, ..note });
+        let member_position = if write && answered { 0 } else { note.position };
+        self.learn_position(now, asked, node, Note { position: member_position, ..note });
         let m = &mut self.members[node];
-        let behind = self.clock.now(now) - told;
-        (m.behind, m.behind_at) = if told > 0 { (behind, now) } else { (m.behind, m.behind_at) };
-        let spoke = matches!(ending, Ending::Answered | Ending::Miss | Ending::Error | Ending::Full);
-        (m.heard, m.unheard) = if spoke { (now, 0) } else { (m.heard, m.unheard) };
-        m.met |= spoke && ending != Ending::Error;
+        let behind = self.clock.now(now) - member_position;
+        (m.behind, m.behind_at) = if member_position > 0 { (behind, now) } else { (m.behind, m.behind_at) };
+        let responded = matches!(ending, Ending::Answered | Ending::Miss | Ending::Error | Ending::Full);
+        (m.heard, m.unheard) = if responded { (now, 0) } else { (m.heard, m.unheard) };
+        m.met |= responded && ending != Ending::Error;
         if let Some(primary) = note.primary {
             m.noted_at = now;
             self.learn_role(now, node, RoleClaim { primary, asked });
         }
         let can_probe = self.allows("permissions.may_probe");
-        let refused = can_probe && 2 * took < tenths(self.number("permissions.dial_timeout_ms", 0.0));
+        let refused_quickly =
+            can_probe && 2 * took < tenths(self.number_setting("permissions.dial_timeout_ms", 0.0));
         let m = &mut self.members[node];
         // Danger: after a reset, the member may have died and come back cold before the list shows it (or it
         // is not listed), or only the connection broke and the member is well. A probe distinguishes the two.
-        let (reset, doubted) = (ending == Ending::Reset, can_probe && m.state != State::TransportError);
-        (m.broke, m.died) = (m.broke || (reset && doubted), m.died || (reset && !doubted));
+        let (reset, cause_unclear) = (ending == Ending::Reset, can_probe && m.state != State::TransportError);
+        (m.broke, m.died) = (m.broke || (reset && cause_unclear), m.died || (reset && !cause_unclear));
         match ending {
             Ending::Answered => {
                 self.scarce.add(now, USUAL_HALF, m.refused.min(1) as f64);
                 (m.fails, m.refused, m.broke) = (0, 0, false);
                 m.turned_away = if sent > m.turned_away { 0 } else { m.turned_away };
                 self.done_work.add(now, USUAL_HALF, target);
-                self.recover(now, node);
+                self.mark_recovered(now, node);
             }
             // A miss without a position: the member counts as far behind until a report gives its position.
             Ending::Miss if !write && note.position == 0 => (m.behind, m.behind_at) = (Tenths::MAX / 2, now),
             // Danger: without this, every waiting command in turn is sent to a full member at once.
             Ending::Full => (m.window, m.turned_away) = ((m.window / 2.0).max(self.least), now),
-            Ending::ConnectFailed if refused => self.refused(now, node),
-            Ending::Reset if doubted => _ = self.agenda.insert((now, Task::Ask(node))),
+            Ending::ConnectFailed if refused_quickly => self.record_refusal(now, node),
+            Ending::Reset if cause_unclear => _ = self.agenda.insert((now, Task::Ask(node))),
             Ending::ConnectFailed | Ending::Reset => self.break_member(now, node),
             _ => {}
         }
         let m = &mut self.members[node];
         // Danger: many routers with one dispatch in flight each overload a small member. A window below one
         // therefore becomes a pause between dispatches.
-        let pause = (usual * (1.0 / m.window.min(1.0) - 1.0)) as Tenths;
-        m.shy_until = m.shy_until.max(now + pause);
+        let window_pause = (usual_latency * (1.0 / m.window.min(1.0) - 1.0)) as Tenths;
+        m.shy_until = m.shy_until.max(now + window_pause);
         // For reads at a primary, their share of such a window becomes a longer pause.
-        let spare = (usual * (1.0 / (m.window * PRIMARY_SPARE).min(1.0) - 1.0)) as Tenths;
-        m.spare_at = m.spare_at.max(now + spare);
+        let read_pause = (usual_latency * (1.0 / (m.window * PRIMARY_READ_SHARE).min(1.0) - 1.0)) as Tenths;
+        m.spare_at = m.spare_at.max(now + read_pause);
         let judged = answered || matches!(ending, Ending::TimedOut | Ending::CalledOff);
-        if judged && ratio > CROWDED {
-            let loss = WINDOW_LOSS * (ratio.min(1.0) - CROWDED);
-            m.window = f64::max(m.window - loss * m.window.min(1.0), self.least);
+        if judged && ratio > CROWDED_RATIO {
+            let shrink = WINDOW_SHRINK_FACTOR * (ratio.min(1.0) - CROWDED_RATIO);
+            m.window = f64::max(m.window - shrink * m.window.min(1.0), self.least);
         } else if answered && m.out.len() as f64 + 1.0 >= m.window * 0.6 {
-            m.window += (CROWDED - ratio) / m.window.max(1.0).sqrt() * m.window.min(1.0).sqrt();
+            m.window += (CROWDED_RATIO - ratio) / m.window.max(1.0).sqrt() * m.window.min(1.0).sqrt();
         }
     }
 
+    /// A probe of a member has ended.
     pub fn probe_ended(&mut self, now: Tenths, node: &str, end: ProbeEnd) {
         let ProbeEnd { ending, took, primary, report } = end;
         let Some(&node) = self.nodes.get(node) else { return };
@@ -405,13 +414,13 @@
         if ending == Ending::NotDialled {
             return self.probe_not_dialled(now, node);
         }
-        self.dialled(node);
+        self.reset_dial_pause(node);
         self.learn_report(now, asked, node, report);
         primary.into_iter().for_each(|primary| self.learn_role(now, node, RoleClaim { primary, asked }));
         let m = &mut self.members[node];
         m.probing = false;
         m.met |= ending == Ending::Answered;
-        if self.still_hangs(now, asked, node, report) {
+        if self.keep_broken_on_old_report(now, asked, node, report) {
             return;
         }
         let m = &mut self.members[node];
@@ -426,11 +435,11 @@
             return self.break_member(now, node);
         }
         m.checked_at = now;
-        // Danger: a member that refuses connections but answers a probe works and has no connection left. Without
-        // this, the scarcity is noticed only at the next answered dispatch, and idle connections are kept open
-        // for seconds.
-        let squeezed = m.refused > 0 && m.state != State::TransportError;
-        if squeezed && self.scarce.read(now, USUAL_HALF) <= 1.0 {
+        // Danger: a member that refuses connections but answers a probe works and has no connection left.
+        // Without this, the scarcity is noticed only at the next answered dispatch, and idle connections are
+        // kept open for seconds.
+        let is_refusing = m.refused > 0 && m.state != State::TransportError;
+        if is_refusing && self.scarce.read(now, USUAL_HALF) <= 1.0 {
             self.scarce.add(now, USUAL_HALF, 1.0);
             self.used.extend(self.nodes.values());
         }
@@ -439,29 +448,30 @@
             (m.fails, m.broke) = (0, false);
             return;
         }
-        self.recover(now, node);
+        self.mark_recovered(now, node);
         // The report is applied again, because no role could be set while the member counted as broken.
         self.learn_reported_role(now, asked, node, report);
         primary.into_iter().for_each(|primary| self.learn_role(now, node, RoleClaim { primary, asked }));
     }
 
-    pub fn members_changed(&mut self, now: Tenths, whole: bool, entries: &[Entry]) {
+    /// The member list has changed. With `is_full_list`, members that are not in `entries` are removed.
+    pub fn members_changed(&mut self, now: Tenths, is_full_list: bool, entries: &[Entry]) {
         self.list_fails = 0;
         let (removal_binds, met) = (!self.allows("rules.soft_removal"), self.members.is_empty());
-        let named: BTreeSet<&Id> = entries.iter().filter(|_| whole).map(|e| &e.node).collect();
-        for m in self.members.iter_mut().filter(|m| whole && !named.contains(&m.id)) {
+        let listed_ids: BTreeSet<&Id> = entries.iter().filter(|_| is_full_list).map(|e| &e.node).collect();
+        for m in self.members.iter_mut().filter(|m| is_full_list && !listed_ids.contains(&m.id)) {
             (m.gone, m.shut) = (true, m.shut || removal_binds);
             self.dirty.insert(m.set);
         }
         for e in entries {
-            let (held, count) = (self.nodes.get(&e.node).copied(), self.members.len());
-            let fresh = held.is_none();
-            if fresh && e.phase == Phase::Removed {
+            let (known_node, count) = (self.nodes.get(&e.node).copied(), self.members.len());
+            let is_new = known_node.is_none();
+            if is_new && e.phase == Phase::Removed {
                 self.ready.push_back(Decision::Forget { node: e.node.clone() });
                 continue;
             }
-            let node = held.or_else(|| self.vacant.pop()).unwrap_or(count);
-            if fresh {
+            let node = known_node.or_else(|| self.vacant.pop()).unwrap_or(count);
+            if is_new {
                 let (id, zone, set, heard) = (e.node.clone(), e.zone.clone(), e.set, now);
                 self.members.resize_with(count.max(node + 1), Member::default);
                 self.members[node] = Member { id, zone, set, heard, met, ..Member::default() };
@@ -477,7 +487,7 @@
                 // A removal that is not binding leaves an earlier drain in force.
                 Phase::Removed => removal_binds || m.shut,
             };
-            if fresh || e.started > m.started {
+            if is_new || e.started > m.started {
                 if self.clock.now(m.heard) < e.started {
                     self.set_state(node, State::Unknown, StateReason::Restarted);
                 }
@@ -486,16 +496,16 @@
                 // routers that start together cause a burst of dials and probes. With more than ten routers
                 // (the smallest window per router is then below `WINDOW_LEAST`), a member is probed only
                 // after a restart.
-                let herd = fresh && self.least < WINDOW_LEAST;
-                (!herd).then(|| self.agenda.insert((now, Task::Ask(node))));
+                let may_herd = is_new && self.least < WINDOW_LEAST;
+                (!may_herd).then(|| self.agenda.insert((now, Task::Ask(node))));
             }
         }
-        self.forget_gone();
+        self.forget_removed_members();
         let me: usize = pick(&self.told, "me", 0).unwrap_or(0);
         // Danger: lists have thousands of rows, of which few change at a time. The work is limited to the
         // sets that changed.
-        for number in &self.dirty {
-            let Some(set) = self.sets.get_mut(number) else { continue };
+        for set_id in &self.dirty {
+            let Some(set) = self.sets.get_mut(set_id) else { continue };
             set.nodes.sort_by(|a, b| self.members[*a].id.cmp(&self.members[*b].id));
             let count = set.nodes.len();
             for (i, &node) in set.nodes.iter().enumerate() {
@@ -507,12 +517,14 @@
     /// Danger: members come and go under new ids without end, so state must not accumulate. A removed member
     /// is forgotten once no dispatch is in flight there and no open command may have run there; if removal is
     /// not binding, it must be broken as well.
-    fn forget_gone(&mut self) {
-        let soft = self.allows("rules.soft_removal");
-        let held = |c: &Open| c.out.values().chain(&c.maybe_ran).map(|o| o.0).collect::<Vec<Node>>();
-        let held: BTreeSet<Node> = self.open.values().flat_map(held).collect();
-        for (node, m) in self.members.iter_mut().enumerate().filter(|(n, m)| m.gone && !held.contains(n)) {
-            let works = soft && m.state != State::TransportError;
+    fn forget_removed_members(&mut self) {
+        let removal_is_soft = self.allows("rules.soft_removal");
+        let nodes_in_use = |c: &Open| c.out.values().chain(&c.maybe_ran).map(|o| o.0).collect::<Vec<Node>>();
+        let nodes_in_use: BTreeSet<Node> = self.open.values().flat_map(nodes_in_use).collect();
+        for (node, m) in
+            self.members.iter_mut().enumerate().filter(|(n, m)| m.gone && !nodes_in_use.contains(n))
+        {
+            let works = removal_is_soft && m.state != State::TransportError;
             if !works && self.nodes.remove(&m.id).is_some() {
                 self.ready.push_back(Decision::Forget { node: m.id.clone() });
                 self.sets.get_mut(&m.set).into_iter().for_each(|set| set.nodes.retain(|n| *n != node));
@@ -528,9 +540,10 @@
     /// How long a connection may idle before reuse, if known. Danger: devices on the path may drop idle
     /// connections silently, and a command sent on such a connection may have run.
     pub fn idle_most(&self, now: Tenths) -> Option<Tenths> {
-        self.stale.first(now, SHARE_HALF, STALE_PART, STALE_LEAST)
+        self.breaks_by_idle_time.first(now, SHARE_HALF, STALE_BREAK_SHARE, STALE_MIN_BREAKS)
     }
 
+    /// Whether a member of this id is known.
     pub fn knows(&self, node: &str) -> bool {
         self.nodes.contains_key(node)
     }
@@ -547,11 +560,12 @@
     /// its share.
     fn beyond_share(&mut self, now: Tenths, customer: &str) -> bool {
         self.all_traffic.add(now, USUAL_HALF, 1.0);
-        let Some((share, mine)) = self.shares.get_mut(customer) else { return false };
-        mine.add(now, USUAL_HALF, 1.0);
-        mine.read(now, USUAL_HALF) > *share * self.all_traffic.read(now, USUAL_HALF)
+        let Some((share, recent_count)) = self.shares.get_mut(customer) else { return false };
+        recent_count.add(now, USUAL_HALF, 1.0);
+        recent_count.read(now, USUAL_HALF) > *share * self.all_traffic.read(now, USUAL_HALF)
     }
 
+    /// Ends a command: takes it out of its queue and cancels its dispatches in flight.
     fn close(&mut self, key: u64) {
         let written = self.allows("permissions.cancel");
         let Some(cmd) = self.open.get_mut(&key) else { return };
@@ -570,6 +584,7 @@
         self.forget(key);
     }
 
+    /// Drops the record of a command that is closed and has no dispatch in flight.
     fn forget(&mut self, key: u64) {
         if self.open.get(&key).is_some_and(|c| c.closed && c.out.is_empty()) {
             self.open.remove(&key).map(|c| self.by_id.remove(&c.id));
@@ -578,10 +593,12 @@
 
     // ---- decisions that the host pulls ----
 
+    /// When the next task is due.
     pub fn wake_at(&self) -> Option<Tenths> {
         self.agenda.first().map(|(at, _)| *at)
     }
 
+    /// The next decision for the host to carry out; `None` until the next event or `wake_at`.
     pub fn next_decision(&mut self, now: Tenths) -> Option<Decision> {
         loop {
             if let Some(decision) = self.ready.pop_front() {
@@ -612,11 +629,11 @@
     /// A command with no dispatch in flight is queued, or ended at once if it may not be sent again.
     fn settle(&mut self, now: Tenths, key: u64) {
         let Some(cmd) = self.open.get(&key).filter(|c| !c.closed && c.out.is_empty()) else { return };
-        let ran = cmd.maybe_ran.is_some_and(|(at, _)| self.repeatable_for(now, cmd, at) <= 0);
-        let late = self.waits_until(now, cmd);
+        let may_not_repeat = cmd.maybe_ran.is_some_and(|(at, _)| self.repeatable_for(now, cmd, at) <= 0);
+        let wait_end = self.queue_deadline(now, cmd);
         let reasons = [
             (now + self.tick >= cmd.ends, GaveUp::Deadline),
-            (ran, GaveUp::MayHaveRun),
+            (may_not_repeat, GaveUp::MayHaveRun),
             (cmd.hopeless, GaveUp::Errors),
             (cmd.attempts() >= self.groups.places[cmd.kind].attempts, GaveUp::Attempts),
         ];
@@ -626,7 +643,7 @@
         let set = self.sets.entry(cmd.set).or_default();
         set.waiting.resize(self.groups.places.len(), BTreeSet::new());
         let has_waited = !set.waiting[cmd.kind].insert((cmd.rank, Reverse(key)));
-        if has_waited && late <= now {
+        if has_waited && wait_end <= now {
             match self.worth_waiting_until(now, key) {
                 Some(at) => return self.settle_at(at.max(now + self.tick), key),
                 None => {
@@ -636,7 +653,7 @@
             }
         }
         self.dirty.insert(cmd.set);
-        self.settle_at(late.max(now + self.tick), key);
+        self.settle_at(wait_end.max(now + self.tick), key);
     }
 
     /// Schedules the next `settle` of a command in place of the one before. Danger: if a command that returns
@@ -658,74 +675,78 @@
         let fail = Decision::Fail { command: cmd.id.clone() };
         let (command, attempts) = (cmd.id.clone(), cmd.attempts());
         self.ready.push_back(if self.is_harmless_to_repeat(cmd) { throttle } else { fail });
-        self.note(Event::GaveUp { command, reason, attempts });
+        self.record_event(Event::GaveUp { command, reason, attempts });
         self.close(key);
     }
 
     /// Offers the set's waiting commands to its members: groups with the most benefit per work first, within
     /// a group the lowest rank and then the newest first.
-    fn serve(&mut self, now: Tenths, number: i64) {
-        let mut left = false;
-        for i in 0..self.order.len() {
-            let kind = self.order[i];
-            let head = |r: &Router| r.sets.get(&number)?.waiting.get(kind)?.first().copied();
-            while let Some(place) = head(self) {
-                let held = !self.in_pace(now, i) && self.paced(now, number);
-                if held || !self.offer(now, number, place.1.0) {
-                    left = true;
+    fn serve(&mut self, now: Tenths, set_id: i64) {
+        let mut any_left = false;
+        for order_index in 0..self.order.len() {
+            let kind = self.order[order_index];
+            let head = |r: &Router| r.sets.get(&set_id)?.waiting.get(kind)?.first().copied();
+            while let Some(queued) = head(self) {
+                let is_held_back = !self.in_pace(now, order_index) && self.is_paced(now, set_id);
+                if is_held_back || !self.offer(now, set_id, queued.1.0) {
+                    any_left = true;
                     break;
                 }
-                self.sets.get_mut(&number).map(|set| set.waiting[kind].remove(&place));
+                self.sets.get_mut(&set_id).map(|set| set.waiting[kind].remove(&queued));
             }
         }
-        if let Some(set) = self.sets.get_mut(&number).filter(|s| left && s.look_at <= now) {
+        if let Some(set) = self.sets.get_mut(&set_id).filter(|s| any_left && s.look_at <= now) {
             set.look_at = now + PAUSE / 4;
-            self.agenda.insert((set.look_at, Task::Look(number)));
+            self.agenda.insert((set.look_at, Task::Look(set_id)));
         }
     }
 
     /// Whether pacing applies to the set. Danger: failing or slow members of some sets would slow down
     /// commands to all others. A set whose own answers are in time is not paced. Until a set has enough
     /// answers of its own, the router's overall latency ratio counts.
-    fn paced(&self, now: Tenths, number: i64) -> bool {
-        let all = self.slow.read(now, SLOW_HALF, USUAL_GUESS);
-        self.sets.get(&number).is_none_or(|set| set.slow.read(now, SET_HALF, all) > SET_MARK)
+    fn is_paced(&self, now: Tenths, set_id: i64) -> bool {
+        let overall = self.slow.read(now, SLOW_HALF, UNLOADED_LATENCY_RATIO);
+        self.sets.get(&set_id).is_none_or(|set| set.slow.read(now, SET_HALF, overall) > SET_PACING_RATIO)
     }
 
     /// Updates the pace, and tells whether it admits the command group at this place of `order`. Danger: with
     /// many routers, each sees a member too seldom to notice its overload, and all continue sending. So each
     /// router also paces itself by all its answers: work beyond the pace waits, the groups with the least
     /// benefit first.
-    fn in_pace(&mut self, now: Tenths, rank: usize) -> bool {
-        let past = (now - self.paced_at) as f64;
-        let room = (PACE_MARK - self.slow.read(now, SLOW_HALF, USUAL_GUESS)) / SECOND as f64;
+    fn in_pace(&mut self, now: Tenths, order_index: usize) -> bool {
+        let elapsed = (now - self.paced_at) as f64;
+        let margin =
+            (PACE_TARGET_RATIO - self.slow.read(now, SLOW_HALF, UNLOADED_LATENCY_RATIO)) / SECOND as f64;
         // Danger: a slowed-down router gets few answers, so its measurements from the overload outlast the
         // overload. The pace therefore rises faster than it falls.
-        let room = if room > 0.0 { room * PACE_RISE } else { room };
-        (self.pace, self.paced_at) = ((self.pace + room * past).clamp(PACE_LEAST, PACE_MOST), now);
-        let asked = self.asked_work.rate(now, SLOW_HALF);
-        let most = asked * SECOND as f64 + self.cheap as f64;
-        let grown = (self.allowance + past * asked * self.pace).min(most);
-        self.allowance = if self.pace < 1.0 { grown } else { most };
-        self.allowance + asked * (SECOND * (self.order.len() - rank - 1) as Tenths) as f64 > 0.0
+        let margin = if margin > 0.0 { margin * PACE_RISE_FACTOR } else { margin };
+        (self.pace, self.paced_at) = ((self.pace + margin * elapsed).clamp(PACE_LEAST, PACE_MAX), now);
+        let requested_rate = self.asked_work.rate(now, SLOW_HALF);
+        let cap = requested_rate * SECOND as f64 + self.cheap as f64;
+        let refilled = (self.allowance + elapsed * requested_rate * self.pace).min(cap);
+        self.allowance = if self.pace < 1.0 { refilled } else { cap };
+        self.allowance + requested_rate * (SECOND * (self.order.len() - order_index - 1) as Tenths) as f64
+            > 0.0
     }
 
     /// Tries to dispatch a waiting command. True if it was sent.
-    fn offer(&mut self, now: Tenths, number: i64, key: u64) -> bool {
+    fn offer(&mut self, now: Tenths, set_id: i64, key: u64) -> bool {
         let node = match self.groups.places[self.open[&key].kind].access {
-            Access::Write | Access::Fresh => match self.primary(number) {
-                Some(primary) => Some(primary).filter(|p| self.has_room(now, *p, 1.0, self.busy)),
+            Access::Write | Access::Fresh => match self.primary(set_id) {
+                Some(primary) => {
+                    Some(primary).filter(|p| self.has_room(now, *p, 1.0, self.primary_min_in_flight))
+                }
                 None => {
-                    self.seek(now, number);
-                    self.scout(now, number, key)
+                    self.seek(now, set_id);
+                    self.scout(now, set_id, key)
                 }
             },
-            _ => self.pick_reader(now, number, key),
+            _ => self.pick_reader(now, set_id, key),
         };
         let Some(node) = node else { return false };
         let sent = self.send(now, key, node);
         if !sent {
-            self.ask_for_role(now, node);
+            self.probe_for_role(now, node);
         }
         sent
     }
@@ -733,7 +754,7 @@
     /// The usual latency of a command group's answers.
     fn usual(&self, now: Tenths, kind: usize) -> f64 {
         let group = &self.groups.places[kind];
-        group.latency.read(now, USUAL_HALF, group.target as f64 * USUAL_GUESS)
+        group.latency.read(now, USUAL_HALF, group.target as f64 * UNLOADED_LATENCY_RATIO)
     }
 }
 
--- a/src/decide/dialling.rs
+++ b/src/decide/dialling.rs
@@ -5,23 +5,23 @@
 use super::*;
 
 /// First pause before a member is dialled again, and how often the pause doubles.
-const DIAL_PAUSE: Tenths = 10;
-const DOUBLINGS: u32 = 6;
+const DIAL_PAUSE_MIN: Tenths = 10;
+const DIAL_PAUSE_MAX_DOUBLINGS: u32 = 6;
 /// After this many local dial failures in a row (0.7 s) a member counts as unreachable, since the set may be
 /// reachable through another member.
-const OUT_OF_REACH: u32 = 16;
+const UNREACHABLE_AFTER: u32 = 16;
 
 impl Router {
     /// Handles a dispatch whose connection could not be opened on this machine. It does not count as an
     /// attempt, as no member saw it.
-    pub(super) fn not_dialled(&mut self, now: Tenths, key: u64, dispatch: u32, over: bool) {
+    pub(super) fn dispatch_not_dialled(&mut self, now: Tenths, key: u64, dispatch: u32, over: bool) {
         let Some(cmd) = self.open.get_mut(&key) else { return };
         let Some((node, _)) = cmd.out.remove(&dispatch) else { return };
         cmd.given_back += 1;
         cmd.tried.retain(|tried| *tried != node);
         let closed = cmd.closed;
         self.members[node].out.remove(&(key, dispatch));
-        self.pause_dials(now, node);
+        self.pause_dialling(now, node);
         match (over, closed) {
             (true, _) => self.close(key),
             (_, true) => self.forget(key),
@@ -32,17 +32,18 @@
     /// Handles a probe whose connection could not be opened on this machine: it is repeated after the pause.
     pub(super) fn probe_not_dialled(&mut self, now: Tenths, node: Node) {
         self.members[node].probing = false;
-        let again = self.pause_dials(now, node);
+        let again = self.pause_dialling(now, node);
         self.agenda.insert((again, Task::Ask(node)));
     }
 
     /// Danger: without a pause, commands that are offered again at once would dial in a loop while the
     /// machine has no resources.
-    fn pause_dials(&mut self, now: Tenths, node: Node) -> Tenths {
+    fn pause_dialling(&mut self, now: Tenths, node: Node) -> Tenths {
         let m = &mut self.members[node];
-        let until = now + self.rng.jittered(DIAL_PAUSE << m.local_errors.min(DOUBLINGS));
+        let until = now + self.rng.jittered(DIAL_PAUSE_MIN << m.local_errors.min(DIAL_PAUSE_MAX_DOUBLINGS));
         (m.local_errors, m.dial_at) = (m.local_errors + 1, until);
-        let (set, out_of_reach) = (m.set, m.local_errors >= OUT_OF_REACH && m.state != State::TransportError);
+        let (set, out_of_reach) =
+            (m.set, m.local_errors >= UNREACHABLE_AFTER && m.state != State::TransportError);
         if out_of_reach {
             self.break_member(now, node);
         }
@@ -52,7 +53,7 @@
     }
 
     /// A connection to the member was opened: the next dispatch may dial without a pause.
-    pub(super) fn dialled(&mut self, node: Node) {
+    pub(super) fn reset_dial_pause(&mut self, node: Node) {
         (self.members[node].local_errors, self.members[node].dial_at) = (0, 0);
     }
 }
--- a/src/decide/events.rs
+++ b/src/decide/events.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Most events kept for a host that rarely takes them; newer ones are dropped.
-const EVENTS_MOST: usize = 256;
+const MAX_EVENTS: usize = 256;
 
 impl Router {
     /// The events since the last call.
@@ -11,8 +11,8 @@
         std::mem::take(&mut self.events)
     }
 
-    pub(super) fn note(&mut self, event: Event) {
-        if self.events.len() < EVENTS_MOST {
+    pub(super) fn record_event(&mut self, event: Event) {
+        if self.events.len() < MAX_EVENTS {
             self.events.push(event);
         }
     }
@@ -21,7 +21,7 @@
         let from = std::mem::replace(&mut self.members[node].state, to);
         if from != to {
             let node = self.members[node].id.clone();
-            self.note(Event::State { node, from, to, reason });
+            self.record_event(Event::State { node, from, to, reason });
         }
     }
 }
--- a/src/decide/evidence.rs
+++ b/src/decide/evidence.rs
@@ -35,9 +35,9 @@
         self.clock.learn(now, evidence);
         let (offset, _) = self.clock.ahead(now);
         // Slow drift of the bounds is not reported.
-        if (offset - self.clock_noted).abs() >= CLOCK_NEWS {
-            self.clock_noted = offset;
-            self.note(Event::Clock { offset, node: self.members[node].id.clone() });
+        if (offset - self.reported_offset).abs() >= CLOCK_EVENT_THRESHOLD {
+            self.reported_offset = offset;
+            self.record_event(Event::Clock { offset, node: self.members[node].id.clone() });
         }
     }
 
@@ -46,8 +46,8 @@
     pub(super) fn learn_report(&mut self, now: Tenths, asked: Tenths, node: Node, report: Report) {
         if let Some(position) = report.position.filter(|position| *position > 0) {
             let m = &mut self.members[node];
-            let primary = report.primary == Some(true) && !m.roles.may_be_replica();
-            let since = primary.then(|| m.reported_positions.tells(position, asked)).flatten();
+            let is_primary = report.primary == Some(true) && !m.roles.may_be_replica();
+            let since = is_primary.then(|| m.reported_positions.tells(position, asked)).flatten();
             self.learn_clock(now, node, Evidence::told(position, since, now, REPORT_DELAY));
             if self.clock.is_past(position, now) {
                 let m = &mut self.members[node];
@@ -83,7 +83,7 @@
         let newer = position > self.clock.now(self.members[node].noted_at);
         match report.primary {
             Some(true) => {
-                let asked = asked.min(self.reported_at(now, asked, position));
+                let asked = asked.min(self.earliest_report_time(now, asked, position));
                 // Danger: a hung member would otherwise be probed, count as recovered by a report from before
                 // it hung, and go on hanging.
                 if asked > self.members[node].broken_at {
@@ -92,28 +92,34 @@
             }
             Some(false) if newer => self.learn_role(now, node, RoleClaim { primary: false, asked }),
             // Danger: a demoted member lags, so its report may look older than it is.
-            Some(false) => self.doubt(now, asked - REPORT_DELAY, asked, node),
+            Some(false) => self.mark_possible_replica(now, asked - REPORT_DELAY, asked, node),
             None => {}
         }
     }
 
     /// The earliest time, by this router's clock, at which a primary can have made a report: dated by its
     /// position if it has one.
-    fn reported_at(&self, now: Tenths, asked: Tenths, position: Tenths) -> Tenths {
+    fn earliest_report_time(&self, now: Tenths, asked: Tenths, position: Tenths) -> Tenths {
         if position > 0 { self.clock.earliest_here(now, position) } else { asked - REPORT_DELAY }
     }
 
     /// Whether a broken member's report calls it a primary and dates from before it broke: the member answers
     /// probes but may hang. It then stays broken and is probed again after a pause.
-    pub(super) fn still_hangs(&mut self, now: Tenths, asked: Tenths, node: Node, report: Report) -> bool {
+    pub(super) fn keep_broken_on_old_report(
+        &mut self,
+        now: Tenths,
+        asked: Tenths,
+        node: Node,
+        report: Report,
+    ) -> bool {
         let m = &self.members[node];
         let position = report.position.filter(|position| *position > 0);
         let dated = position.filter(|_| report.primary == Some(true) && m.state == State::TransportError);
-        let Some(made) = dated.map(|position| self.reported_at(now, asked, position)) else { return false };
+        let Some(made) = dated.map(|p| self.earliest_report_time(now, asked, p)) else { return false };
         if made > m.broken_at {
             return false;
         }
-        self.note(Event::ReportFromBefore { node: self.members[node].id.clone(), age: now - made });
+        self.record_event(Event::ReportFromBefore { node: self.members[node].id.clone(), age: now - made });
         self.members[node].retry_at = now + self.rng.jittered(PAUSE);
         true
     }
@@ -130,21 +136,22 @@
     /// the primary role before the request was sent.
     pub fn heard_replica(&mut self, now: Tenths, node: &str, asked: Tenths) {
         if let Some(&node) = self.nodes.get(node) {
-            self.doubt(now, asked - REPORT_DELAY, asked, node);
+            self.mark_possible_replica(now, asked - REPORT_DELAY, asked, node);
         }
     }
 
     /// Treats a member as possibly a replica from now on and since `asked`: a dispatch that was written to it
-    /// since as to a primary may read old data. The claim was made at `said` at the earliest.
-    fn doubt(&mut self, now: Tenths, said: Tenths, asked: Tenths, node: Node) {
+    /// since as to a primary may read old data. The claim was made at `claimed_at` at the earliest.
+    fn mark_possible_replica(&mut self, now: Tenths, claimed_at: Tenths, asked: Tenths, node: Node) {
         let m = &mut self.members[node];
-        m.roles.claims_replica(said, now);
+        m.roles.claims_replica(claimed_at, now);
         m.answered_positions.ends();
         m.reported_positions.ends();
         // Danger: on a kept connection the write often has the same time as the decision to send, so equal
         // times count too.
-        let since: Vec<_> = m.written_as_primary.extract_if(.., |_, written| *written >= asked).collect();
-        for ((key, dispatch), _) in since {
+        let written_since: Vec<_> =
+            m.written_as_primary.extract_if(.., |_, written| *written >= asked).collect();
+        for ((key, dispatch), _) in written_since {
             self.open.get_mut(&key).into_iter().for_each(|cmd| _ = cmd.too_old.insert(dispatch));
         }
     }
@@ -162,40 +169,41 @@
         // only likely the latest makes the member the primary for writes, which a replica rejects; reads go
         // by `is_current`.
         let standing = self.members[node].roles.claims_primary(asked);
-        if standing == Standing::Old || self.has_later_primary(node, asked) {
-            return self.note(Event::OldRole { node: self.members[node].id.clone(), age: now - asked });
+        if standing == Standing::Old || self.has_newer_primary(node, asked) {
+            return self
+                .record_event(Event::OldRole { node: self.members[node].id.clone(), age: now - asked });
         }
         // Danger: commands held during a handover all reach a cold new primary at once, on credit that has
         // accumulated unused at hundreds of routers. When a member becomes the primary, the part of its
         // credit that covers whole such commands is cancelled.
         if self.members[node].state != State::Healthy {
-            let credit = self.cold_credit(now, &self.members[node]) % self.held;
+            let credit = self.cold_credit(now, &self.members[node]) % self.primary_min_target;
             (self.members[node].credit, self.members[node].credit_at) = (credit, now);
         }
-        let number = self.members[node].set;
+        let set_id = self.members[node].set;
         self.set_state(node, State::Healthy, StateReason::Role);
-        let Some(set) = self.sets.get_mut(&number) else { return };
+        let Some(set) = self.sets.get_mut(&set_id) else { return };
         (set.broken_rounds, set.round_at) = (0, 0);
         // A set has one primary: any other member recorded as primary is a replica by now, or broken.
         let members = &self.members;
-        let healthy = |n: &Node| *n != node && members[*n].state == State::Healthy;
-        let superseded: Vec<Node> = set.nodes.iter().copied().filter(healthy).collect();
+        let is_other_primary = |n: &Node| *n != node && members[*n].state == State::Healthy;
+        let superseded: Vec<Node> = set.nodes.iter().copied().filter(is_other_primary).collect();
         for other in superseded {
             self.set_state(other, State::Unknown, StateReason::Superseded);
         }
     }
 
     /// Whether another member of the set is recorded as primary by an answer to a later request than this.
-    fn has_later_primary(&self, node: Node, asked: Tenths) -> bool {
-        let later = |n: &Node| {
+    fn has_newer_primary(&self, node: Node, asked: Tenths) -> bool {
+        let is_newer_primary = |n: &Node| {
             let m = &self.members[*n];
             *n != node && m.state == State::Healthy && m.roles.was_primary_after(asked)
         };
-        self.sets.get(&self.members[node].set).is_some_and(|set| set.nodes.iter().any(later))
+        self.sets.get(&self.members[node].set).is_some_and(|set| set.nodes.iter().any(is_newer_primary))
     }
 
     fn learn_replica(&mut self, now: Tenths, node: Node, asked: Tenths) {
-        self.doubt(now, asked, asked, node);
+        self.mark_possible_replica(now, asked, asked, node);
         let m = &self.members[node];
         let to = match m.state {
             // It has claimed the primary role in answer to a later request and is likely still the primary.
--- a/src/decide/freshness.rs
+++ b/src/decide/freshness.rs
@@ -11,12 +11,12 @@
     }
 
     /// Whether this router has to enforce the staleness rule for the command.
-    fn has_age(&self, cmd: &Open) -> bool {
+    fn must_check_age(&self, cmd: &Open) -> bool {
         !self.node_checks && !matches!(self.groups.places[cmd.kind].access, Access::Write | Access::Any)
     }
 
     /// For how long a member's data are new enough for the command; unlimited at a confirmed primary.
-    pub(super) fn new_enough_for(&self, now: Tenths, cmd: &Open, m: &Member) -> Tenths {
+    pub(super) fn data_valid_for(&self, now: Tenths, cmd: &Open, m: &Member) -> Tenths {
         let write = self.groups.places[cmd.kind].access == Access::Write;
         if write || self.node_checks || Router::is_current(m) {
             Tenths::MAX
@@ -30,7 +30,7 @@
     /// for one requirement (a session's write of 50 ms ago) says nothing about another (300 ms); treated as
     /// one, such misses excluded the member from costlier reads.
     pub(super) fn fresh_for(&self, now: Tenths, cmd: &Open, m: &Member) -> Tenths {
-        let fresh = match self.groups.places[cmd.kind].access {
+        let is_fresh = match self.groups.places[cmd.kind].access {
             // Danger: by a wrong clock, old data look fresh, so the latest possible time counts.
             Access::Bounded(bound) if !self.node_checks => {
                 return self
@@ -45,24 +45,24 @@
             }
             access => access == Access::Any,
         };
-        if fresh { Tenths::MAX } else { 0 }
+        if is_fresh { Tenths::MAX } else { 0 }
     }
 
     /// A session's write was answered: its reads have to see all up to `needs`. Danger: this includes reads
     /// of the session that arrived before the answer and still wait to be sent.
-    pub(super) fn session_wrote(&mut self, now: Tenths, session: String, needs: Tenths) {
+    pub(super) fn record_session_write(&mut self, now: Tenths, session: String, needs: Tenths) {
         if is(&self.told, "family_info.token_mode", "remembered") {
             let places = &self.groups.places;
-            let reads = |cmd: &&mut Open| places[cmd.kind].access == Access::Session;
-            let waiting = self.open.values_mut().filter(reads);
+            let is_session_read = |cmd: &&mut Open| places[cmd.kind].access == Access::Session;
+            let waiting = self.open.values_mut().filter(is_session_read);
             waiting
                 .filter(|cmd| cmd.session.as_ref() == Some(&session))
                 .for_each(|cmd| cmd.needs = cmd.needs.max(needs));
         }
         // Danger: sessions come and go without end, so old ones are forgotten. A forgotten session counts as
         // last written `SESSION_KEPT` ago.
-        let old = self.clock.now(now) - SESSION_KEPT;
-        self.sessions.write(session, needs, old, SESSIONS_LEAST);
+        let forget_before = self.clock.now(now) - SESSION_KEPT;
+        self.sessions.write(session, needs, forget_before, SESSIONS_LEAST);
     }
 
     /// The host has written an attempt's last byte, no later than `now` (it reads the clock after the write).
@@ -71,7 +71,7 @@
     /// the attempt up.
     pub fn attempt_written(&mut self, now: Tenths, command: &str, dispatch: u32) -> Written {
         let Some(&key) = self.by_id.get(command) else { return Written::Free };
-        let Some(cmd) = self.open.get(&key).filter(|cmd| self.has_age(cmd)) else { return Written::Free };
+        let Some(cmd) = self.open.get(&key).filter(|c| self.must_check_age(c)) else { return Written::Free };
         let Some(&(node, _)) = cmd.out.get(&dispatch) else { return Written::Free };
         let m = &self.members[node];
         let behind = self.clock.latest(now).map_or(Tenths::MAX, |latest| latest - m.position);
@@ -79,13 +79,13 @@
             self.members[node].written_as_primary.insert((key, dispatch), now);
             return Written::ToPrimary;
         }
-        let fresh = self.fresh_for(now, cmd, m) > 0;
+        let is_fresh = self.fresh_for(now, cmd, m) > 0;
         let (position, source, heard) = (m.position, m.position_source, m.position_heard);
         let may_give_up = self.allows("permissions.cancel");
         let Some(cmd) = self.open.get_mut(&key) else { return Written::Free };
         let seen = Seen { written: now, needs: cmd.needs, position, source, heard };
         cmd.seen.insert(dispatch, seen);
-        if fresh {
+        if is_fresh {
             return Written::ToReplica { behind };
         }
         cmd.too_old.insert(dispatch);
@@ -113,23 +113,23 @@
     /// later than assumed at the write.
     pub fn may_serve(&self, command: &str, dispatch: u32, note: Note) -> bool {
         let Some(cmd) = self.by_id.get(command).and_then(|key| self.open.get(key)) else { return true };
-        if !self.has_age(cmd) {
+        if !self.must_check_age(cmd) {
             return true;
         }
         let Some(&(_, sent)) = cmd.out.get(&dispatch) else { return true };
         let seen = cmd.seen.get(&dispatch);
-        let told = (note.primary == Some(false) && note.position > 0).then_some(note.position);
-        let positions = seen.map(|seen| seen.position).into_iter().chain(told);
+        let noted_position = (note.primary == Some(false) && note.position > 0).then_some(note.position);
+        let positions = seen.map(|seen| seen.position).into_iter().chain(noted_position);
         let latest = self.clock.latest(seen.map_or(sent, |seen| seen.written));
-        let old = match (self.groups.places[cmd.kind].access, latest) {
+        let is_too_old = match (self.groups.places[cmd.kind].access, latest) {
             (Access::Bounded(bound), Some(latest)) => positions.min().is_some_and(|p| p + bound < latest),
             (Access::Session, _) => {
                 let needs = seen.map_or(cmd.needs, |seen| seen.needs);
-                told.is_some_and(|position| position < needs)
+                noted_position.is_some_and(|position| position < needs)
             }
             _ => false,
         };
-        !old && !cmd.too_old.contains(&dispatch)
+        !is_too_old && !cmd.too_old.contains(&dispatch)
     }
 }
 
--- a/src/decide/gate.rs
+++ b/src/decide/gate.rs
@@ -11,8 +11,9 @@
     pub(super) fn lawful_for(&self, now: Tenths, key: u64, node: Node) -> Tenths {
         let (cmd, m) = (&self.open[&key], &self.members[node]);
         let group = &self.groups.places[cmd.kind];
-        let answer = !cmd.closed && now < cmd.ends && cmd.attempts() < group.attempts && m.set == cmd.set;
-        if !answer || !cmd.out.is_empty() || self.cold_credit(now, m) < group.target as f64 {
+        let may_be_dispatched =
+            !cmd.closed && now < cmd.ends && cmd.attempts() < group.attempts && m.set == cmd.set;
+        if !may_be_dispatched || !cmd.out.is_empty() || self.cold_credit(now, m) < group.target as f64 {
             return 0;
         }
         self.repeatable_for(now, cmd, node).min(self.takes_for(now, cmd, m))
@@ -20,13 +21,13 @@
 
     /// For how long the member is eligible for the command, by the rules on drains and staleness.
     pub(super) fn takes_for(&self, now: Tenths, cmd: &Open, m: &Member) -> Tenths {
-        if m.shut || self.may_drain(m) { 0 } else { self.new_enough_for(now, cmd, m) }
+        if m.shut || self.may_be_draining(m) { 0 } else { self.data_valid_for(now, cmd, m) }
     }
 
-    /// Danger: a change of the list is binding 6 s after it is made, whether it was received or not. While
-    /// requests for the list fail, a member that rejects dispatches may be draining, unless it is the
-    /// primary: a primary hands over first.
-    pub(super) fn may_drain(&self, m: &Member) -> bool {
+    /// Whether the member may be draining. Danger: a change of the list is binding 6 s after it is made,
+    /// whether it was received or not. While requests for the list fail, a member that rejects dispatches may
+    /// be draining, unless it is the primary: a primary hands over first.
+    pub(super) fn may_be_draining(&self, m: &Member) -> bool {
         self.list_fails > 0 && m.turned_away > 0 && m.state != State::Healthy
     }
 
@@ -38,9 +39,10 @@
         cmd.is_some_and(|cmd| {
             // Equality counts too: nothing is sent to a member at the very time at which its start becomes
             // known.
-            let learned = |(node, sent): &(Node, Tenths)| self.members[*node].start_known >= *sent;
-            let takes = |(node, _): &(Node, Tenths)| self.takes_for(now, cmd, &self.members[*node]) > 0;
-            now < cmd.ends && cmd.out.get(&dispatch).is_some_and(|out| takes(out) && !learned(out))
+            let restarted_since = |(node, sent): &(Node, Tenths)| self.members[*node].start_known >= *sent;
+            let is_eligible = |(node, _): &(Node, Tenths)| self.takes_for(now, cmd, &self.members[*node]) > 0;
+            now < cmd.ends
+                && cmd.out.get(&dispatch).is_some_and(|out| is_eligible(out) && !restarted_since(out))
         })
     }
 
@@ -51,8 +53,8 @@
             Effect::Replayable => Tenths::MAX,
             Effect::Mutating => 0,
             Effect::Keyed { everywhere, by_zone, window } => {
-                let near = everywhere || !by_zone || self.members[at].zone == self.members[node].zone;
-                if near { sent + window - self.tick - now } else { 0 }
+                let in_scope = everywhere || !by_zone || self.members[at].zone == self.members[node].zone;
+                if in_scope { sent + window - self.tick - now } else { 0 }
             }
         })
     }
@@ -60,31 +62,31 @@
     /// Whether the client may retry without harm: nothing of the command has run, or it may run again.
     pub(super) fn is_harmless_to_repeat(&self, cmd: &Open) -> bool {
         let effect = self.groups.places[cmd.kind].effect;
-        let free = matches!(effect, Effect::Replayable | Effect::Keyed { everywhere: true, .. });
-        free || (cmd.maybe_ran.is_none() && cmd.out.is_empty())
+        let may_run_again = matches!(effect, Effect::Replayable | Effect::Keyed { everywhere: true, .. });
+        may_run_again || (cmd.maybe_ran.is_none() && cmd.out.is_empty())
     }
 
     /// Sends a dispatch if the checks allow it. Every dispatch goes out here.
     pub(super) fn send(&mut self, now: Tenths, key: u64, node: Node) -> bool {
         // Danger: a drain may arrive right after this check, and the host may stall between reading its clock
         // and writing.
-        let grace = tenths(self.number("rules.drain_grace_ms", 500.0));
-        let grace = (grace - HELD_UP).max(grace / 2).max(self.tick);
+        let grace = tenths(self.number_setting("rules.drain_grace_ms", 500.0));
+        let grace = (grace - HOST_STALL_ALLOWANCE).max(grace / 2).max(self.tick);
         let until = now + self.lawful_for(now, key, node).min(grace);
         if until <= now {
             return false;
         }
-        let cmd = self.open.get_mut(&key).expect("lawful sends are of open commands");
+        let cmd = self.open.get_mut(&key).expect("only open commands pass the checks");
         let (kind, dispatch, limit) = (cmd.kind, cmd.dispatches, (cmd.ends - now).max(1));
         cmd.dispatches += 1;
         cmd.out.insert(dispatch, (node, now));
         let (command, to) = (cmd.id.clone(), self.members[node].id.clone());
         self.ready.push_back(Decision::Dispatch { command, node: to, limit, until });
-        let patience = (self.usual(now, kind) * 2.5) as Tenths;
-        self.agenda.insert((now + patience.max(2 * self.tick), Task::Overdue(key, dispatch)));
+        let overdue_after = (self.usual(now, kind) * 2.5) as Tenths;
+        self.agenda.insert((now + overdue_after.max(2 * self.tick), Task::Overdue(key, dispatch)));
         let credit = self.cold_credit(now, &self.members[node]);
         let work = self.groups.places[kind].target as f64;
-        self.allowance -= if self.paced(now, self.members[node].set) { work } else { 0.0 };
+        self.allowance -= if self.is_paced(now, self.members[node].set) { work } else { 0.0 };
         let m = &mut self.members[node];
         m.out.insert((key, dispatch), now);
         (m.credit, m.credit_at) = (credit - work, now);
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -3,30 +3,30 @@
 use super::*;
 
 impl Router {
-    /// Danger: without this, a member that accepts no more connections (full table, reduced limit) counts as
-    /// dead. A member that refuses at once is probed; while it answers probes it keeps its state and only
-    /// gets a growing pause.
-    pub(super) fn refused(&mut self, now: Tenths, node: Node) {
+    /// Records a connection that was refused at once. Danger: without this, a member that accepts no more
+    /// connections (full table, reduced limit) counts as dead. Such a member is probed; while it answers
+    /// probes it keeps its state and only gets a growing pause.
+    pub(super) fn record_refusal(&mut self, now: Tenths, node: Node) {
         let m = &mut self.members[node];
         m.refused += 1;
         m.shy_until = now + self.rng.jittered((PAUSE / 8) << m.refused.min(5));
         m.refused.is_power_of_two().then(|| self.agenda.insert((now, Task::Ask(node))));
     }
 
-    /// Danger: a failed dispatch must lower its member's state before the next pick, or the sticky rule picks
-    /// the same member again.
+    /// Marks a member as broken. Danger: a failed dispatch must lower its member's state before the next
+    /// pick, or the sticky rule picks the same member again.
     pub(super) fn break_member(&mut self, now: Tenths, node: Node) {
         let m = &mut self.members[node];
         // Danger: the list may name members that do not exist. A member that never answered is probed again
         // only after the longest backoff.
         let doublings = if m.met { m.fails.saturating_sub(1).min(6) } else { 6 };
-        let at = now + self.rng.jittered((PAUSE << doublings).min(BACKOFF_MAX));
-        (m.fails, m.retry_at, m.broken_at) = (m.fails + 1, at, now);
+        let retry_at = now + self.rng.jittered((PAUSE << doublings).min(BACKOFF_MAX));
+        (m.fails, m.retry_at, m.broken_at) = (m.fails + 1, retry_at, now);
         self.set_state(node, State::TransportError, StateReason::Broken);
     }
 
     /// A broken member has answered. If it was seen to die, it starts cold.
-    pub(super) fn recover(&mut self, now: Tenths, node: Node) {
+    pub(super) fn mark_recovered(&mut self, now: Tenths, node: Node) {
         if self.members[node].state == State::TransportError {
             self.set_state(node, State::Unknown, StateReason::Recovered);
             let at = self.clock.now(now);
@@ -38,29 +38,29 @@
     pub(super) fn overdue(&mut self, now: Tenths, key: u64, dispatch: u32) {
         let Some(cmd) = self.open.get(&key).filter(|c| !c.closed) else { return };
         let Some(&(node, sent)) = cmd.out.get(&dispatch) else { return };
-        let (number, target) = (cmd.set, self.groups.places[cmd.kind].target);
+        let (set_id, target) = (cmd.set, self.groups.places[cmd.kind].target);
         let usual = (self.usual(now, cmd.kind) as Tenths).max(self.tick);
         let m = &self.members[node];
-        let late = m.unheard + m.out.values().filter(|at| **at + 2 * usual < now).count();
+        let overdue_count = m.unheard + m.out.values().filter(|at| **at + 2 * usual < now).count();
         // Danger: a member may accept work and answer nothing (hung, or cut off from the network). Other
         // overdue dispatches distinguish this from one heavy command or one lost answer; until there are
         // enough, the member is only probed.
-        let (silent, ask) = (m.heard < sent, m.checked_at < sent && now - sent > 4 * usual);
-        if silent && m.state != State::TransportError {
-            if late >= 3 || (late >= 2 && now - sent > 7 * usual) {
+        let (is_silent, should_probe) = (m.heard < sent, m.checked_at < sent && now - sent > 4 * usual);
+        if is_silent && m.state != State::TransportError {
+            if overdue_count >= 3 || (overdue_count >= 2 && now - sent > 7 * usual) {
                 self.break_member(now, node);
-                self.dirty.insert(number);
+                self.dirty.insert(set_id);
             }
             // Danger: without the limit, each heavy command causes a probe. One answered probe since the send
             // is enough.
-            ask.then(|| self.probe(now, node));
+            should_probe.then(|| self.probe(now, node));
         }
         // Danger: lost answers would fill the window for good. A dispatch past its target, at a member that
         // answers other dispatches or probes, counts as lost; this may also hit a heavy command.
         let m = &mut self.members[node];
-        if now - sent > target.max(4 * usual) && (!silent || m.checked_at > sent) {
-            m.unheard += m.out.remove(&(key, dispatch)).is_some() as usize * silent as usize;
-            self.dirty.insert(number);
+        if now - sent > target.max(4 * usual) && (!is_silent || m.checked_at > sent) {
+            m.unheard += m.out.remove(&(key, dispatch)).is_some() as usize * is_silent as usize;
+            self.dirty.insert(set_id);
         }
         self.agenda.insert((now + 2 * usual, Task::Overdue(key, dispatch)));
     }
--- a/src/decide/patience.rs
+++ b/src/decide/patience.rs
@@ -7,55 +7,56 @@
     /// Until when a command waits if nothing that would let it through is known to come. Danger: without
     /// this, a client waits its whole timeout for a set with no reachable member. If nothing has been written
     /// by half of its time, it is throttled while it can still retry.
-    pub(super) fn waits_until(&self, now: Tenths, cmd: &Open) -> Tenths {
-        cmd.patience.min(self.last_send(now, cmd))
+    pub(super) fn queue_deadline(&self, now: Tenths, cmd: &Open) -> Tenths {
+        cmd.patience.min(self.latest_useful_send(now, cmd))
     }
 
     /// Until when a dispatch is likely to be answered in time, by the usual latency.
-    fn last_send(&self, now: Tenths, cmd: &Open) -> Tenths {
-        cmd.ends - (self.usual(now, cmd.kind) * TIME_TO_RUN) as Tenths
+    fn latest_useful_send(&self, now: Tenths, cmd: &Open) -> Tenths {
+        cmd.ends - (self.usual(now, cmd.kind) * MIN_LATENCIES_LEFT) as Tenths
     }
 
     /// When to check again a command whose waiting time is over, if what it waits for will come in time;
     /// `None` if not.
     pub(super) fn worth_waiting_until(&self, now: Tenths, key: u64) -> Option<Tenths> {
         let cmd = &self.open[&key];
-        let primary = self.primary(cmd.set).filter(|primary| self.only_credit_is_missing(now, key, *primary));
-        let credit = primary.and_then(|primary| self.credit_comes_at(now, key, primary));
-        let credit = credit.filter(|at| *at <= self.last_send(now, cmd));
-        credit.or_else(|| self.check_ends_by(now, key))
+        let primary = self.primary(cmd.set).filter(|primary| self.waits_only_for_credit(now, key, *primary));
+        let credit = primary.and_then(|primary| self.credit_available_at(now, key, primary));
+        let credit = credit.filter(|at| *at <= self.latest_useful_send(now, cmd));
+        credit.or_else(|| self.probe_wait_end(now, key))
     }
 
     /// Whether only slow-start credit, or a turn, keeps the command from the member, as far as is known.
     /// Danger: if the window or a dial is the reason, a command whose credit suffices would be held to its
     /// end.
-    fn only_credit_is_missing(&self, now: Tenths, key: u64, node: Node) -> bool {
-        matches!(self.withheld_at(now, key, node), Gate::SlowStart | Gate::Turn)
+    fn waits_only_for_credit(&self, now: Tenths, key: u64, node: Node) -> bool {
+        matches!(self.gate_at(now, key, node), Gate::SlowStart | Gate::Turn)
     }
 
     /// Until when a read waits for a probe in flight. Danger: after a slow period the usual latency stays
     /// high for seconds, and a command with little time left would be given up while the probe that lets it
     /// through is in flight. The read waits only if it would be in time by the answers of the last seconds
     /// and nothing else waits in its set: under load, immediate throttling is right.
-    fn check_ends_by(&self, now: Tenths, key: u64) -> Option<Tenths> {
+    fn probe_wait_end(&self, now: Tenths, key: u64) -> Option<Tenths> {
         let cmd = &self.open[&key];
         let set = self.sets.get(&cmd.set)?;
-        let reads = matches!(self.groups.places[cmd.kind].access, Access::Bounded(_) | Access::Session);
-        let alone = set.waiting.iter().map(BTreeSet::len).sum::<usize>() <= 1;
-        let in_time = now + (self.lately(now, cmd.kind) * TIME_TO_RUN) as Tenths <= cmd.ends;
-        let checked = |n: &&Node| self.is_checked_for(now, cmd, &self.members[**n]);
-        let asked_at = set.nodes.iter().find(checked).map(|n| self.members[*n].asked_at)?;
-        let until = cmd.patience.min(asked_at + CHECK_MOST);
-        (reads && alone && in_time && now < until).then_some(until)
+        let is_replica_read =
+            matches!(self.groups.places[cmd.kind].access, Access::Bounded(_) | Access::Session);
+        let waits_alone = set.waiting.iter().map(BTreeSet::len).sum::<usize>() <= 1;
+        let in_time = now + (self.recent_latency(now, cmd.kind) * MIN_LATENCIES_LEFT) as Tenths <= cmd.ends;
+        let is_probed = |n: &&Node| self.probe_may_qualify(now, cmd, &self.members[**n]);
+        let probed_at = set.nodes.iter().find(is_probed).map(|n| self.members[*n].asked_at)?;
+        let until = cmd.patience.min(probed_at + CHECK_MOST);
+        (is_replica_read && waits_alone && in_time && now < until).then_some(until)
     }
 
     /// Expected latency of a command of this group, by the latency ratio of all answers of the last seconds.
-    fn lately(&self, now: Tenths, kind: usize) -> f64 {
-        self.slow.read(now, SLOW_HALF, USUAL_GUESS) * self.groups.places[kind].target as f64
+    fn recent_latency(&self, now: Tenths, kind: usize) -> f64 {
+        self.slow.read(now, SLOW_HALF, UNLOADED_LATENCY_RATIO) * self.groups.places[kind].target as f64
     }
 
     /// Whether a probe of this member is in flight whose answer may let the read through.
-    pub(super) fn is_checked_for(&self, now: Tenths, cmd: &Open, m: &Member) -> bool {
+    pub(super) fn probe_may_qualify(&self, now: Tenths, cmd: &Open, m: &Member) -> bool {
         let works = m.met && !m.shut && !matches!(m.state, State::Healthy | State::TransportError);
         works && m.probing && self.fresh_for(now, cmd, m) <= 0
     }
--- a/src/decide/search.rs
+++ b/src/decide/search.rs
@@ -5,30 +5,30 @@
 impl Router {
     /// Probes a primary that may be a replica by now. Danger: reads wait for it, and nothing else checks its
     /// role.
-    pub(super) fn ask_for_role(&mut self, now: Tenths, node: Node) {
+    pub(super) fn probe_for_role(&mut self, now: Tenths, node: Node) {
         let m = &self.members[node];
         if m.state == State::Healthy && m.roles.may_be_replica() && m.asked_at + PAUSE <= now {
             self.probe(now, node);
         }
     }
 
-    pub(super) fn primary(&self, number: i64) -> Option<Node> {
+    pub(super) fn primary(&self, set_id: i64) -> Option<Node> {
         let healthy = |n: &&Node| self.members[**n].state == State::Healthy && !self.members[**n].shut;
-        self.sets.get(&number)?.nodes.iter().find(healthy).copied()
+        self.sets.get(&set_id)?.nodes.iter().find(healthy).copied()
     }
 
     /// The next member to try for a held write: by state, then listed role, then rotated ids. One write of a
     /// set is tried on behalf of all.
-    pub(super) fn scout(&mut self, now: Tenths, number: i64, key: u64) -> Option<Node> {
+    pub(super) fn scout(&mut self, now: Tenths, set_id: i64, key: u64) -> Option<Node> {
         let can_probe = self.allows("permissions.may_probe");
-        let set = self.sets.get_mut(&number)?;
+        let set = self.sets.get_mut(&set_id)?;
         let cmd = self.open.get_mut(&key)?;
         let group = &self.groups.places[cmd.kind];
-        let (write, most) = (group.access == Access::Write, group.attempts);
+        let (write, max_attempts) = (group.access == Access::Write, group.attempts);
         if !write || set.scout.is_some_and(|s| s != key) || set.round_at > now {
             return None;
         }
-        let open = |m: &Member| match m.state {
+        let is_eligible = |m: &Member| match m.state {
             // If probes are allowed, they find out and no write is risked. Danger: on a slow path probes and
             // new connections fail and a working primary stays out of reach, so the listed primary is tried
             // all the same.
@@ -36,13 +36,13 @@
             State::TopologyReject => !can_probe || m.noted_at + 5 * PAUSE < now,
             _ => true,
         };
-        let walk = set.nodes.iter().map(|n| (&self.members[*n], *n)).filter(|(m, n)| {
-            !m.shut && open(m) && !cmd.tried.contains(n) && cmd.attempts() < most.div_ceil(2)
+        let untried = set.nodes.iter().map(|n| (&self.members[*n], *n)).filter(|(m, n)| {
+            !m.shut && is_eligible(m) && !cmd.tried.contains(n) && cmd.attempts() < max_attempts.div_ceil(2)
         });
-        let ranked = walk.map(|(m, n)| (m.state, !m.listed_primary, !m.met, m.tie, n));
+        let ranked = untried.map(|(m, n)| (m.state, !m.listed_primary, !m.met, m.tie, n));
         // A member that this machine cannot dial at present is waited for.
-        let (paused, ready): (Vec<_>, Vec<_>) = ranked.partition(|r| self.members[r.4].dial_at > now);
-        if let Some((.., node)) = ready.into_iter().min() {
+        let (paused, dialable): (Vec<_>, Vec<_>) = ranked.partition(|r| self.members[r.4].dial_at > now);
+        if let Some((.., node)) = dialable.into_iter().min() {
             cmd.tried.push(node);
             set.scout = Some(key);
             return Some(node);
@@ -57,22 +57,22 @@
         let broken = std::mem::take(&mut cmd.broken_round);
         set.broken_rounds = if broken { set.broken_rounds + 1 } else { 0 };
         let base = (PAUSE << (set.broken_rounds.clamp(1, 7) - 1)).min(BACKOFF_MAX);
-        self.sets.get_mut(&number)?.round_at = now + if broken { self.rng.jittered(base) } else { PAUSE };
+        self.sets.get_mut(&set_id)?.round_at = now + if broken { self.rng.jittered(base) } else { PAUSE };
         None
     }
 
     /// While no primary is known, probes the member whose last probe is the longest ago, one per pause.
-    pub(super) fn seek(&mut self, now: Tenths, number: i64) {
-        let Some(set) = self.sets.get_mut(&number).filter(|s| s.seek_at <= now) else { return };
+    pub(super) fn seek(&mut self, now: Tenths, set_id: i64) {
+        let Some(set) = self.sets.get_mut(&set_id).filter(|s| s.seek_at <= now) else { return };
         set.seek_at = now + PAUSE;
-        let open = self.sets[&number].nodes.iter().copied().filter(|n| {
+        let eligible = self.sets[&set_id].nodes.iter().copied().filter(|n| {
             let m = &self.members[*n];
             !m.shut && !m.probing && (m.state != State::TransportError || self.rested(now, m))
         });
         // Danger: a member that never answers would be picked every time, so a probe without an answer counts
         // too.
-        let last = |m: &Member| m.asked_at.max(m.checked_at);
-        if let Some(node) = open.min_by_key(|n| (last(&self.members[*n]), self.members[*n].tie)) {
+        let last_probe = |m: &Member| m.asked_at.max(m.checked_at);
+        if let Some(node) = eligible.min_by_key(|n| (last_probe(&self.members[*n]), self.members[*n].tie)) {
             self.probe(now, node);
         }
     }
--- a/src/decide/slow_start.rs
+++ b/src/decide/slow_start.rs
@@ -6,7 +6,7 @@
 /// Share of a cold member's admissible load at which all routers' credits for it grow. The rest is the most
 /// that the credits may hold, so that growth and stored credit together do not exceed the admissible load of
 /// one span (`rules.fall_ms`). At a start the load is small and random variation is a larger part of it.
-fn cold_part(warmth: f64) -> f64 {
+fn cold_share(warmth: f64) -> f64 {
     COLD_PART + (1.0 - COLD_PART) * warmth
 }
 
@@ -19,10 +19,10 @@
     /// turn.
     pub(super) fn cold_credit(&self, now: Tenths, m: &Member) -> f64 {
         let Some(warmth) = self.warmth(now, m) else { return f64::INFINITY };
-        let pace = self.cold_pace(now, warmth);
-        let burst = 1.0 / cold_part(warmth) - 1.0;
-        let most = pace * 10.0 * self.number("rules.fall_ms", 1000.0) * burst;
-        (m.credit + (now - m.credit_at) as f64 * pace).min(most.max(self.cheap as f64))
+        let rate = self.cold_pace(now, warmth);
+        let stored_share = 1.0 / cold_share(warmth) - 1.0;
+        let cap = rate * 10.0 * self.number_setting("rules.fall_ms", 1000.0) * stored_share;
+        (m.credit + (now - m.credit_at) as f64 * rate).min(cap.max(self.cheap as f64))
     }
 
     /// How far a cold member has warmed up, from 0 up to 1; `None` for a warm one.
@@ -30,61 +30,63 @@
         if m.started == 0 {
             return None;
         }
-        let warmth = self.age(now, m) as f64 / (10.0 * self.number("rules.warm_after_ms", 20_000.0));
+        let warmth =
+            self.uptime(now, m) as f64 / (10.0 * self.number_setting("rules.warm_after_ms", 20_000.0));
         Some(warmth).filter(|warmth| *warmth < 1.0)
     }
 
     /// Growth of a cold member's credit per tenth of a millisecond.
     fn cold_pace(&self, now: Tenths, warmth: f64) -> f64 {
-        let from = self.number("rules.start_capacity", 0.1);
-        let able = from + (1.0 - from) * warmth;
-        let part = able * self.number("rules.tip_multiple", 1.0) * cold_part(warmth);
+        let start_capacity = self.number_setting("rules.start_capacity", 0.1);
+        let capacity = start_capacity + (1.0 - start_capacity) * warmth;
+        let share = capacity * self.number_setting("rules.tip_multiple", 1.0) * cold_share(warmth);
         // Danger: a router that has just started would take its ordinary load for zero and starve cold
         // members.
         let since = self.began.min(now - SLOW_HALF);
-        self.done_work.rate_since(now, USUAL_HALF, since) / self.nodes.len() as f64 * part
+        self.done_work.rate_since(now, USUAL_HALF, since) / self.nodes.len() as f64 * share
     }
 
     /// When the credit for a cold primary covers the command and all that go before it there. `None` if the
     /// primary is warm or the command does not wait for one.
-    pub(super) fn credit_comes_at(&self, now: Tenths, key: u64, primary: Node) -> Option<Tenths> {
+    pub(super) fn credit_available_at(&self, now: Tenths, key: u64, primary: Node) -> Option<Tenths> {
         let cmd = &self.open[&key];
-        let waits = |kind: usize| matches!(self.groups.places[kind].access, Access::Write | Access::Fresh);
-        let m = Some(&self.members[primary]).filter(|_| waits(cmd.kind))?;
-        let pace = Some(self.cold_pace(now, self.warmth(now, m)?)).filter(|pace| *pace > 0.0)?;
+        let waits_for_primary =
+            |kind: usize| matches!(self.groups.places[kind].access, Access::Write | Access::Fresh);
+        let m = Some(&self.members[primary]).filter(|_| waits_for_primary(cmd.kind))?;
+        let rate = Some(self.cold_pace(now, self.warmth(now, m)?)).filter(|rate| *rate > 0.0)?;
         let queues = &self.sets.get(&cmd.set)?.waiting;
         let mut work = 0.0;
-        for kind in self.order.iter().copied().filter(|kind| waits(*kind)) {
+        for kind in self.order.iter().copied().filter(|kind| waits_for_primary(*kind)) {
             let target = self.groups.places[kind].target as f64;
-            let own = (cmd.rank, Reverse(key));
+            let own_place = (cmd.rank, Reverse(key));
             let queue = queues.get(kind)?;
             if kind == cmd.kind {
-                work += target * (queue.range(..own).count() + 1) as f64;
+                work += target * (queue.range(..own_place).count() + 1) as f64;
                 break;
             }
             work += target * queue.len() as f64;
         }
-        Some(now + ((work - self.cold_credit(now, m)).max(0.0) / pace).ceil() as Tenths)
+        Some(now + ((work - self.cold_credit(now, m)).max(0.0) / rate).ceil() as Tenths)
     }
 
     /// How long a member has been up: by its listed start and the members' clock, and at least for as long as
     /// this router has known of the start. Danger: if this machine's clock may be ahead, a member that has
     /// just started would look warm.
-    pub(super) fn age(&self, now: Tenths, m: &Member) -> Tenths {
-        let known = now - m.start_known;
-        let unrefuted = now - self.began > UNCONFIRMED_MOST && !self.clock.is_contradicted();
-        let trusted = self.clock.is_confirmed() || unrefuted;
-        if trusted { known.max(self.clock.now(now) - m.started) } else { known }
+    pub(super) fn uptime(&self, now: Tenths, m: &Member) -> Tenths {
+        let known_for = now - m.start_known;
+        let is_unrefuted = now - self.began > UNCONFIRMED_CLOCK_GRACE && !self.clock.is_contradicted();
+        let is_trusted = self.clock.is_confirmed() || is_unrefuted;
+        if is_trusted { known_for.max(self.clock.now(now) - m.started) } else { known_for }
     }
 
-    /// Records the start of a member at `at`, listed or observed, and resets its credit to a random value.
-    /// Danger: with an initial credit above the cheapest command, hundreds of routers each send at once and
-    /// overload the member.
-    pub(super) fn restarted(&mut self, now: Tenths, at: Tenths, node: Node) {
+    /// Records that a member started at `started`, listed or observed, and resets its credit to a random
+    /// value. Danger: with an initial credit above the cheapest command, hundreds of routers each send at
+    /// once and overload the member.
+    pub(super) fn restarted(&mut self, now: Tenths, started: Tenths, node: Node) {
         let credit = self.rng.below(self.cheap / 3) as f64;
-        let window = (WINDOW_START / self.number("balancers", 1.0)).max(WINDOW_LEAST);
+        let window = (WINDOW_INITIAL / self.number_setting("balancers", 1.0)).max(WINDOW_LEAST);
         let m = &mut self.members[node];
-        (m.started, m.start_known, m.credit, m.credit_at) = (at, now, credit, now);
+        (m.started, m.start_known, m.credit, m.credit_at) = (started, now, credit, now);
         (m.died, m.window) = (false, window);
     }
 }
--- a/src/decide/withheld.rs
+++ b/src/decide/withheld.rs
@@ -7,32 +7,32 @@
     /// The gate that withholds a command that is given up for lack of a member; of several, the last that it
     /// would have passed.
     pub(super) fn withheld_by(&mut self, now: Tenths, key: u64) -> Gate {
-        let (number, kind) = (self.open[&key].set, self.open[&key].kind);
-        let rank = self.order.iter().position(|k| *k == kind).unwrap_or(0);
-        if !self.in_pace(now, rank) && self.paced(now, number) {
+        let (set_id, kind) = (self.open[&key].set, self.open[&key].kind);
+        let order_index = self.order.iter().position(|k| *k == kind).unwrap_or(0);
+        if !self.in_pace(now, order_index) && self.is_paced(now, set_id) {
             return Gate::Pace;
         }
-        let at_primary = match self.primary(number) {
-            Some(primary) => self.withheld_at(now, key, primary),
+        let at_primary = match self.primary(set_id) {
+            Some(primary) => self.gate_at(now, key, primary),
             None => Gate::NoPrimary,
         };
         match self.groups.places[kind].access {
             Access::Write | Access::Fresh => at_primary,
-            _ => self.withheld_from_replicas(now, key, number).unwrap_or(at_primary),
+            _ => self.gate_at_replicas(now, key, set_id).unwrap_or(at_primary),
         }
     }
 
     /// The gate at the set's replicas; `None` if no replica works.
-    fn withheld_from_replicas(&self, now: Tenths, key: u64, number: i64) -> Option<Gate> {
+    fn gate_at_replicas(&self, now: Tenths, key: u64, set_id: i64) -> Option<Gate> {
         let works = |n: &&Node| {
             let m = &self.members[**n];
             m.met && !m.shut && !matches!(m.state, State::Healthy | State::TransportError)
         };
-        let replicas = self.sets.get(&number)?.nodes.iter().filter(works);
-        replicas.map(|node| self.withheld_at(now, key, *node)).max()
+        let replicas = self.sets.get(&set_id)?.nodes.iter().filter(works);
+        replicas.map(|node| self.gate_at(now, key, *node)).max()
     }
 
-    pub(super) fn withheld_at(&self, now: Tenths, key: u64, node: Node) -> Gate {
+    pub(super) fn gate_at(&self, now: Tenths, key: u64, node: Node) -> Gate {
         let (cmd, m) = (&self.open[&key], &self.members[node]);
         if self.takes_for(now, cmd, m) <= 0 {
             return if m.state == State::Healthy { Gate::RoleInDoubt } else { Gate::NotFresh };
