--- a/src/decide.rs
+++ b/src/decide.rs
@@ -46,8 +46,8 @@
 /// How long a session's last write is remembered once more than `SESSIONS_LEAST` sessions are held.
 const SESSION_KEPT: Tenths = 60 * SECOND;
 const SESSIONS_LEAST: usize = 4096;
-/// Longest time that a report may take from its creation to its delivery. For `UNCONFIRMED_CLOCK_GRACE` after the
-/// router's start, a clock offset that no primary has confirmed is not used to treat a member as warm.
+/// Longest time that a report may take from its creation to its delivery. For `UNCONFIRMED_CLOCK_GRACE` after
+/// the router's start, a clock offset that no primary has confirmed is not used to treat a member as warm.
 const REPORT_DELAY: Tenths = SECOND;
 const UNCONFIRMED_CLOCK_GRACE: Tenths = SECOND;
 /// Smallest change of the members' clock offset that is reported as an event.
