--- a/src/decide.rs
+++ b/src/decide.rs
@@ -196,12 +196,11 @@
         let (routers, tick) =
             (pick(&settings, "balancers", 1.0)?, tenths(pick(&settings, "tick_ms", 1.0)?).max(1));
         let mut shares = numbers(&settings).and_then(|()| shares(&settings))?;
-        let recent_count =
-            |name: &String| self.shares.get(name).map_or(Decay::default(), |places_in_use| places_in_use.1);
+        let recent_count = |name: &String| self.shares.get(name).map_or(Decay::default(), |share| share.1);
         shares.iter_mut().for_each(|(name, share)| share.1 = recent_count(name));
         (self.told, self.tick, self.shares) = (settings, tick, shares);
         // Danger: without benefit for late answers, a client's retry is served for nothing and displaces
-        // first tries. Such a client is told to stay away for as long as clients honour.
+        // first tries. Throttled clients are then kept away for the longest time that clients honour.
         let max_hold_off = tenths(self.number_setting("permissions.max_retry_after_ms", 0.0));
         for (_, group) in groups.iter_mut().filter(|_| self.allows("permissions.retry_after")) {
             group.hold_off =
@@ -514,9 +513,9 @@
         }
     }
 
-    /// Danger: members come and go under new ids without end, so state must not accumulate. A removed member
-    /// is forgotten once no dispatch is in flight there and no open command may have run there; if removal is
-    /// not binding, it must be broken as well.
+    /// Forgets a removed member once no dispatch is in flight there and no open command may have run there; if
+    /// removal is not binding, the member must be broken as well. Danger: members come and go under new ids
+    /// without end, so their state must not accumulate.
     fn forget_removed_members(&mut self) {
         let removal_is_soft = self.allows("rules.soft_removal");
         let nodes_in_use = |c: &Open| c.out.values().chain(&c.maybe_ran).map(|o| o.0).collect::<Vec<Node>>();
