--- a/src/decide/events.rs
+++ b/src/decide/events.rs
@@ -1,18 +1,18 @@
-//! What the host may log of the decisions: states that change, and why commands are given up.
+//! Events for the host's log: changes of member states, and the reasons why commands are given up.
 
 use super::*;
 
-/// So many events are kept for a host that asks late; the newest are left out beyond that.
-const EVENTS_MOST: usize = 256;
+/// Most events kept for a host that rarely takes them; newer ones are dropped.
+const MAX_EVENTS: usize = 256;
 
 impl Router {
-    /// What happened since this was asked last.
+    /// The events since the last call.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
-    pub(super) fn note(&mut self, event: Event) {
-        if self.events.len() < EVENTS_MOST {
+    pub(super) fn record_event(&mut self, event: Event) {
+        if self.events.len() < MAX_EVENTS {
             self.events.push(event);
         }
     }
@@ -21,7 +21,7 @@
         let from = std::mem::replace(&mut self.members[node].state, to);
         if from != to {
             let node = self.members[node].id.clone();
-            self.note(Event::State { node, from, to, reason });
+            self.record_event(Event::State { node, from, to, reason });
         }
     }
 }
