--- a/src/decide/evidence/tests.rs
+++ b/src/decide/evidence/tests.rs
@@ -7,9 +7,9 @@
 #[case::asked_since(NOW + 10, State::Healthy)]
 fn an_answer_that_comes_late_makes_no_primary(#[case] asked: Tenths, #[case] state: State) {
     let mut r = router(&[]);
-    r.learn_role(NOW, 0, claim(true, NOW));
-    r.learn_role(NOW + 10, 0, claim(false, NOW + 5));
-    r.learn_role(NOW + 20, 0, claim(true, asked));
+    r.learn_role(NOW, 0, role_claim(true, NOW));
+    r.learn_role(NOW + 10, 0, role_claim(false, NOW + 5));
+    r.learn_role(NOW + 20, 0, role_claim(true, asked));
     assert_eq!(r.members[0].state, state);
     let old = r.take_events().iter().any(|event| matches!(event, Event::OldRole { .. }));
     assert_eq!(old, state != State::Healthy);
@@ -18,30 +18,30 @@
 #[rstest]
 fn an_old_answer_of_the_former_primary_ends_no_newer_one() {
     let mut r = router(&[]);
-    r.learn_role(NOW, 0, claim(true, NOW));
-    r.learn_role(NOW + 20, 1, claim(true, NOW + 10));
-    r.learn_role(NOW + 30, 0, claim(true, NOW + 5));
+    r.learn_role(NOW, 0, role_claim(true, NOW));
+    r.learn_role(NOW + 20, 1, role_claim(true, NOW + 10));
+    r.learn_role(NOW + 30, 0, role_claim(true, NOW + 5));
     assert_eq!([r.members[0].state, r.members[1].state], [State::Unknown, State::Healthy]);
-    r.learn_role(NOW + 50, 0, claim(true, NOW + 40));
+    r.learn_role(NOW + 50, 0, role_claim(true, NOW + 40));
     assert_eq!([r.members[0].state, r.members[1].state], [State::Healthy, State::Unknown]);
 }
 
 #[rstest]
 fn an_old_answer_as_replica_leaves_a_new_primary_to_writes_alone() {
     let mut r = router(&[]);
-    r.learn_role(NOW + 10, 1, claim(true, NOW + 5));
-    r.learn_role(NOW + 20, 1, claim(false, NOW));
+    r.learn_role(NOW + 10, 1, role_claim(true, NOW + 5));
+    r.learn_role(NOW + 20, 1, role_claim(false, NOW));
     assert_eq!(r.members[1].state, State::Healthy);
     assert!(!Router::is_current(&r.members[1]), "it may have said so since");
-    r.learn_role(NOW + 30, 1, claim(true, NOW + 21));
+    r.learn_role(NOW + 30, 1, role_claim(true, NOW + 21));
     assert!(Router::is_current(&r.members[1]));
 }
 
 #[rstest]
 fn a_primary_asked_before_the_replica_was_heard_takes_writes_and_no_reads() {
     let mut r = router(&[]);
-    r.learn_role(NOW + 10, 1, claim(false, NOW));
-    r.learn_role(NOW + 20, 1, claim(true, NOW + 5));
+    r.learn_role(NOW + 10, 1, role_claim(false, NOW));
+    r.learn_role(NOW + 20, 1, role_claim(true, NOW + 5));
     assert_eq!(r.members[1].state, State::Healthy);
     assert!(!Router::is_current(&r.members[1]));
 }
@@ -51,9 +51,9 @@
 #[case::after_the_other(true)]
 fn both_the_roles_that_a_probe_tells_count(#[case] recovers: bool) {
     let mut r = router(&[]);
-    r.learn_role(NOW, 0, claim(true, NOW));
+    r.learn_role(NOW, 0, role_claim(true, NOW));
     r.members[0].state = if recovers { State::TransportError } else { State::Healthy };
-    let end = ProbeEnd { primary: Some(false), took: 5, ..probed(Ending::Answered, Report::default()) };
+    let end = ProbeEnd { primary: Some(false), took: 5, ..probe_end(Ending::Answered, Report::default()) };
     r.probe_ended(NOW + 10, "a", end);
     assert_eq!(r.members[0].state, State::TopologyReject);
 }
@@ -74,7 +74,7 @@
     let mut r = router(&[]);
     for at in (0..5).map(|n| NOW + n * 100) {
         let report = Report { primary: Some(true), position: Some(at - 13_000) };
-        r.probe_ended(at, "a", ProbeEnd { took: 13_000, ..probed(Ending::Answered, report) });
+        r.probe_ended(at, "a", ProbeEnd { took: 13_000, ..probe_end(Ending::Answered, report) });
         assert_eq!(r.clock.latest(at), Some(at), "the clock is right");
     }
 }
@@ -84,9 +84,9 @@
 #[case::older(-100, State::TopologyReject)]
 fn a_report_is_dated_by_its_position(#[case] after: Tenths, #[case] state: State) {
     let mut r = router(&[]);
-    r.learn_role(NOW, 1, claim(false, NOW - 5));
+    r.learn_role(NOW, 1, role_claim(false, NOW - 5));
     let report = Report { primary: Some(true), position: Some(NOW + after) };
-    r.probe_ended(NOW + 200, "b", ProbeEnd { took: 150, ..probed(Ending::Answered, report) });
+    r.probe_ended(NOW + 200, "b", ProbeEnd { took: 150, ..probe_end(Ending::Answered, report) });
     assert_eq!(r.members[1].state, state);
 }
 
@@ -99,7 +99,7 @@
     for at in (0..50).map(|n| NOW + n * 1_000) {
         for node in hanging {
             let report = Report { primary: Some(true), position: Some(NOW - 1_000) };
-            r.probe_ended(at, node, probed(Ending::Answered, report));
+            r.probe_ended(at, node, probe_end(Ending::Answered, report));
             assert_eq!(r.clock.latest(at), Some(at), "the clock is right");
         }
     }
@@ -134,10 +134,10 @@
 #[case::made_since(NOW + 100, State::Healthy)]
 fn a_report_from_before_it_broke_brings_no_primary_back(#[case] made: Tenths, #[case] state: State) {
     let mut r = router(&[]);
-    r.learn_role(NOW - 200, 0, claim(true, NOW - 200));
+    r.learn_role(NOW - 200, 0, role_claim(true, NOW - 200));
     r.break_member(NOW, 0);
     let report = Report { primary: Some(true), position: Some(made) };
-    r.probe_ended(NOW + 300, "a", ProbeEnd { took: 10, ..probed(Ending::Answered, report) });
+    r.probe_ended(NOW + 300, "a", ProbeEnd { took: 10, ..probe_end(Ending::Answered, report) });
     assert_eq!(r.members[0].state, state);
     let asked_again = r.members[0].retry_at <= NOW + 300 + 2 * PAUSE;
     assert!(asked_again || state == State::Healthy, "soon");
--- a/src/decide/freshness/tests.rs
+++ b/src/decide/freshness/tests.rs
@@ -5,7 +5,7 @@
 /// A router with a bounded read (300 ms) out at the member `b`, sent at NOW.
 fn reading(extra: &[(&str, &str)]) -> Router {
     let mut r = router(extra);
-    open(&mut r, "bounded");
+    add_open_command(&mut r, "bounded");
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
     r
 }
@@ -44,7 +44,7 @@
 #[case::nodes_check("bounded", &[("family_info.server_checks", "refuse")])]
 fn what_has_no_age_is_served_whenever_it_is_written(#[case] kind: &str, #[case] extra: &[(&str, &str)]) {
     let mut r = router(extra);
-    open(&mut r, kind);
+    add_open_command(&mut r, kind);
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
     assert_eq!(r.attempt_written(NOW + 60 * SECOND, "cmd", 0), Written::Free);
     assert!(answered(&r));
@@ -60,14 +60,14 @@
 ) {
     for kind in ["bounded", "session", "fresh"] {
         let mut r = router(&[]);
-        open(&mut r, kind);
+        add_open_command(&mut r, kind);
         r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
-        r.learn_role(NOW - 2, 1, claim(true, NOW - 2));
+        r.learn_role(NOW - 2, 1, role_claim(true, NOW - 2));
         assert_eq!(r.attempt_written(NOW + 10, "cmd", 0), Written::ToPrimary);
         r.heard_replica(NOW + 20, "b", asked);
         assert_eq!(answered(&r), served, "{kind}");
         // It is the primary again: that makes the read no fresher.
-        r.learn_role(NOW + 40, 1, claim(true, NOW + 30));
+        r.learn_role(NOW + 40, 1, role_claim(true, NOW + 30));
         assert_eq!(answered(&r), served, "{kind}");
     }
 }
@@ -104,7 +104,7 @@
 fn a_read_that_was_not_served_goes_out_again_if_it_may(#[case] semantics: &str, #[case] again: bool) {
     let mut r = reading(&[("request_classes.1.semantics", semantics)]);
     r.members[2].position = NOW + 10;
-    r.dispatch_ended(NOW + 10, "cmd", ended(Ending::TooOld, Some(false)));
+    r.dispatch_ended(NOW + 10, "cmd", dispatch_end(Ending::TooOld, Some(false)));
     let decisions: Vec<Decision> = std::iter::from_fn(|| r.next_decision(NOW + 10)).collect();
     let sent = decisions.iter().any(|d| matches!(d, Decision::Dispatch { node, .. } if &**node == "c"));
     let failed = decisions.contains(&Decision::Fail { command: "cmd".into() });
@@ -115,8 +115,8 @@
 fn a_primary_that_may_be_a_replica_is_asked_while_reads_wait_for_it() {
     let mut r = router(&[]);
     (1..3).for_each(|n| r.members[n].shut = true);
-    open(&mut r, "fresh");
-    r.learn_role(NOW, 0, claim(true, NOW));
+    add_open_command(&mut r, "fresh");
+    r.learn_role(NOW, 0, role_claim(true, NOW));
     r.heard_replica(NOW + 5, "a", NOW);
     assert!(!r.offer(NOW + PAUSE, 1, 0));
     assert_eq!(r.next_decision(NOW + PAUSE), Some(Decision::Probe { node: "a".into() }));
@@ -135,8 +135,8 @@
     while r.next_decision(NOW).is_some() {}
     r.members.iter_mut().for_each(|m| (m.probing, m.asked_at) = (false, NOW - PAUSE));
     (1..3).for_each(|n| r.members[n].shut = true);
-    open(&mut r, "bounded");
-    r.learn_role(NOW, 0, claim(true, NOW));
+    add_open_command(&mut r, "bounded");
+    r.learn_role(NOW, 0, role_claim(true, NOW));
     assert!(r.offer(NOW, 1, 0), "the primary serves it");
     let decisions: Vec<Decision> = std::iter::from_fn(|| r.next_decision(NOW)).collect();
     assert_eq!(decisions.contains(&Decision::Probe { node: "a".into() }), asks, "{decisions:?}");
@@ -158,7 +158,7 @@
     let key = r.by_id["w"];
     r.open.get_mut(&key).unwrap().out.insert(0, (0, NOW));
     let note = Note { primary: Some(true), position: NOW + 10 };
-    r.dispatch_ended(NOW + 20, "w", DispatchEnd { note, ..ended(Ending::Answered, None) });
+    r.dispatch_ended(NOW + 20, "w", DispatchEnd { note, ..dispatch_end(Ending::Answered, None) });
 }
 
 #[rstest]
@@ -171,7 +171,7 @@
     #[case] lawful: bool,
 ) {
     let mut r = router(&[("family_info.token_mode", mode)]);
-    open(&mut r, "session");
+    add_open_command(&mut r, "session");
     let read = r.open.get_mut(&0).unwrap();
     (read.session, read.needs) = (Some(session.into()), NOW - 100);
     read.out.insert(0, (1, NOW));
@@ -184,7 +184,7 @@
 #[rstest]
 fn a_read_that_was_written_before_the_write_was_answered_is_served() {
     let mut r = router(&[("family_info.token_mode", "remembered")]);
-    open(&mut r, "session");
+    add_open_command(&mut r, "session");
     let read = r.open.get_mut(&0).unwrap();
     (read.session, read.needs) = (Some("s".into()), NOW - 100);
     read.out.insert(0, (1, NOW));
--- a/src/decide/patience/tests.rs
+++ b/src/decide/patience/tests.rs
@@ -5,7 +5,7 @@
 /// A bounded read that has waited for as long as it should, after a slow time; a check of `b` is out that may let it through.
 fn read_beside_a_check() -> Router {
     let mut r = router(&[]);
-    open(&mut r, "bounded");
+    add_open_command(&mut r, "bounded");
     let cmd = r.open.get_mut(&0).unwrap();
     (cmd.ends, cmd.patience) = (NOW + 2_000, NOW + 1_000);
     let kind = cmd.kind;
@@ -41,7 +41,7 @@
 /// A write that has waited to half of its time for a cold primary, whose credit grows by one write's target in 100 ms.
 fn write_at_a_cold_primary(credit: f64) -> Router {
     let mut r = router(&[("rules.start_capacity", "1"), ("rules.tip_multiple", "1.25")]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     let cmd = r.open.get_mut(&0).unwrap();
     (cmd.ends, cmd.patience) = (NOW + 6_000, NOW);
     r.learn_role(NOW, 0, RoleClaim { primary: true, asked: NOW });
--- a/src/decide/tests.rs
+++ b/src/decide/tests.rs
@@ -7,34 +7,34 @@
 const ACCESSES: [&str; 5] = ["any", "bounded", "session", "fresh", "write"];
 
 /// Settings with one command group for each access; `extra` adds to them or overrides them.
-pub(super) fn told(extra: &[(&str, &str)]) -> Told {
-    let mut told = Told::new();
-    let mut tell = |name: &str, value: &str| _ = told.insert(name.to_owned(), value.to_owned());
-    tell("request_classes.count", "5");
-    tell("family_info.class_read", "any,bounded,session,fresh,write");
-    tell("family_info.lag_allowed_ms", "0,300,0,0,0");
+pub(super) fn settings(extra: &[(&str, &str)]) -> Told {
+    let mut settings = Told::new();
+    let mut set = |name: &str, value: &str| _ = settings.insert(name.to_owned(), value.to_owned());
+    set("request_classes.count", "5");
+    set("family_info.class_read", "any,bounded,session,fresh,write");
+    set("family_info.lag_allowed_ms", "0,300,0,0,0");
     for (i, kind) in ACCESSES.iter().enumerate() {
-        tell(&format!("request_classes.{i}.name"), kind);
-        tell(&format!("request_classes.{i}.aim_ms"), "250");
-        tell(&format!("request_classes.{i}.hard_limit_ms"), "3000");
-        tell(&format!("request_classes.{i}.late_value"), "0.5");
-        tell(&format!("request_classes.{i}.semantics"), if i == 4 { "side_effect" } else { "pure" });
+        set(&format!("request_classes.{i}.name"), kind);
+        set(&format!("request_classes.{i}.aim_ms"), "250");
+        set(&format!("request_classes.{i}.hard_limit_ms"), "3000");
+        set(&format!("request_classes.{i}.late_value"), "0.5");
+        set(&format!("request_classes.{i}.semantics"), if i == 4 { "side_effect" } else { "pure" });
     }
     for name in ["cancel", "may_probe", "retry_after"] {
-        tell(&format!("permissions.{name}"), "true");
+        set(&format!("permissions.{name}"), "true");
     }
-    tell("permissions.max_attempts", "6");
-    tell("membership_mode", "automatic");
+    set("permissions.max_attempts", "6");
+    set("membership_mode", "automatic");
     for (name, value) in extra {
-        tell(name, value);
+        set(name, value);
     }
-    told
+    settings
 }
 
 /// A router with one set of three members, `a` the listed primary, and a command group for each access. A
 /// primary has confirmed its clock.
 pub(super) fn router(extra: &[(&str, &str)]) -> Router {
-    let mut router = Router::start(told(extra), 7, NOW - SECOND).expect("complete settings");
+    let mut router = Router::start(settings(extra), 7, NOW - SECOND).expect("complete settings");
     router.clock.learn(NOW - SECOND, Evidence::of_primary(NOW - SECOND, NOW - SECOND, NOW - SECOND, 0));
     let entries: Vec<Entry> = ["a", "b", "c"].iter().map(|id| entry(id, Phase::Up, 0)).collect();
     router.members_changed(NOW - SECOND, true, &entries);
@@ -47,7 +47,7 @@
 }
 
 /// Adds an open command with the given access under the key 0.
-pub(super) fn open(router: &mut Router, kind: &str) {
+pub(super) fn add_open_command(router: &mut Router, kind: &str) {
     let kind = ACCESSES.iter().position(|k| *k == kind).expect("a known access");
     let (ends, patience) = (NOW + 20_000, NOW + 20_000);
     let cmd = Open { id: "cmd".into(), kind, set: 1, ends, patience, needs: NOW, ..Open::default() };
@@ -55,17 +55,17 @@
     router.open.insert(0, cmd);
 }
 
-pub(super) fn ended(ending: Ending, primary: Option<bool>) -> DispatchEnd {
+pub(super) fn dispatch_end(ending: Ending, primary: Option<bool>) -> DispatchEnd {
     let note = Note { primary, position: 0 };
     let (report, idled) = (Report::default(), None);
     DispatchEnd { dispatch: 0, ending, took: 100, idled, over: false, note, report }
 }
 
-pub(super) fn probed(ending: Ending, report: Report) -> ProbeEnd {
+pub(super) fn probe_end(ending: Ending, report: Report) -> ProbeEnd {
     ProbeEnd { ending, took: 0, primary: None, report }
 }
 
-pub(super) fn claim(primary: bool, asked: Tenths) -> RoleClaim {
+pub(super) fn role_claim(primary: bool, asked: Tenths) -> RoleClaim {
     RoleClaim { primary, asked }
 }
 
@@ -105,7 +105,7 @@
     let mut r = router(&[("rules.warm_after_ms", "1000000")]);
     let m = &mut r.members[1];
     (m.state, m.started, m.credit, m.credit_at) = (state, started, 7_000.0, NOW);
-    r.learn_role(NOW, 1, claim(primary, NOW));
+    r.learn_role(NOW, 1, role_claim(primary, NOW));
     assert_eq!(r.cold_credit(NOW, &r.members[1]), 10.0 * commands_left);
 }
 
@@ -130,9 +130,9 @@
     #[case] state: State,
 ) {
     let mut r = router(&[]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
-    r.dispatch_ended(NOW, "cmd", ended(ending, role));
+    r.dispatch_ended(NOW, "cmd", dispatch_end(ending, role));
     assert_eq!(r.members[1].state, state);
 }
 
@@ -149,7 +149,7 @@
     #[case] first: Option<Node>,
 ) {
     let mut r = router(&[]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     r.open.get_mut(&0).unwrap().tried = tried.to_vec();
     for (m, state) in r.members.iter_mut().zip(states) {
         m.state = state;
@@ -166,7 +166,7 @@
     #[case] most: Tenths,
 ) {
     let mut r = router(&[]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     let cmd = r.open.get_mut(&0).unwrap();
     (cmd.tried, cmd.broken_round) = (vec![0, 1, 2], broken);
     r.scout(NOW, 1, 0);
@@ -176,7 +176,7 @@
 #[rstest]
 fn only_one_held_write_per_set_searches_for_the_primary() {
     let mut r = router(&[]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     r.sets.get_mut(&1).unwrap().scout = Some(9);
     assert_eq!(r.scout(NOW, 1, 0), None);
 }
@@ -184,7 +184,7 @@
 #[rstest]
 fn search_uses_at_most_half_of_the_attempts() {
     let mut r = router(&[]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     r.open.get_mut(&0).unwrap().dispatches = 3;
     assert_eq!(r.scout(NOW, 1, 0), None);
 }
@@ -195,7 +195,7 @@
 #[case::beyond_the_bound(NOW - 9_000, false)]
 fn bounded_read_requires_a_position_within_the_bound(#[case] position: Tenths, #[case] allowed: bool) {
     let mut r = router(&[]);
-    open(&mut r, "bounded");
+    add_open_command(&mut r, "bounded");
     r.members[1].position = position;
     assert_eq!(r.lawful_for(NOW, 0, 1) > 0, allowed);
 }
@@ -205,7 +205,7 @@
 #[case::at_the_token(0, true)]
 fn session_read_requires_a_position_at_its_token(#[case] past: Tenths, #[case] allowed: bool) {
     let mut r = router(&[]);
-    open(&mut r, "session");
+    add_open_command(&mut r, "session");
     r.members[1].position = NOW + past;
     assert_eq!(r.lawful_for(NOW, 0, 1) > 0, allowed);
 }
@@ -232,11 +232,11 @@
 #[rstest]
 fn commit_of_an_answered_write_is_remembered() {
     let mut r = router(&[]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     let cmd = r.open.get_mut(&0).unwrap();
     (cmd.session, cmd.out) = (Some("s".into()), BTreeMap::from([(0, (0, NOW))]));
     let note = Note { primary: Some(true), position: 500 };
-    r.dispatch_ended(NOW, "cmd", DispatchEnd { note, ..ended(Ending::Answered, None) });
+    r.dispatch_ended(NOW, "cmd", DispatchEnd { note, ..dispatch_end(Ending::Answered, None) });
     assert_eq!(r.sessions.written(&Some("s".into()), 0), 501);
 }
 
@@ -248,7 +248,7 @@
     #[case] allowed: bool,
 ) {
     let mut r = router(&[]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     r.open.get_mut(&0).unwrap().maybe_ran = ran;
     assert_eq!(r.lawful_for(NOW, 0, 1) > 0, allowed);
 }
@@ -266,9 +266,9 @@
     #[case] ran: Option<(Node, Tenths)>,
 ) {
     let mut r = router(&[]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
-    r.dispatch_ended(NOW, "cmd", ended(ending, None));
+    r.dispatch_ended(NOW, "cmd", dispatch_end(ending, None));
     assert_eq!(r.open[&0].maybe_ran, ran);
 }
 
@@ -284,7 +284,7 @@
     let class = |name: &str| format!("request_classes.4.{name}");
     let (a, b, c) = (class("semantics"), class("group"), class("window_ms"));
     let mut r = router(&[(&a, effect), (&b, group), (&c, "5000")]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     r.open.get_mut(&0).unwrap().maybe_ran = Some((0, NOW - age));
     assert_eq!(r.lawful_for(NOW, 0, 1) > 0, allowed);
 }
@@ -302,7 +302,7 @@
     let class = |name: &str| format!("request_classes.4.{name}");
     let (a, b, c) = (class("semantics"), class("group"), class("window_ms"));
     let mut r = router(&[(&a, "token"), (&b, "all"), (&c, "5000"), ("rules.drain_grace_ms", "500")]);
-    open(&mut r, kind);
+    add_open_command(&mut r, kind);
     r.open.get_mut(&0).unwrap().maybe_ran = ran.map(|at| (0, at));
     r.members[1].position = position;
     assert!(r.send(NOW, 0, 1));
@@ -316,10 +316,10 @@
 #[case::miss(Ending::Miss, NOW + 20_000)]
 fn wait_limit_is_extended_once_a_dispatch_was_written(#[case] ending: Ending, #[case] patience: Tenths) {
     let mut r = router(&[]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     let cmd = r.open.get_mut(&0).unwrap();
     (cmd.patience, cmd.out) = (NOW + 10_000, BTreeMap::from([(0, (0, NOW))]));
-    r.dispatch_ended(NOW, "cmd", ended(ending, None));
+    r.dispatch_ended(NOW, "cmd", dispatch_end(ending, None));
     assert_eq!(r.open[&0].patience, patience);
 }
 
@@ -328,7 +328,7 @@
 #[case::at_the_limit(NOW, 1)]
 fn waiting_command_is_throttled_at_its_wait_limit(#[case] patience: Tenths, #[case] throttles: usize) {
     let mut r = router(&[]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     r.settle(NOW - 1, 0);
     r.open.get_mut(&0).unwrap().patience = patience;
     r.settle(NOW, 0);
@@ -342,7 +342,7 @@
     let class = |name: &str| format!("request_classes.4.{name}");
     let (a, b, c) = (class("semantics"), class("group"), class("window_ms"));
     let mut r = router(&[(&a, "token"), (&b, "cell"), (&c, "5000")]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     r.open.get_mut(&0).unwrap().maybe_ran = Some((0, NOW - age));
     r.settle(NOW, 0);
     assert_eq!(r.ready.iter().filter(|d| matches!(d, Decision::Fail { .. })).count(), failures);
@@ -353,7 +353,7 @@
 #[case::one_in_seven_would_be_late(2.0, false)]
 fn waiting_command_is_given_up_when_a_timely_answer_is_unlikely(#[case] left: f64, #[case] waits: bool) {
     let mut r = router(&[]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     r.open.get_mut(&0).unwrap().ends = NOW + (r.usual(NOW, 0) * left) as Tenths;
     // The first call queues the command, the second decides whether it may go on waiting.
     (0..2).for_each(|_| r.settle(NOW, 0));
@@ -368,7 +368,7 @@
     #[case] safe_to_repeat: bool,
 ) {
     let mut r = router(&[]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     r.open.get_mut(&0).unwrap().maybe_ran = ran;
     r.give_up(NOW, 0, GaveUp::Deadline);
     assert_eq!(matches!(r.ready[0], Decision::Throttle { .. }), safe_to_repeat);
@@ -384,10 +384,10 @@
     #[case] fresh: bool,
 ) {
     let mut r = router(&[("family_info.server_checks", "wait")]);
-    open(&mut r, "session");
+    add_open_command(&mut r, "session");
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
     let note = Note { primary: Some(false), position: NOW - behind };
-    r.dispatch_ended(NOW, "cmd", DispatchEnd { note, ..ended(Ending::Miss, None) });
+    r.dispatch_ended(NOW, "cmd", DispatchEnd { note, ..dispatch_end(Ending::Miss, None) });
     r.open.get_mut(&0).unwrap().kind = 1;
     assert_eq!(r.fresh_for(NOW + later, &r.open[&0], &r.members[1]) > 0, fresh);
 }
@@ -400,7 +400,7 @@
     let heeded = ("permissions.max_retry_after_ms", "600");
     let mut r =
         router(&[("permissions.retry_after", allowed), heeded, ("request_classes.0.late_value", late)]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     r.give_up(NOW, 0, GaveUp::Deadline);
     assert_eq!(r.ready[0], Decision::Throttle { command: "cmd".into(), hold_off: expected });
 }
@@ -438,7 +438,7 @@
 ) {
     let mut r = router(&[("rules.soft_removal", soft)]);
     r.members_changed(NOW, false, &[entry("b", phase, 0)]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     assert_eq!(r.lawful_for(NOW, 0, 1) > 0, !excluded);
 }
 
@@ -463,7 +463,7 @@
     #[case] known: bool,
 ) {
     let mut r = router(&[("rules.soft_removal", soft)]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     let cmd = r.open.get_mut(&0).unwrap();
     (cmd.out, cmd.maybe_ran) = (out.map(|o| (0, o)).into_iter().collect(), ran);
     r.members_changed(NOW, false, &[entry("b", Phase::Removed, 0)]);
@@ -547,9 +547,9 @@
 ) {
     let mut r = router(&[]);
     for ending in [vec![Ending::Reset; broken], vec![Ending::Answered; whole]].concat() {
-        open(&mut r, "any");
+        add_open_command(&mut r, "any");
         r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
-        r.dispatch_ended(NOW, "cmd", DispatchEnd { took, idled: Some(3_000), ..ended(ending, None) });
+        r.dispatch_ended(NOW, "cmd", DispatchEnd { took, idled: Some(3_000), ..dispatch_end(ending, None) });
     }
     assert_eq!(r.idle_most(now), idle_limit);
 }
@@ -571,10 +571,10 @@
     let mut r = router(&[("family_info.token_mode", "remembered")]);
     (1..SESSIONS_LEAST).for_each(|i| r.sessions.write(format!("{i}"), 1, 0, SESSIONS_LEAST));
     r.sessions.write("s".into(), wrote, 0, SESSIONS_LEAST);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     let cmd = r.open.get_mut(&0).unwrap();
     (cmd.session, cmd.out) = (Some("t".into()), BTreeMap::from([(0, (0, NOW))]));
-    r.dispatch_ended(NOW, "cmd", ended(Ending::Answered, None));
+    r.dispatch_ended(NOW, "cmd", dispatch_end(Ending::Answered, None));
     assert!(r.sessions.count() <= 2, "{}", r.sessions.count());
     let (id, command_group, session) = ("x".into(), "session".into(), Some("s".into()));
     let (customer, time_left, token_age, repeat) = (None, 9_000, None, false);
@@ -591,11 +591,11 @@
 fn commit_position_ahead_of_the_router_clock_is_remembered(#[case] ahead: Tenths) {
     let mut r = router(&[("family_info.token_mode", "remembered")]);
     r.clock = MemberClock::default();
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     let cmd = r.open.get_mut(&0).unwrap();
     (cmd.session, cmd.out) = (Some("s".into()), BTreeMap::from([(0, (0, NOW - 100))]));
     let note = Note { primary: Some(true), position: NOW - 20 + ahead };
-    r.dispatch_ended(NOW, "cmd", DispatchEnd { note, ..ended(Ending::Answered, None) });
+    r.dispatch_ended(NOW, "cmd", DispatchEnd { note, ..dispatch_end(Ending::Answered, None) });
     assert!(r.sessions.written(&Some("s".into()), 0) > NOW - 20 + ahead);
 }
 
@@ -623,7 +623,7 @@
     #[case] allowed: bool,
 ) {
     let mut r = router(&[("rules.start_capacity", "0.2"), ("rules.warm_after_ms", "18000")]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     let m = &mut r.members[1];
     (m.started, m.credit, m.credit_at) = (started, credit, NOW - 100);
     r.done_work.add(NOW, USUAL_HALF, usual);
@@ -636,14 +636,14 @@
 fn member_known_to_have_died_is_cold_on_recovery(#[case] died: bool, #[case] started: Tenths) {
     let mut r = router(&[]);
     (r.members[1].state, r.members[1].died) = (State::TransportError, died);
-    r.probe_ended(NOW, "b", probed(Ending::Answered, Report::default()));
+    r.probe_ended(NOW, "b", probe_end(Ending::Answered, Report::default()));
     assert_eq!(r.members[1].started, started);
 }
 
 #[rstest]
 fn reads_go_to_the_replica_with_the_lowest_turn() {
     let mut r = router(&[]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     r.members[0].state = State::Healthy;
     r.members[1].turn = 1.0;
     assert_eq!(r.pick_reader(NOW, 1, 0), Some(2));
@@ -654,7 +654,7 @@
 #[case::first_is_full(NOW + 1, None)]
 fn long_reads_use_only_the_first_replica(#[case] shy_until: Tenths, #[case] node: Option<Node>) {
     let mut r = router(&[("request_classes.0.aim_ms", "2000")]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     (r.members[0].state, r.members[0].shy_until) = (State::Healthy, NOW + 1);
     (r.members[1].turn, r.members[1].shy_until) = (9.0, shy_until);
     assert_eq!(r.pick_reader(NOW, 1, 0), node);
@@ -671,7 +671,7 @@
 #[rstest]
 fn turn_surcharge_stays_with_the_long_read_replica_while_it_lags() {
     let mut r = router(&[]);
-    open(&mut r, "bounded");
+    add_open_command(&mut r, "bounded");
     r.members[0].state = State::Healthy;
     r.members[2].position = NOW;
     r.read_work.add(NOW, SHARE_HALF, 100.0);
@@ -684,7 +684,7 @@
 #[case::with_penalty("0.05", 3.0)]
 fn turn_cost_includes_the_cross_zone_penalty(#[case] price: &str, #[case] turn: f64) {
     let mut r = router(&[("zone", "y"), ("penalties.cross_zone", price)]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     r.members[0].state = State::Healthy;
     assert_eq!((r.pick_reader(NOW, 1, 0), r.members[1].turn), (Some(1), turn));
 }
@@ -699,7 +699,7 @@
     #[case] node: Option<Node>,
 ) {
     let mut r = router(&[]);
-    open(&mut r, "bounded");
+    add_open_command(&mut r, "bounded");
     (r.members[0].state, r.members[2].shut) = (State::Healthy, true);
     (r.members[1].position, r.members[1].checked_at) = (position, checked);
     assert_eq!(r.pick_reader(NOW, 1, 0), node);
@@ -715,7 +715,7 @@
     #[case] node: Option<Node>,
 ) {
     let mut r = router(&[]);
-    open(&mut r, "bounded");
+    add_open_command(&mut r, "bounded");
     (r.members[0].state, r.members[2].shut) = (State::Healthy, true);
     let m = &mut r.members[1];
     (m.probing, m.asked_at, m.state) = (true, NOW - since, state);
@@ -727,7 +727,7 @@
 #[case::not_its_turn(9.0, 0)]
 fn unproven_member_is_only_probed_while_others_serve(#[case] turn: f64, #[case] probes: usize) {
     let mut r = router(&[]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     r.members[0].state = State::Healthy;
     (r.members[2].met, r.members[1].turn, r.members[2].turn) = (false, 1.0, turn);
     assert_eq!((r.pick_reader(NOW, 1, 0), r.ready.len()), (Some(1), probes));
@@ -739,7 +739,7 @@
 fn unproven_member_gets_the_longest_backoff(#[case] met: bool, #[case] least: Tenths) {
     let mut r = router(&[]);
     (r.members[1].met, r.members[1].fails) = (met, 1);
-    r.probe_ended(NOW, "b", probed(Ending::TimedOut, Report::default()));
+    r.probe_ended(NOW, "b", probe_end(Ending::TimedOut, Report::default()));
     assert!((NOW + least..NOW + 2 * least).contains(&r.members[1].retry_at));
 }
 
@@ -754,7 +754,7 @@
         (r.members[node].met, r.members[node].fails) = (met, fails);
         r.break_member(NOW, node);
     }
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     let at = NOW + 5 * SECOND / 2;
     assert_eq!(r.pick_reader(at, 1, 0), None);
     r.seek(at, 1);
@@ -776,7 +776,7 @@
     r.command_arrived(NOW, command).expect("a known group");
     let sent = std::iter::from_fn(|| r.next_decision(NOW)).any(|d| matches!(d, Decision::Dispatch { .. }));
     assert!(sent, "the first dispatch is sent");
-    r.dispatch_ended(ends, "cmd", ended(Ending::Miss, Some(false)));
+    r.dispatch_ended(ends, "cmd", dispatch_end(Ending::Miss, Some(false)));
     let decided: Vec<Decision> = std::iter::from_fn(|| r.next_decision(ends)).collect();
     assert!(decided.iter().any(|d| matches!(d, Decision::Dispatch { .. })), "{decided:?}");
 }
@@ -803,7 +803,7 @@
 #[case::previous_task_earlier(NOW - 1)]
 fn rescheduled_command_has_only_one_settle_task(#[case] before: Tenths) {
     let mut r = router(&[]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     r.settle_at(before, 0);
     r.settle_at(NOW, 0);
     let settles: Vec<_> = r.agenda.iter().filter(|(_, task)| *task == Task::Settle(0)).collect();
@@ -814,14 +814,14 @@
 #[rstest]
 fn write_missed_past_its_wait_limit_goes_to_the_known_primary() {
     let mut r = router(&[]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     r.agenda.clear();
     r.settle_at(NOW - 1, 0);
     let cmd = r.open.get_mut(&0).expect("open");
     (cmd.patience, cmd.dispatches) = (NOW - 10, 1);
     cmd.out.insert(0, (1, NOW - 100));
     r.members[0].state = State::Healthy;
-    r.dispatch_ended(NOW, "cmd", ended(Ending::Miss, Some(false)));
+    r.dispatch_ended(NOW, "cmd", dispatch_end(Ending::Miss, Some(false)));
     r.open.get_mut(&0).expect("open").ends = NOW + 100;
     let sent = r.next_decision(NOW);
     assert!(matches!(&sent, Some(Decision::Dispatch { node, .. }) if &**node == "a"), "{sent:?}");
@@ -830,7 +830,7 @@
 #[rstest]
 fn primary_search_probes_the_least_recently_probed_member() {
     let mut r = router(&[]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     (r.members[0].asked_at, r.members[0].checked_at) = (NOW, 0);
     r.members[1].checked_at = NOW - PAUSE;
     r.members[2].asked_at = NOW;
@@ -843,7 +843,7 @@
 #[case::one_proven(NOW - 9, 0)]
 fn waiting_read_probes_a_replica_if_none_is_proven_fresh(#[case] position: Tenths, #[case] probes: usize) {
     let mut r = router(&[]);
-    open(&mut r, "bounded");
+    add_open_command(&mut r, "bounded");
     (r.members[1].position, r.members[1].turn) = (position, -1.0);
     r.pick_reader(NOW, 1, 0);
     assert_eq!(r.ready.iter().filter(|d| matches!(d, Decision::Probe { .. })).count(), probes);
@@ -882,7 +882,7 @@
 #[case::several_overdue(3, State::TransportError)]
 fn silent_member_is_distinguished_from_one_heavy_command(#[case] overdue: u32, #[case] state: State) {
     let mut r = router(&[]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     (r.members[0].state, r.members[0].heard) = (State::Healthy, NOW - 9_000);
     let sent = NOW - (r.usual(NOW, 4) * 3.0) as Tenths;
     r.open.get_mut(&0).unwrap().out.insert(0, (0, sent));
@@ -896,7 +896,7 @@
 #[case::probe_answered_since(NOW, 0)]
 fn overdue_dispatch_triggers_at_most_one_probe(#[case] checked_at: Tenths, #[case] probes: usize) {
     let mut r = router(&[]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     let sent = NOW - 3_000;
     r.open.get_mut(&0).unwrap().out.insert(0, (1, sent));
     (r.members[1].heard, r.members[1].checked_at) = (NOW - 90_000, checked_at);
@@ -917,10 +917,10 @@
 #[case::unreachable(2_500, State::TransportError)]
 fn connect_failure_breaks_a_member_unless_refused_at_once(#[case] took: Tenths, #[case] state: State) {
     let mut r = router(&[("permissions.dial_timeout_ms", "250")]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     r.members[0].state = State::Healthy;
     r.open.get_mut(&0).unwrap().out.insert(0, (0, NOW));
-    r.dispatch_ended(NOW, "cmd", DispatchEnd { took, ..ended(Ending::ConnectFailed, None) });
+    r.dispatch_ended(NOW, "cmd", DispatchEnd { took, ..dispatch_end(Ending::ConnectFailed, None) });
     assert_eq!((r.members[0].state, r.has_room(NOW, 0, 1.0, 0.0)), (state, state != State::Healthy));
 }
 
@@ -938,11 +938,11 @@
     #[case] died: bool,
 ) {
     let mut r = router(&[("permissions.may_probe", may_probe)]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     r.members[0].state = before;
     r.open.get_mut(&0).unwrap().out.insert(0, (0, NOW));
-    r.dispatch_ended(NOW, "cmd", ended(Ending::Reset, None));
-    probes.iter().for_each(|ending| r.probe_ended(NOW, "a", probed(*ending, Report::default())));
+    r.dispatch_ended(NOW, "cmd", dispatch_end(Ending::Reset, None));
+    probes.iter().for_each(|ending| r.probe_ended(NOW, "a", probe_end(*ending, Report::default())));
     assert_eq!((r.members[0].state, r.members[0].died), (state, died));
 }
 
@@ -972,7 +972,7 @@
 #[case::nothing_answered(NOW - 50_000, false)]
 fn lost_dispatch_is_removed_from_the_window(#[case] checked_at: Tenths, #[case] left: bool) {
     let mut r = router(&[]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     let sent = NOW - 10_000;
     r.open.get_mut(&0).unwrap().out.insert(0, (0, sent));
     r.members[0].out.insert((0, 0), sent);
@@ -987,7 +987,7 @@
 fn single_lost_probe_does_not_break_a_member(#[case] fails: u32, #[case] state: State) {
     let mut r = router(&[]);
     (r.members[0].state, r.members[0].fails) = (State::Healthy, fails);
-    r.probe_ended(NOW, "a", probed(Ending::TimedOut, Report::default()));
+    r.probe_ended(NOW, "a", probe_end(Ending::TimedOut, Report::default()));
     assert_eq!(r.members[0].state, state);
 }
 
@@ -1003,7 +1003,7 @@
     #[case] sent: bool,
 ) {
     let mut r = router(&[("balancers", routers)]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     let m = &mut r.members[0];
     (m.state, m.window, m.shy_until, m.refused) = (State::Healthy, WINDOW_LEAST, NOW + 500, refused);
     m.out = (1..=out).map(|key| ((key, 0), NOW)).collect();
@@ -1013,10 +1013,10 @@
 #[rstest]
 fn window_of_a_full_member_is_halved() {
     let mut r = router(&[]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
     r.members[1].window = 8.0;
-    r.dispatch_ended(NOW, "cmd", ended(Ending::Full, None));
+    r.dispatch_ended(NOW, "cmd", dispatch_end(Ending::Full, None));
     assert_eq!(r.members[1].window, 4.0);
 }
 
@@ -1025,10 +1025,10 @@
 #[case::answered_early(Ending::Answered, 100, true)]
 fn window_follows_latency(#[case] ending: Ending, #[case] took: Tenths, #[case] grows: bool) {
     let mut r = router(&[]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
     r.members[1].window = 1.5;
-    r.dispatch_ended(NOW, "cmd", DispatchEnd { took, ..ended(ending, None) });
+    r.dispatch_ended(NOW, "cmd", DispatchEnd { took, ..dispatch_end(ending, None) });
     assert_eq!(r.members[1].window > 1.5, grows);
 }
 
@@ -1053,7 +1053,7 @@
 #[case::unmeasured_set_while_overall_fast(0.1, f64::NAN, false)]
 fn pace_limits_only_sets_that_are_slow(#[case] all: f64, #[case] own: f64, #[case] paced: bool) {
     let mut r = router(&[]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     let number = r.open[&0].set;
     (0..50).for_each(|_| r.slow.add(NOW, SLOW_HALF, all));
     let set = r.sets.get_mut(&number).unwrap();
@@ -1075,11 +1075,11 @@
     #[case] given_up: bool,
 ) {
     let mut r = router(&[]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     (0..20).for_each(|_| r.cured.add(NOW, USUAL_HALF, cured));
     let cmd = r.open.get_mut(&0).unwrap();
     (cmd.out, cmd.erred) = (BTreeMap::from([(0, (1, NOW))]), erred);
-    r.dispatch_ended(NOW, "cmd", ended(Ending::Error, None));
+    r.dispatch_ended(NOW, "cmd", dispatch_end(Ending::Error, None));
     r.settle(NOW, 0);
     assert_eq!(r.ready.iter().any(|d| matches!(d, Decision::Throttle { .. })), given_up);
 }
@@ -1089,7 +1089,7 @@
 #[case::quarter_of_the_work(25.0, 2.0)]
 fn turns_cost_more_at_the_long_read_replica(#[case] long: f64, #[case] turn: f64) {
     let mut r = router(&[]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     r.members[0].state = State::Healthy;
     (r.members[1].turn, r.members[2].turn) = (0.0, 0.5);
     r.read_work.add(NOW, SHARE_HALF, 100.0);
@@ -1102,10 +1102,10 @@
 #[case::half(0.5, false)]
 fn window_below_one_pauses_dispatches(#[case] window: f64, #[case] has_room: bool) {
     let mut r = router(&[]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
     r.members[1].window = window;
-    r.dispatch_ended(NOW, "cmd", DispatchEnd { took: 2_000, ..ended(Ending::Answered, None) });
+    r.dispatch_ended(NOW, "cmd", DispatchEnd { took: 2_000, ..dispatch_end(Ending::Answered, None) });
     assert_eq!(r.has_room(NOW, 1, 1.0, 0.0), has_room);
 }
 
@@ -1125,14 +1125,14 @@
 #[case::never_seen("never seen")]
 fn ending_of_an_unknown_command_is_ignored(#[case] id: &str) {
     let mut r = router(&[]);
-    r.dispatch_ended(NOW, id, ended(Ending::Answered, Some(true)));
+    r.dispatch_ended(NOW, id, dispatch_end(Ending::Answered, Some(true)));
     assert_eq!(r.members[0].state, State::Unknown);
 }
 
 #[rstest]
 fn error_names_the_invalid_setting() {
-    let told = Told::from([("request_classes.count".to_owned(), "many".to_owned())]);
-    let error = Router::start(told, 1, NOW).err().expect("no start");
+    let settings = Told::from([("request_classes.count".to_owned(), "many".to_owned())]);
+    let error = Router::start(settings, 1, NOW).err().expect("no start");
     assert!(error.contains("request_classes.count") && error.contains("many"));
 }
 
@@ -1157,10 +1157,10 @@
 #[case::many_routers("300", 0.01)]
 fn timeouts_do_not_shrink_a_window_below_the_minimum(#[case] balancers: &str, #[case] least: f64) {
     let mut r = router(&[("balancers", balancers)]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
     r.members[1].window = least;
-    r.dispatch_ended(NOW, "cmd", DispatchEnd { took: 20_000, ..ended(Ending::TimedOut, None) });
+    r.dispatch_ended(NOW, "cmd", DispatchEnd { took: 20_000, ..dispatch_end(Ending::TimedOut, None) });
     assert!((r.members[1].window - least).abs() < 1e-9, "window {}", r.members[1].window);
 }
 
@@ -1171,7 +1171,7 @@
     let mut r = router(&[]);
     for _ in 0..2 {
         r.members[1].refused = refused;
-        r.probe_ended(NOW, "b", probed(Ending::Answered, Report::default()));
+        r.probe_ended(NOW, "b", probe_end(Ending::Answered, Report::default()));
     }
     let all = std::iter::from_fn(|| r.next_decision(NOW));
     assert_eq!(all.filter(|d| matches!(d, Decision::LetGo { .. })).count(), closed);
@@ -1191,7 +1191,7 @@
 #[rstest]
 fn equal_turns_are_ordered_by_tie_rank() {
     let mut r = router(&[]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     r.members[0].state = State::Healthy;
     (r.members[1].tie, r.members[2].tie) = (1, 0);
     assert_eq!(r.pick_reader(NOW, 1, 0), Some(2));
@@ -1206,11 +1206,11 @@
     #[case] read_sent: bool,
 ) {
     let mut r = router(&[]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     (1..3).for_each(|n| r.members[n].shut = true);
     (r.members[0].state, r.members[0].window) = (State::Healthy, 0.25);
     r.open.get_mut(&0).unwrap().out.insert(0, (0, NOW));
-    r.dispatch_ended(NOW, "cmd", ended(Ending::Answered, Some(true)));
+    r.dispatch_ended(NOW, "cmd", dispatch_end(Ending::Answered, Some(true)));
     assert_eq!(r.has_room(NOW + elapsed, 0, 1.0, 0.0), has_room);
     assert_eq!(r.pick_reader(NOW + elapsed, 1, 0).is_some(), read_sent);
 }
@@ -1224,7 +1224,7 @@
     #[case] allowed: bool,
 ) {
     let mut r = router(&[]);
-    open(&mut r, "bounded");
+    add_open_command(&mut r, "bounded");
     r.members[1].state = State::Healthy;
     noted.into_iter().for_each(|primary| match primary {
         true => _ = r.members[1].roles.claims_primary(NOW - 2),
@@ -1237,7 +1237,7 @@
 #[rstest]
 fn restarted_member_is_sent_nothing_immediately() {
     let mut r = router(&[]);
-    open(&mut r, "bounded");
+    add_open_command(&mut r, "bounded");
     r.members[1].position = NOW;
     let mut allowed = |_: &u32| {
         r.restarted(NOW, NOW, 1);
@@ -1259,7 +1259,7 @@
 #[case::not_permitted("false", false)]
 fn client_departure_calls_off_dispatches_as_permitted(#[case] cancel: &str, #[case] written: bool) {
     let mut r = router(&[("permissions.cancel", cancel)]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
     r.command_left("cmd");
     let call_off = Decision::CallOff { command: "cmd".into(), dispatch: 0, written };
@@ -1278,7 +1278,7 @@
 #[case::deadline_passed(|r: &mut Router| r.open.get_mut(&0).unwrap().ends = NOW + 2, false)]
 fn dispatch_is_checked_again_before_its_write(#[case] change: impl Fn(&mut Router), #[case] allowed: bool) {
     let mut r = router(&[]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
     change(&mut r);
     assert_eq!(r.may_write(NOW + 2, "cmd", 0), allowed);
@@ -1296,7 +1296,7 @@
     #[case] allowed: bool,
 ) {
     let mut r = router(&[]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     r.list_fails = list_fails;
     (r.members[1].turned_away, r.members[1].state) = (turned_away, state);
     assert_eq!(r.lawful_for(NOW, 0, 1) > 0, allowed);
@@ -1313,24 +1313,24 @@
     #[case] after: Tenths,
 ) {
     let mut r = router(&[]);
-    open(&mut r, "any");
+    add_open_command(&mut r, "any");
     r.members[1].turned_away = before;
     r.open.get_mut(&0).unwrap().out.insert(0, (1, sent));
-    r.dispatch_ended(NOW, "cmd", ended(ending, None));
+    r.dispatch_ended(NOW, "cmd", dispatch_end(ending, None));
     assert_eq!(r.members[1].turned_away, after);
 }
 
 #[rstest]
 fn duplicate_command_group_name_prevents_the_start() {
-    let told = [
+    let settings = [
         ("count", "2"),
         ("0.name", "a"),
         ("1.name", "a"),
         ("0.hard_limit_ms", "9"),
         ("1.hard_limit_ms", "9"),
     ];
-    let told = told.map(|(name, value)| (format!("request_classes.{name}"), value.to_owned())).into();
-    let error = Router::start(told, 7, NOW).err().expect("the duplicate name is rejected");
+    let settings = settings.map(|(name, value)| (format!("request_classes.{name}"), value.to_owned())).into();
+    let error = Router::start(settings, 7, NOW).err().expect("the duplicate name is rejected");
     assert_eq!(error, "expected another name for request_classes.1, found 'a' at 0 too");
 }
 
@@ -1346,9 +1346,9 @@
 #[case::dropped("request_classes.count", "4")]
 fn open_command_keeps_its_group_across_reconfiguration(#[case] name: &str, #[case] value: &str) {
     let mut r = router(&[]);
-    open(&mut r, "write");
+    add_open_command(&mut r, "write");
     let group = r.groups.places[4].clone();
-    r.reconfigure(told(&[(name, value)])).expect("complete settings");
+    r.reconfigure(settings(&[(name, value)])).expect("complete settings");
     assert_eq!(r.groups.places[r.open[&0].kind], group);
     assert_ne!(r.groups.named.get("write"), Some(&4));
     assert_eq!(r.order[0], 4, "the group of the open command stays first in the order: {:?}", r.order);
@@ -1369,7 +1369,7 @@
     #[case] applied: fn(&Router, usize) -> bool,
 ) {
     let mut r = router(&[]);
-    r.reconfigure(told(&[(name, value)])).expect("complete settings");
+    r.reconfigure(settings(&[(name, value)])).expect("complete settings");
     assert!(applied(&r, r.groups.named["write"]));
 }
 
@@ -1387,7 +1387,7 @@
 fn rejected_settings_leave_the_router_unchanged(#[case] name: &str, #[case] value: &str) {
     let mut r = router(&[]);
     let before = (r.told.clone(), r.groups.places.clone(), r.groups.named.clone(), r.order.clone());
-    let result = r.reconfigure(told(&[("request_classes.0.aim_ms", "77"), (name, value)]));
+    let result = r.reconfigure(settings(&[("request_classes.0.aim_ms", "77"), (name, value)]));
     assert!(result.is_err());
     assert_eq!((r.told, r.groups.places, r.groups.named, r.order), before);
 }
@@ -1398,8 +1398,9 @@
 #[case::renamed(&[("request_classes.0.name", "other")], 5)]
 fn command_group_slots_are_reused(#[case] change: &[(&str, &str)], #[case] most: usize) {
     let mut r = router(&[]);
-    (0..100)
-        .for_each(|i| r.reconfigure(told(if i % 2 == 0 { change } else { &[] })).expect("complete settings"));
+    (0..100).for_each(|i| {
+        r.reconfigure(settings(if i % 2 == 0 { change } else { &[] })).expect("complete settings")
+    });
     assert!(r.groups.places.len() <= most, "{}", r.groups.places.len());
 }
 
@@ -1412,7 +1413,7 @@
     let (usual, counted) = (r.usual(NOW, 0), r.shares["acme"].1);
     let (count, name, share) = ("projects.count", "projects.0.name", "projects.0.share");
     let change = [(count, "1"), (name, "acme"), (share, "0.2"), ("request_classes.0.importance", "3")];
-    r.reconfigure(told(&change)).expect("complete settings");
+    r.reconfigure(settings(&change)).expect("complete settings");
     assert_eq!((r.usual(NOW, r.groups.named["any"]), r.shares["acme"]), (usual, (0.2, counted)));
 }
 
@@ -1421,8 +1422,8 @@
 #[case::lower_benefit("0.1")]
 fn open_commands_do_not_shift_other_groups_in_the_pace_order(#[case] benefit: &str) {
     let mut r = router(&[]);
-    open(&mut r, "write");
-    let change = told(&[("request_classes.4.importance", benefit)]);
+    add_open_command(&mut r, "write");
+    let change = settings(&[("request_classes.4.importance", benefit)]);
     let behind = |r: &Router| r.order.iter().rev().position(|place| *place == r.groups.named["any"]);
     let alone = Router::start(change.clone(), 7, NOW).expect("complete settings");
     r.reconfigure(change).expect("complete settings");
@@ -1431,11 +1432,11 @@
 
 /// A write was dispatched to the member `b`, but this machine can't open its connection.
 fn fail_local_dial(r: &mut Router) {
-    open(r, "write");
+    add_open_command(r, "write");
     let cmd = r.open.get_mut(&0).unwrap();
     (cmd.dispatches, cmd.tried) = (1, vec![1]);
     cmd.out.insert(0, (1, NOW));
-    r.dispatch_ended(NOW, "cmd", ended(Ending::NotDialled, None));
+    r.dispatch_ended(NOW, "cmd", dispatch_end(Ending::NotDialled, None));
 }
 
 #[rstest]
@@ -1465,7 +1466,7 @@
 fn probe_with_a_local_dial_failure_is_repeated_and_not_held_against_the_member() {
     let mut r = router(&[]);
     (r.members[1].refused, r.members[1].probing) = (1, true);
-    r.probe_ended(NOW, "b", probed(Ending::NotDialled, Report::default()));
+    r.probe_ended(NOW, "b", probe_end(Ending::NotDialled, Report::default()));
     let m = &r.members[1];
     assert_eq!((m.state, m.fails, m.died, m.probing), (State::Unknown, 0, false, false));
     assert!(r.agenda.contains(&(m.dial_at, Task::Ask(1))));
@@ -1476,7 +1477,7 @@
     let mut r = router(&[]);
     for _ in 0..16 {
         assert_eq!(r.members[1].state, State::Unknown);
-        r.probe_ended(NOW, "b", probed(Ending::NotDialled, Report::default()));
+        r.probe_ended(NOW, "b", probe_end(Ending::NotDialled, Report::default()));
     }
     assert_eq!((r.members[1].state, r.members[1].died), (State::TransportError, false));
 }
@@ -1484,8 +1485,8 @@
 #[rstest]
 fn successful_dial_ends_the_dial_pause() {
     let mut r = router(&[]);
-    r.probe_ended(NOW, "b", probed(Ending::NotDialled, Report::default()));
-    r.probe_ended(NOW, "b", probed(Ending::Answered, Report::default()));
+    r.probe_ended(NOW, "b", probe_end(Ending::NotDialled, Report::default()));
+    r.probe_ended(NOW, "b", probe_end(Ending::Answered, Report::default()));
     assert_eq!((r.members[1].local_errors, r.members[1].dial_at), (0, 0));
 }
 
@@ -1494,8 +1495,8 @@
 #[case::older_than_its_last_answer(NOW - 5_000)]
 fn demotion_report_ends_the_age_exemption_of_a_primary(#[case] position: Tenths) {
     let mut r = router(&[]);
-    open(&mut r, "session");
-    r.learn_role(NOW, 0, claim(true, NOW));
+    add_open_command(&mut r, "session");
+    r.learn_role(NOW, 0, role_claim(true, NOW));
     (r.members[0].noted_at, r.members[0].position) = (NOW, position);
     let out = (0, NOW);
     r.open.get_mut(&0).unwrap().out.insert(0, out);
@@ -1505,7 +1506,7 @@
     r.probe_ended(
         NOW + 30,
         "a",
-        probed(Ending::Answered, Report { primary: Some(false), position: Some(position) }),
+        probe_end(Ending::Answered, Report { primary: Some(false), position: Some(position) }),
     );
     assert!(!r.may_write(NOW + 40, "cmd", 0), "a replica may lack the session's writes");
 }
@@ -1515,12 +1516,12 @@
 #[case::requested_before_the_report(11, false)]
 fn later_primary_answer_restores_the_age_exemption(#[case] took: Tenths, #[case] renews: bool) {
     let mut r = router(&[]);
-    open(&mut r, "session");
-    r.learn_role(NOW, 0, claim(true, NOW));
+    add_open_command(&mut r, "session");
+    r.learn_role(NOW, 0, role_claim(true, NOW));
     let replica = Report { primary: Some(false), position: Some(NOW - 5_000) };
-    r.probe_ended(NOW, "a", probed(Ending::Answered, replica));
+    r.probe_ended(NOW, "a", probe_end(Ending::Answered, replica));
     r.open.get_mut(&0).unwrap().out.insert(0, (0, NOW));
-    r.dispatch_ended(NOW + 10, "cmd", DispatchEnd { took, ..ended(Ending::Answered, Some(true)) });
+    r.dispatch_ended(NOW + 10, "cmd", DispatchEnd { took, ..dispatch_end(Ending::Answered, Some(true)) });
     let cmd = &r.open[&0];
     assert_eq!(r.takes_for(NOW + 20, cmd, &r.members[0]) > 0, renews);
 }
@@ -1536,7 +1537,7 @@
     #[case] allowed: bool,
 ) {
     let mut r = router(&[]);
-    open(&mut r, "bounded");
+    add_open_command(&mut r, "bounded");
     r.members[1].position = NOW;
     r.clock = MemberClock::default();
     exact.then(|| r.shares_clock());
@@ -1589,16 +1590,18 @@
 fn future_position_is_ignored(#[case] reported: Tenths, #[case] expected: Tenths) {
     for primary in [None, Some(true), Some(false)] {
         let mut r = router(&[]);
-        open(&mut r, "bounded");
+        add_open_command(&mut r, "bounded");
         r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW - 100));
-        let end =
-            DispatchEnd { note: Note { primary, position: reported }, ..ended(Ending::Answered, primary) };
+        let end = DispatchEnd {
+            note: Note { primary, position: reported },
+            ..dispatch_end(Ending::Answered, primary)
+        };
         r.dispatch_ended(NOW, "cmd", end);
         // A position that a member reports as the primary proves nothing of its data as a replica.
         let expected = if primary == Some(true) { 0 } else { expected };
         assert_eq!(r.members[1].position, expected, "{primary:?} in a note");
         let mut r = router(&[]);
-        r.probe_ended(NOW, "b", probed(Ending::Answered, Report { primary, position: Some(reported) }));
+        r.probe_ended(NOW, "b", probe_end(Ending::Answered, Report { primary, position: Some(reported) }));
         assert_eq!(r.members[1].position, expected, "{primary:?} in a report");
         assert_eq!(r.clock.now(NOW), NOW, "a single position does not move the clock");
     }
@@ -1607,9 +1610,9 @@
 #[rstest]
 fn events_record_state_changes_and_give_up_reasons() {
     let mut r = router(&[]);
-    open(&mut r, "write");
-    r.learn_role(NOW, 0, claim(true, NOW));
-    r.learn_role(NOW, 1, claim(true, NOW));
+    add_open_command(&mut r, "write");
+    r.learn_role(NOW, 0, role_claim(true, NOW));
+    r.learn_role(NOW, 1, role_claim(true, NOW));
     r.open.get_mut(&0).unwrap().maybe_ran = Some((0, NOW));
     r.settle(NOW, 0);
     let state = |node: &str, from, to, reason| Event::State { node: node.into(), from, to, reason };
@@ -1645,7 +1648,7 @@
     let refused = std::iter::from_fn(|| r.next_decision(NOW + 2 * r.tick)).next();
     assert_eq!(refused, None, "not given up while the probe is in flight");
     let report = Report { primary: Some(false), position: Some(NOW) };
-    r.probe_ended(NOW + 30, "b", probed(Ending::Answered, report));
+    r.probe_ended(NOW + 30, "b", probe_end(Ending::Answered, report));
     let sent = std::iter::from_fn(|| r.next_decision(NOW + 30))
         .any(|d| matches!(d, Decision::Dispatch { node, .. } if &*node == "b"));
     assert!(sent);
--- a/src/decide/withheld/tests.rs
+++ b/src/decide/withheld/tests.rs
@@ -5,7 +5,7 @@
 /// `a` is the primary and free, `b` and `c` are replicas with a position of now and room.
 fn at_ease(kind: &str) -> Router {
     let mut r = router(&[]);
-    open(&mut r, kind);
+    add_open_command(&mut r, kind);
     r.learn_role(NOW, 0, RoleClaim { primary: true, asked: NOW });
     for replica in [1, 2] {
         let m = &mut r.members[replica];
--- a/tests/stale_reads/main.rs
+++ b/tests/stale_reads/main.rs
@@ -7,12 +7,12 @@
 mod conditions;
 mod draw;
 mod members;
-mod play;
+mod simulation;
 
 use conditions::{Conditions, Fault, MILLISECOND, SECOND};
 use draw::SeededRng;
-use play::{Outcome, Simulation};
 use rstest::rstest;
+use simulation::{Outcome, Simulation};
 use std::ops::Range;
 use vetchkeel::Tenths;
 
