--- a/crates/capacity/src/tests.rs
+++ b/crates/capacity/src/tests.rs
@@ -633,7 +633,7 @@
 #[case::staying("crates/router/src/limits.rs", "const STAYING_COST: usize = 2_048;")]
 #[case::newcomers("crates/router/src/limits.rs", "const NEWCOMERS: usize = DEPLOYED_MOST / 12;")]
 #[case::deployed("crates/router/src/limits.rs", "const DEPLOYED_MOST: usize = 1_024;")]
-#[case::silence("crates/router/src/watch.rs", "const SILENCE_MOST: Tenths = 30_000;")]
+#[case::silence("crates/router/src/watch.rs", "const MAX_SILENCE: Tenths = 30_000;")]
 #[case::pause("src/decide.rs", "const PAUSE: Tenths = 1_000;")]
 #[case::period("crates/membership/src/plan.rs", "period: 5_000,")]
 #[case::patience("crates/membership/src/plan.rs", "patience: 4,")]
--- a/crates/router/src/capture.rs
+++ b/crates/router/src/capture.rs
@@ -2,14 +2,14 @@
 //! only by an operator file. Without the feature its functions do nothing.
 
 #[cfg(feature = "capture")]
-pub use on::{Begun, Capture};
+pub use on::{Capture, OpenRecord};
 
 #[cfg(not(feature = "capture"))]
-pub use off::{Begun, Capture};
+pub use off::{Capture, OpenRecord};
 
 /// The properties of a command that a capture records.
 #[cfg_attr(not(feature = "capture"), allow(dead_code))]
-pub struct Asked<'a> {
+pub struct CommandProperties<'a> {
     pub command_group: &'a str,
     pub customer: Option<&'a str>,
     pub set: i64,
@@ -19,7 +19,7 @@
 
 /// How a command ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum Outcome {
     /// Answered with a value of this many bytes.
     Answered(usize),
     Throttled,
@@ -29,10 +29,10 @@
 
 #[cfg(not(feature = "capture"))]
 mod off {
-    use super::{Asked, End};
+    use super::{CommandProperties, Outcome};
     use vetchkeel::{Id, Tenths};
 
-    pub struct Begun;
+    pub struct OpenRecord;
 
     pub struct Capture;
 
@@ -47,23 +47,23 @@
             Ok(Capture)
         }
 
-        pub fn begun(&self, _now: Tenths, _asked: Asked<'_>) -> Begun {
-            Begun
+        pub fn start_record(&self, _now: Tenths, _asked: CommandProperties<'_>) -> OpenRecord {
+            OpenRecord
         }
 
-        pub fn ended(&mut self, _now: Tenths, _begun: &Begun, _dispatches: u32, _end: End) {}
+        pub fn end_record(&mut self, _now: Tenths, _begun: &OpenRecord, _dispatches: u32, _end: Outcome) {}
 
         pub fn finish(self) {}
     }
 
-    impl Begun {
+    impl OpenRecord {
         pub fn dispatched(&mut self, _now: Tenths, _node: &Id) {}
     }
 }
 
 #[cfg(feature = "capture")]
 mod on {
-    use super::{Asked, End};
+    use super::{CommandProperties, Outcome};
     use std::fs::File;
     use std::path::Path;
     use std::sync::Arc;
@@ -73,7 +73,7 @@
     use vetchkeel_operator::OperatorFile;
 
     /// The record of a command in progress and its start time; None if capture is off.
-    pub struct Begun(Option<Box<(Record, Tenths)>>);
+    pub struct OpenRecord(Option<Box<(Record, Tenths)>>);
 
     pub struct Capture(Option<Recorder>);
 
@@ -112,7 +112,7 @@
             }
         }
 
-        pub fn begun(&self, now: Tenths, asked: Asked<'_>) -> Begun {
+        pub fn start_record(&self, now: Tenths, asked: CommandProperties<'_>) -> OpenRecord {
             let record = || Record {
                 arrived: now * 100,
                 command_group: Arc::from(asked.command_group),
@@ -127,16 +127,16 @@
                 dispatches: 0,
                 bytes: 0,
             };
-            Begun(self.0.as_ref().map(|_| Box::new((record(), now))))
+            OpenRecord(self.0.as_ref().map(|_| Box::new((record(), now))))
         }
 
-        pub fn ended(&mut self, now: Tenths, begun: &Begun, dispatches: u32, end: End) {
+        pub fn end_record(&mut self, now: Tenths, begun: &OpenRecord, dispatches: u32, end: Outcome) {
             let (Some(recorder), Some(begun)) = (&mut self.0, &begun.0) else { return };
             let (ending, bytes) = match end {
-                End::Answered(bytes) => (Ending::Answered, bytes as u64),
-                End::Throttled => (Ending::Throttled, 0),
-                End::Failed => (Ending::Failed, 0),
-                End::Left => (Ending::Left, 0),
+                Outcome::Answered(bytes) => (Ending::Answered, bytes as u64),
+                Outcome::Throttled => (Ending::Throttled, 0),
+                Outcome::Failed => (Ending::Failed, 0),
+                Outcome::Left => (Ending::Left, 0),
             };
             let latency = (now - begun.1).max(0) as u64 * 100;
             recorder.record(Record { ending, bytes, dispatches, latency, ..begun.0.clone() });
@@ -154,7 +154,7 @@
         }
     }
 
-    impl Begun {
+    impl OpenRecord {
         pub fn dispatched(&mut self, now: Tenths, node: &Id) {
             if let Some(begun) = &mut self.0 {
                 begun.0.member = Some(node.clone());
--- a/crates/router/src/catch_up.rs
+++ b/crates/router/src/catch_up.rs
@@ -55,7 +55,7 @@
     /// Reads all input that may forbid a write. A client's own connection is checked at each write (`see_leaving`).
     fn read_pending_input(&mut self) {
         self.last_poll = self.now;
-        self.hear_watch();
+        self.read_watches();
         self.accept_waiting();
         for key in self.clients.opening() {
             self.client_event(key, false);
--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -209,7 +209,7 @@
             |c: &&Client| Some(c.read) == before || (c.command.is_none() && !c.input.is_empty());
         let Some(client) = self.clients.table.get(key).filter(expects_more) else { return };
         let reads = !client.paused && matches!(client.stage, Stage::Opening | Stage::Ready | Stage::Skipping);
-        if readable && reads && !self.clients.reading_stopped && !client.retry.is_spent() {
+        if readable && reads && !self.clients.reading_stopped && !client.retry.is_at_maximum() {
             self.retry_client(key);
         }
     }
@@ -314,7 +314,7 @@
     /// succeed.
     fn retry_client(&mut self, key: ClientKey) {
         let Some(client) = self.clients.table.get_mut(key) else { return };
-        let at = self.now + client.retry.wait();
+        let at = self.now + client.retry.next_delay();
         self.deadlines.set(Due::RetryClient(key), at);
     }
 
@@ -657,7 +657,7 @@
     /// established connections that were not accepted, so at the connection limit it stays open while other clients may
     /// still make room.
     pub fn stop_accepting(&mut self) {
-        self.end_start();
+        self.finish_startup();
         self.accept_all();
         let again = self.now + ACCEPT_RETRY_INTERVAL;
         if self.clients.at_capacity && self.deadlines.time(Due::FinalAnswers).is_some_and(|last| again < last)
--- a/crates/router/src/commands.rs
+++ b/crates/router/src/commands.rs
@@ -2,7 +2,7 @@
 //! out its decisions.
 
 use crate::Program;
-use crate::capture::{Asked, Begun, End};
+use crate::capture::{CommandProperties, OpenRecord, Outcome};
 use crate::deadlines::Due;
 use crate::invariants::{AttemptStart, History, Invariants};
 use crate::keys::{ClientKey, CommandKey, Statement, Work};
@@ -37,7 +37,7 @@
     /// Attempts begun so far, for the run-time invariant checks.
     history: History,
     /// The command's record in the load capture.
-    begun: Begun,
+    begun: OpenRecord,
 }
 
 /// A result from a node: a finished dispatch or probe, or a role reported on connect.
@@ -190,7 +190,7 @@
             }
             None => 0,
         };
-        if !self.watch.holds_list() {
+        if !self.watch.has_list() {
             return Err(("57P03", "no member list is held yet".into()));
         }
         if !self.watch.sets.contains(&set) {
@@ -228,14 +228,14 @@
         let session = said.key.filter(|_| self.commands.sessions).map(str::to_owned);
         let repeat = said.repeat;
         let wait_at = said.wait_at.clone();
-        let asked = Asked {
+        let asked = CommandProperties {
             command_group: &command_group,
             customer: customer.as_deref(),
             set,
             key: said.key,
             time_left,
         };
-        let begun = self.capture.begun(self.now, asked);
+        let begun = self.capture.start_record(self.now, asked);
         let group = command_group.clone();
         let deadline = arrived + (wait.min(MAX_CLIENT_TIMEOUT_MS) * 10.0) as Tenths;
         let command =
@@ -263,7 +263,7 @@
         let Some(entry) = self.commands.table.get_mut(key) else { return };
         if entry.client.take().is_some() {
             self.counters.left += 1;
-            self.capture.ended(self.now, &entry.begun, entry.dispatches, End::Left);
+            self.capture.end_record(self.now, &entry.begun, entry.dispatches, Outcome::Left);
             self.commands.router.command_left(&entry.id);
         }
         self.forget(key);
@@ -278,7 +278,8 @@
             open.map(|(key, entry)| (key, entry.id.clone(), entry.dispatches == 0)).collect();
         for (key, id, never_sent) in open {
             let mut answer = Vec::new();
-            let (code, end) = if never_sent { ("53300", End::Throttled) } else { ("40003", End::Failed) };
+            let (code, end) =
+                if never_sent { ("53300", Outcome::Throttled) } else { ("40003", Outcome::Failed) };
             pgwire::error(&mut answer, false, code, "the process ends", None);
             self.commands.router.command_left(&id);
             if self.send_final_answer(&id, answer, end) {
@@ -344,8 +345,8 @@
                     entry.history.ended(dispatch, ending);
                     let client = if ending == Ending::Answered { entry.client.take() } else { None };
                     if client.is_some() {
-                        let end = End::Answered(answer.len());
-                        self.capture.ended(self.now, &entry.begun, entry.dispatches, end);
+                        let end = Outcome::Answered(answer.len());
+                        self.capture.end_record(self.now, &entry.begun, entry.dispatches, end);
                     }
                     let over = entry.client.is_none();
                     let end = DispatchEnd { dispatch, ending, took, idled, over, note, report };
@@ -447,7 +448,7 @@
                 entry.begun.dispatched(self.now, &node);
                 let statement = entry.statement.clone();
                 let work = Work::Dispatch(key, number);
-                self.begin(&node, work, statement, self.now + limit.max(0), until);
+                self.begin_work(&node, work, statement, self.now + limit.max(0), until);
             }
             Decision::Throttle { command, hold_off } => {
                 let detail = (hold_off > 0).then(|| (hold_off / 10).max(1).to_string());
@@ -459,14 +460,14 @@
                     "throttled: a repeat is harmless",
                     detail.as_deref(),
                 );
-                if self.send_final_answer(&command, answer, End::Throttled) {
+                if self.send_final_answer(&command, answer, Outcome::Throttled) {
                     self.counters.throttled += 1;
                 }
             }
             Decision::Fail { command } => {
                 let mut answer = Vec::new();
                 pgwire::error(&mut answer, false, "40003", "failed: the command may have run", None);
-                if self.send_final_answer(&command, answer, End::Failed) {
+                if self.send_final_answer(&command, answer, Outcome::Failed) {
                     self.counters.failed += 1;
                 }
             }
@@ -476,7 +477,7 @@
                 }
             }
             Decision::Probe { node } => self.probe(&node),
-            Decision::LetGo { node } => self.let_go(&node),
+            Decision::LetGo { node } => self.close_idle_conns(&node),
             // Danger: a member that was listed again in the same round would lose its new address.
             Decision::Forget { node } if self.commands.router.knows(&node) => {}
             Decision::Forget { node } => self.forget_node(&node),
@@ -494,7 +495,7 @@
     }
 
     /// Sends a command's final answer. Returns false if no client waits for it.
-    fn send_final_answer(&mut self, command: &Id, answer: Vec<u8>, end: End) -> bool {
+    fn send_final_answer(&mut self, command: &Id, answer: Vec<u8>, end: Outcome) -> bool {
         self.check_answer(command);
         let Some(&key) = self.commands.by_id.get(command) else {
             log!("the decision module answered a command that is not open");
@@ -503,7 +504,7 @@
         let entry = self.commands.table.get_mut(key);
         let client = entry.and_then(|t| {
             let client = t.client.take();
-            client.is_some().then(|| self.capture.ended(self.now, &t.begun, t.dispatches, end));
+            client.is_some().then(|| self.capture.end_record(self.now, &t.begun, t.dispatches, end));
             client
         });
         self.forget(key);
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -51,7 +51,7 @@
             Ok(Configuration)
         }
 
-        pub fn is_held_elsewhere(&self) -> bool {
+        pub fn is_held_by_control_machines(&self) -> bool {
             false
         }
 
@@ -101,7 +101,7 @@
     use vetchkeel_membership::Change;
 
     /// Maximum changes queued for the loop. When the queue is full, the full view is sent as soon as there is room.
-    const TOLD: usize = 256;
+    const MAX_PENDING_UPDATES: usize = 256;
     /// Maximum requests queued for the thread.
     const MAX_REQUESTS: usize = 8;
     /// How often the loop checks the thread's heartbeat.
@@ -179,7 +179,7 @@
             // ring was read would be lost.
             let ended = thread.loop_side.ended().cloned();
             // At most one full queue per call, because the loop has other work.
-            for _ in 0..TOLD {
+            for _ in 0..MAX_PENDING_UPDATES {
                 match thread.loop_side.next() {
                     None => break,
                     Some(FleetUpdate::Change(change)) => {
@@ -323,7 +323,7 @@
             let waker = host.waker();
             let loop_side = LoopSide::start(
                 "fleet",
-                (TOLD, MAX_REQUESTS),
+                (MAX_PENDING_UPDATES, MAX_REQUESTS),
                 move || ping.ping(),
                 move |i, wake| host.run(i, wake),
             );
--- a/crates/router/src/fleet/configuration.rs
+++ b/crates/router/src/fleet/configuration.rs
@@ -62,7 +62,7 @@
     }
 
     /// Whether control machines hold the settings.
-    pub fn is_held_elsewhere(&self) -> bool {
+    pub fn is_held_by_control_machines(&self) -> bool {
         self.thread.is_some()
     }
 
--- a/crates/router/src/fleet/file.rs
+++ b/crates/router/src/fleet/file.rs
@@ -8,7 +8,7 @@
 use vetchkeel_operator::{OperatorFile, Section, Wrong};
 
 /// Maximum number of `seed` blocks and of `via` blocks in one file: the size of the whole fleet for each.
-pub const MOST_NAMED: usize = MOST_INSTANCES;
+pub const MAX_NAMED_ROUTERS: usize = MOST_INSTANCES;
 
 /// The validated contents of the file.
 #[derive(Debug)]
@@ -35,8 +35,10 @@
         let label = block.label.unwrap_or_default();
         let expected = "a label that is a router's name: 1 to 32 letters, digits, '-', '_' or '.'";
         let name = super::name_of(&label).ok_or_else(|| block.section.wrong(expected, label))?;
-        if all.len() == MOST_NAMED {
-            return Err(block.section.wrong(format!("at most {MOST_NAMED} blocks {what}"), "a further one"));
+        if all.len() == MAX_NAMED_ROUTERS {
+            return Err(block
+                .section
+                .wrong(format!("at most {MAX_NAMED_ROUTERS} blocks {what}"), "a further one"));
         }
         all.insert(name, address(&block.section)?);
         block.section.done()?;
--- a/crates/router/src/fleet/host.rs
+++ b/crates/router/src/fleet/host.rs
@@ -1,7 +1,7 @@
 //! The thread that runs the membership protocol on the link's sockets. All decisions are made by the membership crate.
 
 use super::duty::ThreadSide;
-use super::file::{FleetSettings, MOST_NAMED};
+use super::file::{FleetSettings, MAX_NAMED_ROUTERS};
 use super::view::{FleetUpdate, View};
 use crate::Clock;
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,14 +19,14 @@
 /// Maximum datagram size in bytes: the longest membership message, and room for the link's envelope.
 const MAX_DATAGRAM_BYTES: usize = LONGEST + 200;
 /// Maximum events processed before decisions are pulled, so that a flood of messages does not starve the membership.
-const EVENTS: usize = 4_096;
+const MAX_EVENTS_PER_TURN: usize = 4_096;
 /// The longest sleep of the thread, and so the longest interval between its heartbeats.
 const MAX_SLEEP: Tenths = 2_000;
 /// How often the full view is sent, in addition to its changes.
 const FULL_VIEW_INTERVAL: Tenths = 600_000;
 /// Maximum number of addresses whose names are known. At the maximum only those of the view and of the seeds are kept.
 /// Danger: if it were no larger than the view and the seeds together, the map would be rebuilt at each message.
-const ADDRESSES: usize = 2 * (MOST_INSTANCES + MOST_NAMED);
+const MAX_NAMED_ADDRESSES: usize = 2 * (MOST_INSTANCES + MAX_NAMED_ROUTERS);
 
 /// A request from the loop.
 pub enum Request {
@@ -127,7 +127,7 @@
     /// timers that are due.
     fn receive(&mut self) {
         let now = self.clock.now();
-        for _ in 0..EVENTS {
+        for _ in 0..MAX_EVENTS_PER_TURN {
             match self.sockets.poll(now) {
                 None => return,
                 Some(Event::Datagram { kind: MEMBERSHIP, body, .. }) => match decode(&body) {
@@ -151,7 +151,7 @@
         if message.fleet != self.settings.plan.fleet {
             return;
         }
-        if self.names_by_address.len() >= ADDRESSES {
+        if self.names_by_address.len() >= MAX_NAMED_ADDRESSES {
             let seen = self.membership.view().map(|s| (s.instance.address, link_name(&s.instance.name)));
             let seeds = self.settings.seeds.iter().map(|(name, at)| (*at, link_name(name)));
             self.names_by_address = seen.chain(seeds).filter_map(|(at, name)| Some((at, name?))).collect();
--- a/crates/router/src/fleet/view.rs
+++ b/crates/router/src/fleet/view.rs
@@ -6,7 +6,7 @@
 
 /// Maximum number of names: those of the membership, and as many that it has removed since the full view was last sent.
 /// Further names are ignored until the full view is sent again.
-const MOST: usize = 2 * MOST_INSTANCES;
+const MAX_NAMES: usize = 2 * MOST_INSTANCES;
 
 /// An update from the thread to the loop.
 pub enum FleetUpdate {
@@ -52,7 +52,7 @@
     }
 
     fn insert_alive(&mut self, instance: &Instance) {
-        if self.others.len() < MOST || self.others.contains_key(&instance.name) {
+        if self.others.len() < MAX_NAMES || self.others.contains_key(&instance.name) {
             self.others.insert(instance.name.clone(), (instance.start, RouterState::Alive));
         }
     }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -43,7 +43,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use transient::is_local;
+use transient::is_local_failure;
 use vetchkeel::{Tenths, Told};
 use vetchkeel_log::log;
 use watch::Watch;
@@ -146,7 +146,7 @@
         match listen(address) {
             Ok(listener) => return Ok(listener),
             Err(e)
-                if is_local(&e)
+                if is_local_failure(&e)
                     && e.kind() != ErrorKind::PermissionDenied
                     && began.elapsed() < LISTEN_TIMEOUT =>
             {
@@ -234,7 +234,7 @@
             let broken = |p: &mut Program| p.break_conn(key, Cause::Garbled);
             self.guarded("a node's connection", |p| p.conn_event(key, false), broken);
         }
-        self.guarded("the watch", Program::hear_watch, |p| p.break_watch("a panic"));
+        self.guarded("the watch", Program::read_watches, |p| p.break_watch("a panic"));
     }
 
     /// Runs the steps that follow each poll of the event loop.
@@ -257,8 +257,8 @@
                 Due::RetryWatch => self.retry_watch_now(),
                 Due::Message(key) => self.end_overdue_client(key),
                 Due::Accept => self.accept(),
-                Due::Watch => self.watch_silent(),
-                Due::Start => self.end_start(),
+                Due::Watch => self.handle_watch_timeout(),
+                Due::Start => self.finish_startup(),
                 Due::Stop => self.stop_accepting(),
                 Due::FinalAnswers => last = true,
             }
@@ -314,7 +314,7 @@
             Ok(start) => start,
             Err(why) => return log!("reload: the configuration stays as it is: {why}"),
         };
-        if self.configuration.is_held_elsewhere() {
+        if self.configuration.is_held_by_control_machines() {
             log!(
                 "reload: the settings come from the control machines; those of the file apply only until a control machine is reached"
             );
@@ -330,7 +330,7 @@
         {
             log!("reload: '{name}' has changed, which takes effect at the next start");
         }
-        self.move_watch(start.discovery);
+        self.change_discovery_address(start.discovery);
     }
 
     /// Applies new settings from now on, all of them or none; called between two rounds of the event loop. The error is
--- a/crates/router/src/nodes.rs
+++ b/crates/router/src/nodes.rs
@@ -13,7 +13,7 @@
 use crate::keys::{CommandKey, ConnKey, Statement, Work};
 use crate::leaving::{Unread, unread};
 use crate::reasons::MemberClose;
-use crate::transient::{Backoff, is_local, is_transient};
+use crate::transient::{Backoff, is_local_failure, is_transient};
 use crate::{Program, tenths};
 use answer::{Answer, trusted};
 use calloop::generic::Generic;
@@ -155,7 +155,7 @@
 
 /// Classifies a failed dial: a fault of this machine or of the connection.
 fn dial_cause(error: &io::Error) -> Cause {
-    if is_local(error) { Cause::Local } else { Cause::Broken }
+    if is_local_failure(error) { Cause::Local } else { Cause::Broken }
 }
 
 impl Conn {
@@ -200,12 +200,12 @@
     /// Sends a health probe to a member.
     pub fn probe(&mut self, node: &Id) {
         let limit_at = self.now + self.nodes.dial_limit;
-        self.begin(node, Work::Probe, self.nodes.probe.clone(), limit_at, limit_at);
+        self.begin_work(node, Work::Probe, self.nodes.probe.clone(), limit_at, limit_at);
     }
 
     /// Assigns work to a pooled connection, or to a new one that it starts to dial. A statement that is not completely
     /// written by `until` is not written any more.
-    pub fn begin(
+    pub fn begin_work(
         &mut self,
         node: &Id,
         work: Work,
@@ -332,7 +332,7 @@
         let before = self.nodes.conns.get(key).map(|c| c.reads);
         self.conn_ready(key);
         let incomplete = self.nodes.conns.get(key).filter(|c| Some(c.reads) == before || c.awaits_more());
-        if readable && incomplete.is_some_and(|c| !c.retry.is_spent()) {
+        if readable && incomplete.is_some_and(|c| !c.retry.is_at_maximum()) {
             self.retry_conn(key);
         }
     }
@@ -360,7 +360,7 @@
     /// Schedules a retry of a system call that failed transiently. Danger: there may be no event when it would succeed.
     fn retry_conn(&mut self, key: ConnKey) {
         let Some(conn) = self.nodes.conns.get_mut(key) else { return };
-        let at = self.now + conn.retry.wait();
+        let at = self.now + conn.retry.next_delay();
         self.deadlines.set(Due::RetryConn(key), at);
     }
 
@@ -453,7 +453,7 @@
             Work::Probe => {
                 // A machine that disappears leaves pooled connections open without a reply, and resets them once it is back.
                 if matches!(outcome, Ending::ConnectFailed | Ending::TimedOut | Ending::Reset) {
-                    self.let_go(&node);
+                    self.close_idle_conns(&node);
                 }
                 News::Probe { node, ending: outcome, asked, note, report }
             }
@@ -506,7 +506,7 @@
     }
 
     /// Closes the idle pooled connections to a member.
-    pub fn let_go(&mut self, node: &str) {
+    pub fn close_idle_conns(&mut self, node: &str) {
         let idle = self.nodes.members.get_mut(node).map(|m| std::mem::take(&mut m.idle)).unwrap_or_default();
         idle.into_iter().for_each(|key| self.drop_conn(key, MemberClose::LetGo));
     }
@@ -514,7 +514,7 @@
     /// Removes a member. Statements that are in flight there may finish.
     pub fn forget_node(&mut self, node: &Id) {
         self.invariants.forgotten(node);
-        self.let_go(node);
+        self.close_idle_conns(node);
         self.nodes.members.remove(node);
     }
 
@@ -527,7 +527,7 @@
         member.address = address.or(member.address);
         member.started = started;
         if changed {
-            self.let_go(node);
+            self.close_idle_conns(node);
         }
         // Danger: a statement that is not completely written yet would run on whichever server now has the old address.
         let elsewhere = |c: &Conn| c.node == *node && moved && Some(c.address) != address;
--- a/crates/router/src/nodes/writing.rs
+++ b/crates/router/src/nodes/writing.rs
@@ -16,7 +16,7 @@
     /// then are read first, as they would otherwise be read as the answer.
     pub fn write_nodes(&mut self) {
         if !self.nodes.writable.is_empty() {
-            self.hear_watch();
+            self.read_watches();
             self.accept_waiting();
         }
         for key in std::mem::take(&mut self.nodes.writable) {
--- a/crates/router/src/transient.rs
+++ b/crates/router/src/transient.rs
@@ -16,7 +16,7 @@
 
 /// Whether a dial failed because this machine lacked a port, a socket, a buffer, a route or the permission to send. Such a
 /// failure shows nothing about the other end.
-pub fn is_local(error: &io::Error) -> bool {
+pub fn is_local_failure(error: &io::Error) -> bool {
     is_transient(error) || error.raw_os_error().is_none_or(|code| LOCAL_ERRORS.contains(&code))
 }
 
@@ -44,14 +44,14 @@
 
 impl Backoff {
     /// Returns the next delay and doubles the one after it.
-    pub fn wait(&mut self) -> Tenths {
+    pub fn next_delay(&mut self) -> Tenths {
         let wait = self.0;
         self.0 = (2 * wait).min(MAX_DELAY);
         wait
     }
 
     /// Whether the maximum delay has been reached.
-    pub fn is_spent(&self) -> bool {
+    pub fn is_at_maximum(&self) -> bool {
         self.0 == MAX_DELAY
     }
 
--- a/crates/router/src/transient/tests.rs
+++ b/crates/router/src/transient/tests.rs
@@ -22,16 +22,16 @@
 #[case(libc::EHOSTUNREACH, false)]
 #[case(libc::ETIMEDOUT, false)]
 fn local_dial_failures_are_recognised(#[case] error: i32, #[case] local: bool) {
-    assert_eq!(is_local(&io::Error::from_raw_os_error(error)), local);
+    assert_eq!(is_local_failure(&io::Error::from_raw_os_error(error)), local);
 }
 
 #[rstest]
 fn backoff_doubles_up_to_maximum_and_resets_after_success() {
     let mut backoff = Backoff::default();
-    let waits: Vec<Tenths> = (0..9).map(|_| backoff.wait()).collect();
+    let waits: Vec<Tenths> = (0..9).map(|_| backoff.next_delay()).collect();
     assert_eq!(waits, [10, 20, 40, 80, 160, 320, 640, 640, 640]);
-    assert!(backoff.is_spent());
+    assert!(backoff.is_at_maximum());
     backoff.reset();
-    assert!(!backoff.is_spent());
-    assert_eq!(backoff.wait(), MIN_DELAY);
+    assert!(!backoff.is_at_maximum());
+    assert_eq!(backoff.next_delay(), MIN_DELAY);
 }
--- a/crates/router/src/watch.rs
+++ b/crates/router/src/watch.rs
@@ -17,14 +17,14 @@
 /// Danger: a change that a silent watch misses counts as known to this router 6 s after the watch fell silent. While nothing
 /// changes, the agent sends an empty line every 2 s. 1 s after a missing line the watch is broken, so that two new watches
 /// can be requested and fail to answer within the 6 s.
-const SILENCE_MOST: Tenths = 30_000;
+const MAX_SILENCE: Tenths = 30_000;
 /// Limit from the request to the first byte, and to the last byte of the list where the full list is requested. The agent
 /// runs on this machine and answers at once.
-const FIRST_MOST: Tenths = 10_000;
+const RESPONSE_TIMEOUT: Tenths = 10_000;
 /// How long the start waits for the agent before the router serves by the list known at the start; and how long after its
 /// start a process without any list reports that it is ready nevertheless.
-const START_MOST: Tenths = 10_000;
-const UNTOLD_MOST: Tenths = 50_000;
+const STARTUP_LIST_TIMEOUT: Tenths = 10_000;
+const READY_WITHOUT_LIST_AFTER: Tenths = 50_000;
 
 /// State of the watch of discovery.
 pub struct Watch {
@@ -84,7 +84,7 @@
             generation: 0,
             known_at_start,
             starting: true,
-            ready_without_list_at: now + UNTOLD_MOST,
+            ready_without_list_at: now + READY_WITHOUT_LIST_AFTER,
             retry: Backoff::default(),
             reads: 0,
             sets: BTreeSet::new(),
@@ -92,13 +92,13 @@
     }
 
     /// True once there is a list.
-    pub fn holds_list(&self) -> bool {
+    pub fn has_list(&self) -> bool {
         !self.sets.is_empty()
     }
 
     /// True once discovery allows commands to be accepted.
     pub fn is_ready(&self, now: Tenths) -> bool {
-        self.holds_list() || self.ready_without_list_at <= now
+        self.has_list() || self.ready_without_list_at <= now
     }
 
     /// True until the start no longer waits for the agent's list.
@@ -110,19 +110,19 @@
 impl Program {
     /// Opens the first watch and limits how long the start waits for it.
     pub fn start_watch(&mut self) {
-        self.deadlines.set(Due::Start, self.now + START_MOST);
+        self.deadlines.set(Due::Start, self.now + STARTUP_LIST_TIMEOUT);
         self.open_watch();
     }
 
     /// Ends the start, once the agent has sent its list or the wait for it has timed out. From now on clients are accepted.
-    pub fn end_start(&mut self) {
+    pub fn finish_startup(&mut self) {
         if !std::mem::take(&mut self.watch.starting) {
             return;
         }
         self.deadlines.clear(Due::Start);
-        let took = (self.now + UNTOLD_MOST - self.watch.ready_without_list_at) / 10;
+        let took = (self.now + READY_WITHOUT_LIST_AFTER - self.watch.ready_without_list_at) / 10;
         let known_at_start = self.watch.known_at_start.take();
-        let basis = match (&known_at_start, self.watch.holds_list()) {
+        let basis = match (&known_at_start, self.watch.has_list()) {
             (None, true) => "the list of discovery",
             (None, false) => "no list",
             (Some(_), _) => "the list known at the start, as discovery has not answered",
@@ -151,7 +151,7 @@
             });
             Ok((stream, token.map_err(|e| io::Error::other(e.to_string()))?))
         });
-        self.deadlines.set(Due::Watch, self.now + FIRST_MOST);
+        self.deadlines.set(Due::Watch, self.now + RESPONSE_TIMEOUT);
         match opened {
             Ok((stream, token)) => {
                 let full = self.watch.request_full || self.watch.version == 0;
@@ -180,7 +180,7 @@
     /// Handles a silent watch. The full list is requested next, because it arrives at once: an answer that stalls is
     /// detected well within the permitted silence. A watch that was never answered stays open until the next one replaces
     /// it, as the agent may answer before then.
-    pub fn watch_silent(&mut self) {
+    pub fn handle_watch_timeout(&mut self) {
         self.watch.request_full = true;
         if let Some(current) = self.watch.current.as_mut().filter(|current| !current.received_any) {
             current.overdue = true;
@@ -194,7 +194,7 @@
     /// Applies the address of discovery after a reload. The current list stays in use, and the watch at the previous address
     /// continues until the new one has received its list. The new watch requests the full list, because the versions at the
     /// new address may be unrelated.
-    pub fn move_watch(&mut self, address: SocketAddr) {
+    pub fn change_discovery_address(&mut self, address: SocketAddr) {
         if self.watch.address == address {
             return log!("reload: discovery stays at {address}");
         }
@@ -234,15 +234,15 @@
     fn watch_event(&mut self, generation: u64, readable: bool) {
         let before = self.watch.reads;
         self.watch_ready(generation);
-        if readable && self.watch.reads == before && !self.watch.retry.is_spent() {
+        if readable && self.watch.reads == before && !self.watch.retry.is_at_maximum() {
             self.retry_watch();
         }
     }
 
     pub fn retry_watch_now(&mut self) {
         let before = self.watch.reads;
-        self.hear_watch();
-        if self.watch.reads == before && !self.watch.retry.is_spent() {
+        self.read_watches();
+        if self.watch.reads == before && !self.watch.retry.is_at_maximum() {
             self.retry_watch();
         }
     }
@@ -262,12 +262,12 @@
 
     /// Schedules a retry of a system call that failed transiently. Danger: there may be no event when it would succeed.
     fn retry_watch(&mut self) {
-        let at = self.now + self.watch.retry.wait();
+        let at = self.now + self.watch.retry.next_delay();
         self.deadlines.set(Due::RetryWatch, at);
     }
 
     /// Processes everything that the agent has sent so far.
-    pub fn hear_watch(&mut self) {
+    pub fn read_watches(&mut self) {
         let generations: Vec<u64> =
             self.watch.current.iter().chain(&self.watch.previous).map(|o| o.generation).collect();
         generations.into_iter().for_each(|generation| self.watch_ready(generation));
@@ -315,11 +315,11 @@
             let alive =
                 !values.is_empty() || !awaits_list && (made_progress || first_bytes && !connection.overdue);
             if !previous && alive {
-                self.deadlines.set(Due::Watch, self.now + SILENCE_MOST);
+                self.deadlines.set(Due::Watch, self.now + MAX_SILENCE);
             } else if !previous && self.deadlines.time(Due::Watch).is_none() {
                 // Danger: an overdue answer that begins before the next request keeps its watch, and may stall after these
                 // bytes. So it needs a deadline of its own.
-                self.deadlines.set(Due::Watch, self.now + FIRST_MOST);
+                self.deadlines.set(Due::Watch, self.now + RESPONSE_TIMEOUT);
             }
             if !previous && body == 0 && made_progress && !awaits_list && values.is_empty() {
                 // Nothing has changed and the watch works, which ends the module's backoff.
@@ -364,7 +364,7 @@
             }
         }
         self.apply_list(sheet);
-        self.end_start();
+        self.finish_startup();
         Ok(())
     }
 
