--- a/crates/log/examples/lines.rs
+++ b/crates/log/examples/lines.rs
@@ -1,4 +1,4 @@
-//! Writes so many lines to the log, as `tests/streams.rs` asks, and says on the standard output that it got to its end.
+//! Writes the given number of lines to the log and then prints `done` on standard output. Used by `tests/streams.rs`.
 
 use vetchkeel_log::log_up_to;
 
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,7 +1,7 @@
-//! The log: lines on the standard error stream, which never hold up the loop and never fail. Each place that logs may
-//! write a few lines a second; what was left out is counted and said with its next line. What the stream doesn't take
-//! at once is lost, and counted too. A line ends with its time by this machine's wall clock, in UTC: that clock may be
-//! wrong, and whoever sorts or groups lines does so by their beginning.
+//! The log: lines on standard error. Logging never blocks the event loop and never fails. Each log statement is
+//! limited to a few lines a second; the number of suppressed lines is added to its next line. Lines that the stream
+//! does not accept at once are lost, and counted too. A line ends with its time by this machine's wall clock, in UTC:
+//! that clock may be wrong, so the time comes last and lines are sorted and grouped by their beginning.
 
 use std::fmt::Arguments;
 use std::io::{ErrorKind, Write, stderr};
@@ -9,20 +9,20 @@
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering::Relaxed};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Enough to see what happens; no service depends on it.
+/// The limit for each log statement. Enough to see what happens; no service depends on it.
 pub const LINES_A_SECOND: u32 = 5;
-/// What a pipe that says it has room takes whole (`PIPE_BUF`). Longer lines are cut.
+/// The size of a write that a writable pipe accepts atomically (`PIPE_BUF`). Longer lines are truncated.
 const LONGEST: usize = 4_096;
-/// So often a look at the stream is made again that a signal ended.
+/// The maximum number of `poll` calls when signals interrupt them.
 const LOOKS_MOST: usize = 8;
-/// The first second that has no date of four digits for its year.
+/// The first second whose year has more than four digits.
 const YEAR_10000: Duration = Duration::from_secs(253_402_300_800);
 
 static START: LazyLock<Instant> = LazyLock::new(Instant::now);
-/// Lines lost since the last one that was written.
+/// The number of lines lost since the last line that was written.
 static LOST: AtomicU64 = AtomicU64::new(0);
 
-/// What one place has written in the current second.
+/// A rate limiter for one log statement: counts its lines in the current second.
 pub struct Gate {
     most: u32,
     second: AtomicU64,
@@ -30,12 +30,12 @@
 }
 
 impl Gate {
-    /// Lets so many lines a second through.
+    /// A limiter that admits `most` lines a second.
     pub const fn new(most: u32) -> Gate {
         Gate { most, second: AtomicU64::new(u64::MAX), lines: AtomicU32::new(0) }
     }
 
-    /// How many lines were left out before this one, or None if this one is left out too.
+    /// The number of lines suppressed before this one, or None if this one is suppressed too.
     pub fn open(&self) -> Option<u32> {
         if is_lifted() {
             return Some(0);
@@ -51,18 +51,18 @@
     }
 }
 
-/// Whether the limits are lifted, for whoever traces single commands.
+/// Whether `VETCHKEEL_LOG=all` disables the rate limits, to trace single commands.
 pub fn is_lifted() -> bool {
     static LIFTED: LazyLock<bool> =
         LazyLock::new(|| std::env::var_os("VETCHKEEL_LOG").is_some_and(|v| v == "all"));
     *LIFTED
 }
 
-/// Whether the stream takes a line now. Danger: a pipe that nobody reads would hold up the process for ever.
+/// Whether the stream accepts a line now. Without this check, a pipe that nobody reads would block the process forever.
 fn takes_a_line() -> bool {
     let mut asked = libc::pollfd { fd: libc::STDERR_FILENO, events: libc::POLLOUT, revents: 0 };
     for _ in 0..LOOKS_MOST {
-        // SAFETY: the system reads and writes this one value.
+        // SAFETY: the pointer refers to one valid `pollfd`, which matches the count of 1.
         let answered = unsafe { libc::poll(&mut asked, 1, 0) };
         if answered >= 0 || std::io::Error::last_os_error().kind() != ErrorKind::Interrupted {
             return answered == 1 && asked.revents & libc::POLLOUT != 0;
@@ -71,13 +71,13 @@
     false
 }
 
-/// Writes a line, or several, as far as the stream takes it at once. Danger: `eprintln` panics where the stream is
-/// closed, full or on a full disk.
+/// Writes one or more lines if the stream accepts them at once. `eprintln` is not used because it panics if the stream
+/// is closed, full or on a full disk.
 pub fn write_line(text: Arguments) {
     let lost = LOST.load(Relaxed);
     let mut line = match lost {
         0 => text.to_string(),
-        lost => format!("{text} ({lost} lines before this were lost)"),
+        lost => format!("{text} ({lost} preceding lines were lost)"),
     };
     if line.len() >= LONGEST {
         line.truncate(line.floor_char_boundary(LONGEST - 1));
@@ -87,12 +87,12 @@
     LOST.store(if written { 0 } else { lost + 1 }, Relaxed);
 }
 
-/// Writes a line with its time behind it.
+/// Writes a line followed by its time.
 pub fn write_dated(text: Arguments) {
     write_line(format_args!("{text} at {}", date(SystemTime::now())));
 }
 
-/// A time as text. Danger: a wall clock may be stepped to where dates have no text, and a line that panics is none.
+/// Formats a time. A wall clock may be set to a time that has no date text, and formatting must not panic then.
 fn date(at: SystemTime) -> String {
     match at.duration_since(UNIX_EPOCH) {
         Ok(since) if since < YEAR_10000 => humantime::format_rfc3339_millis(at).to_string(),
@@ -101,18 +101,18 @@
     }
 }
 
-/// Panics are logged like all else.
+/// Installs a panic hook that writes panics to the log.
 pub fn log_panics() {
     std::panic::set_hook(Box::new(|panic| write_dated(format_args!("{panic}"))));
 }
 
-/// A line, of which each place writes a few a second.
+/// Logs a line, limited to `LINES_A_SECOND` for each log statement.
 #[macro_export]
 macro_rules! log {
     ($($part:tt)*) => { $crate::log_up_to!($crate::LINES_A_SECOND, $($part)*) };
 }
 
-/// A line of which its place writes up to so many a second.
+/// Logs a line, limited to `$most` lines a second for this log statement.
 #[macro_export]
 macro_rules! log_up_to {
     ($most:expr, $($part:tt)*) => {{
@@ -120,7 +120,7 @@
         match GATE.open() {
             Some(0) => $crate::write_dated(format_args!($($part)*)),
             Some(left_out) => $crate::write_dated(format_args!(
-                "{} ({left_out} more like this left out)",
+                "{} ({left_out} similar lines suppressed)",
                 format_args!($($part)*)
             )),
             None => {}
@@ -128,7 +128,7 @@
     }};
 }
 
-/// A line for whoever traces single commands; else none.
+/// Logs a line only if the rate limits are disabled, to trace single commands.
 #[macro_export]
 macro_rules! log_trace {
     ($($part:tt)*) => {
@@ -138,8 +138,8 @@
     };
 }
 
-/// Writes whatever one place says, however often, without a time, as scripts read it: counters, where a program serves, and
-/// why it ends.
+/// Writes a line without limit and without a time, for scripts to read: counters, the address that a program serves on,
+/// and why it ends.
 #[macro_export]
 macro_rules! log_always {
     ($($part:tt)*) => {
--- a/crates/log/tests/streams.rs
+++ b/crates/log/tests/streams.rs
@@ -1,19 +1,20 @@
-//! What the log gives where its stream is a file, a pipe that is read late or never, a full disk, or closed: never a
-//! program that waits or ends, and as many lines as the stream takes.
+//! Logging to a pipe that is read late or never, to a full disk and to a closed stream: the program never blocks or
+//! exits because of the log, and as many lines are written as the stream accepts.
 
 use rstest::rstest;
 use std::io::Read;
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 
-/// Built beside the tests.
+/// The path of the example program, which is built beside the tests.
 fn example() -> PathBuf {
     let test = std::env::current_exe().expect("this test's path");
     let folder = test.parent().and_then(|deps| deps.parent()).expect("the folder of the build");
     folder.join("examples/lines")
 }
 
-/// Runs it to its end through a shell that leads its error stream there.
+/// Runs the example to its end through a shell that redirects its standard error, and returns whether it succeeded and
+/// the lines it logged.
 fn lines_of(count: usize, leads_to: &str) -> (bool, String) {
     let script = format!("exec '{}' {count} {leads_to}", example().display());
     let child =
@@ -21,14 +22,14 @@
     let mut child = child.expect("a shell");
     let mut said = String::new();
     child.stdout.take().expect("piped").read_to_string(&mut said).expect("text");
-    // Only now: the program has ended, whatever the stream took.
+    // Read only after the program has ended, so that a full pipe stays full while it runs.
     let mut lines = String::new();
     child.stderr.take().expect("piped").read_to_string(&mut lines).expect("text");
     (said == "done\n" && child.wait().expect("a child").success(), lines)
 }
 
 #[rstest]
-fn a_pipe_that_is_read_at_the_end_has_the_lines_each_with_its_time_behind_it() {
+fn pipe_read_after_exit_holds_all_lines_with_their_times() {
     let (ended, lines) = lines_of(100, "");
     assert!(ended);
     assert_eq!(lines.lines().count(), 100);
@@ -36,7 +37,7 @@
 }
 
 #[rstest]
-fn a_pipe_that_nobody_reads_keeps_the_first_lines_and_holds_up_nobody() {
+fn unread_pipe_keeps_first_lines_without_blocking() {
     let (ended, lines) = lines_of(20_000, "");
     assert!(ended);
     assert!(lines.starts_with("line 0 at "));
@@ -44,8 +45,8 @@
 }
 
 #[rstest]
-#[case::a_full_disk("2>/dev/full")]
+#[case::full_disk("2>/dev/full")]
 #[case::closed("2>&-")]
-fn a_stream_that_takes_nothing_gives_no_line_and_ends_nobody(#[case] leads_to: &str) {
+fn unwritable_stream_does_not_end_the_program(#[case] leads_to: &str) {
     assert_eq!(lines_of(100, leads_to), (true, String::new()));
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,22 +1,23 @@
-//! Settings as operators write them: a JSON object, flattened to the names of settings that the simulator's wire has.
-//! Names that the settings give stay as they are.
+//! Flattens the operators' settings, a JSON object, to the setting names of the simulator's wire. Names that occur as
+//! values, such as those of command groups, stay unchanged.
 
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 use vetchkeel::Told;
 use vetchkeel_pgwire::said;
 
-/// Lists whose entries clients name.
+/// Lists whose entries clients refer to by name.
 const NAMED: [&str; 2] = ["request_classes", "projects"];
 
-/// The names and values of this object.
+/// The settings of a JSON object as flat names and values.
 pub fn flattened(settings: &Map<String, Value>) -> Told {
     let mut told = Told::new();
     settings.iter().for_each(|(name, value)| flatten(name, value, &mut told));
     told
 }
 
-/// Whether a router can tell apart what clients name. The error is one line that says what was expected.
+/// Checks that the names in the lists that clients refer to are distinct and can be read from a statement's comment.
+/// The error is one line that states what was expected.
 pub fn check(told: &Told) -> Result<(), String> {
     NAMED.into_iter().try_for_each(|list| told_apart(list, told))
 }
@@ -26,8 +27,8 @@
     (0..).map_while(move |i| told.get(&format!("{list}.{i}.name")))
 }
 
-/// Danger: a command gets the effect, deadline or share of another's. Each entry has a name of its own, one
-/// that clients can word.
+/// Checks that each entry of a list has a distinct name that clients can write in a statement's comment. Otherwise a
+/// command would get the effect, deadline or share of another entry.
 fn told_apart(list: &str, told: &Told) -> Result<(), String> {
     let mut places = BTreeMap::new();
     for (at, name) in names(told, list).enumerate() {
@@ -59,7 +60,7 @@
             items.iter().enumerate().for_each(|(i, v)| flatten(&format!("{name}.{i}"), v, told));
         }
         Value::Array(items) => {
-            // Danger: these are read by their places. An entry with a comma would count as two.
+            // Entries are read by index from comma-separated text: one that contains a comma would count as two.
             let entry = |item| plain(item).replace(',', "_");
             told.insert(name.to_owned(), items.iter().map(entry).collect::<Vec<_>>().join(","));
         }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[rstest]
-fn settings_are_flattened_and_names_stay_as_they_are() {
+fn json_object_is_flattened_with_names_unchanged() {
     let told = object(
         r#"{"me":2,"zone":"big hall","kinds":["std-4","big one","x,y"],
         "permissions":{"cancel":true,"dial_timeout_ms":250.0},
@@ -27,9 +27,9 @@
 }
 
 #[rstest]
-#[case::twice(r#"{"request_classes":[{"name":"a"},{"name":"a"}]}"#, "found \"a\" at 0 and 1")]
-#[case::no_word(r#"{"projects":[{"name":"a*/"}]}"#, "'projects', found \"a*/\" at 0")]
-fn names_that_cannot_be_told_apart_are_refused(#[case] text: &str, #[case] found: &str) {
-    let why = check(&object(text)).expect_err("refused");
+#[case::duplicate(r#"{"request_classes":[{"name":"a"},{"name":"a"}]}"#, "found \"a\" at 0 and 1")]
+#[case::unreadable_in_a_comment(r#"{"projects":[{"name":"a*/"}]}"#, "'projects', found \"a*/\" at 0")]
+fn ambiguous_names_are_rejected(#[case] text: &str, #[case] found: &str) {
+    let why = check(&object(text)).expect_err("rejected");
     assert!(why.starts_with("expected ") && why.contains(found), "{why}");
 }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,5 +1,6 @@
-//! Hosts router instances on the simulator's wire: standard input to calls, results to standard output.
-//! Nothing is decided here and nothing is shared between instances but the numbered lists of the wire.
+//! Hosts router instances for the simulator: reads events from standard input, calls the routers and writes their
+//! decisions to standard output. No decisions are made here, and instances share only the numbered member lists that
+//! the simulator sends.
 
 mod wire;
 
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,4 +1,4 @@
-//! The frames: one batch of event lines in, one reply of action lines out.
+//! The simulator's line protocol: for each batch of event lines read, one reply of action lines is written.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
@@ -16,7 +16,7 @@
 }
 
 struct Instance {
-    /// None once the instance has failed: it has said so and does nothing more.
+    /// None once the instance has failed: a `die` line has been written, and later events are ignored.
     router: Option<Router>,
     zero: Tenths,
     timer: Option<Tenths>,
@@ -59,7 +59,7 @@
     if !ms.is_finite() {
         return Err(format!("expected {what} in milliseconds, found '{text}'"));
     }
-    // Decimal text such as 0.3 must not lose a tenth to its binary neighbour.
+    // Compensates for binary rounding: a decimal such as 0.3 must not be floored to the next lower tenth.
     Ok((ms * 10.0 + 1e-6).floor() as Tenths)
 }
 
@@ -156,7 +156,7 @@
         reply.push_str(&format!("die\t{inst}\t{text}\n"));
     }
 
-    /// Turns one event into a call. An error is a malformed line; a text within Ok is a failed instance.
+    /// Handles one event. Err means a malformed line; Ok with a text means that the instance has failed.
     fn event(
         &mut self,
         now: Tenths,
@@ -258,7 +258,7 @@
                     .map_err(|_| "expected the note's number")?;
                 let ending = ending(f.text("the status")?)?;
                 let report = report(f.optional("the report")?, *zero)?;
-                // Positions are told in whole milliseconds after zero; zero itself is rounded down.
+                // Positions are sent in whole milliseconds after `zero`, which is itself rounded down.
                 let position = if note >= 4 { *zero + (note / 4) * 10 } else { 0 };
                 let primary = [None, Some(true), Some(false), None][(note % 4).unsigned_abs() as usize];
                 let note = Note { primary, position };
@@ -298,7 +298,7 @@
                 && timer.is_none_or(|set| at < set)
             {
                 let wait = (at - now).max(1) as f64 / 10.0;
-                // Timers last 71 minutes at most; a later one is asked for again when this one is due.
+                // The simulator's timers last at most 71 minutes: a longer wait is set again when the timer expires.
                 reply.push_str(&format!("timer\t{inst}\t{:.1}\t0\n", wait.min(3_600_000.0)));
                 *timer = Some(now + (wait.min(3_600_000.0) * 10.0) as Tenths);
             }
@@ -360,7 +360,7 @@
         let value: f64 =
             value.parse().map_err(|_| format!("expected a number for {name}, found '{value}'"))?;
         match name {
-            // Seconds to tenths of a millisecond, less one in case the text was rounded up.
+            // Seconds to tenths of a millisecond, less one millisecond in case the text was rounded up.
             "x0" => report.position = Some(zero + (value * 10_000.0).floor() as Tenths - 10),
             "x1" => report.primary = Some(value > 0.5),
             _ => {}
@@ -379,9 +379,9 @@
             writeln!(reply, "refuse\t{inst}\t{command}\t{:.1}", *hold_off as f64 / 10.0)
         }
         Decision::Fail { command } => writeln!(reply, "end_failed\t{inst}\t{command}"),
-        // On this wire a dispatch is written as it is decided.
+        // On this wire a dispatch is written as soon as it is decided, so there is nothing to cancel before that.
         Decision::CallOff { written: false, .. } => Ok(()),
-        // And nothing is kept here by member.
+        // No state is kept here for each member.
         Decision::Forget { .. } => Ok(()),
         Decision::CallOff { command, dispatch, .. } => {
             writeln!(reply, "withdraw\t{inst}\t{command}\t{dispatch}")
--- a/src/decay.rs
+++ b/src/decay.rs
@@ -1,8 +1,9 @@
-//! A sum whose parts fade with age, brought up to date when it is read or added to.
+//! Exponentially decaying sums, means and frequencies. The decay is applied on each read and each addition.
 
 use crate::interface::Tenths;
 use std::collections::BTreeMap;
 
+/// A sum whose parts decay exponentially with age.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Decay {
     sum: f64,
@@ -10,17 +11,18 @@
 }
 
 impl Decay {
-    /// The sum as it stands at `now`, each part halved for every `half_life` since it came.
+    /// The sum at `now`: each part is halved for every `half_life` since it was added.
     pub(crate) fn read(&self, now: Tenths, half_life: Tenths) -> f64 {
         self.sum * (-((now - self.at).max(0) as f64) / half_life.max(1) as f64).exp2()
     }
 
-    /// What came lately per tenth of a millisecond, as far as a steady stream would leave this sum.
+    /// The recent rate per tenth of a millisecond: the rate of the steady stream that gives this sum.
     pub(crate) fn rate(&self, now: Tenths, half_life: Tenths) -> f64 {
         self.read(now, half_life) / (half_life.max(1) as f64 * std::f64::consts::LOG2_E)
     }
 
-    /// The same for a stream that began at `since`: what is not yet in the sum is not taken for a lull.
+    /// The recent rate of a stream that began at `since`. Corrects for the time before `since`, which would
+    /// otherwise count as time without traffic.
     pub(crate) fn rate_since(&self, now: Tenths, half_life: Tenths, since: Tenths) -> f64 {
         let seen = 1.0 - (-((now - since).max(1) as f64) / half_life.max(1) as f64).exp2();
         self.rate(now, half_life) / seen
@@ -32,7 +34,7 @@
     }
 }
 
-/// A mean whose parts fade with age.
+/// A mean whose parts decay exponentially with age.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Mean {
     sum: Decay,
@@ -40,7 +42,7 @@
 }
 
 impl Mean {
-    /// The mean as it stands at `now`, with `guess` counted as two more parts.
+    /// The mean at `now`, with `guess` as a prior that weighs as much as two fresh parts.
     pub(crate) fn read(&self, now: Tenths, half_life: Tenths, guess: f64) -> f64 {
         (self.sum.read(now, half_life) + 2.0 * guess) / (self.weight.read(now, half_life) + 2.0)
     }
@@ -51,7 +53,7 @@
     }
 }
 
-/// How often something happens by age: each doubling of the age has fading sums of its own.
+/// How often an event happens, by age: one bucket of decaying sums for each power of two of the age.
 #[derive(Debug, Default)]
 pub(crate) struct ByAge(BTreeMap<u32, (Decay, Decay)>);
 
@@ -62,7 +64,8 @@
         cases.add(now, half_life, 1.0);
     }
 
-    /// The age from which on it happens in this part of all cases, and so many times at least.
+    /// The lowest age bucket in which the event happens in at least this share (`part`) of all cases, and at least
+    /// `least` times. Returns the lower end of the bucket.
     pub(crate) fn first(&self, now: Tenths, half_life: Tenths, part: f64, least: f64) -> Option<Tenths> {
         let often = |(times, cases): &(Decay, Decay)| {
             let times = times.read(now, half_life);
--- a/src/decide/evidence/tests.rs
+++ b/src/decide/evidence/tests.rs
@@ -3,9 +3,9 @@
 use rstest::rstest;
 
 #[rstest]
-#[case::asked_before_the_replica(NOW + 4, State::TopologyReject)]
-#[case::asked_since(NOW + 10, State::Healthy)]
-fn an_answer_that_comes_late_makes_no_primary(#[case] asked: Tenths, #[case] state: State) {
+#[case::requested_before_replica_claim(NOW + 4, State::TopologyReject)]
+#[case::requested_after_replica_claim(NOW + 10, State::Healthy)]
+fn delayed_primary_claim_does_not_override_replica_claim(#[case] asked: Tenths, #[case] state: State) {
     let mut r = router(&[]);
     r.learn_role(NOW, 0, claim(true, NOW));
     r.learn_role(NOW + 10, 0, claim(false, NOW + 5));
@@ -16,7 +16,7 @@
 }
 
 #[rstest]
-fn an_old_answer_of_the_former_primary_ends_no_newer_one() {
+fn delayed_claim_of_former_primary_does_not_demote_new_primary() {
     let mut r = router(&[]);
     r.learn_role(NOW, 0, claim(true, NOW));
     r.learn_role(NOW + 20, 1, claim(true, NOW + 10));
@@ -27,18 +27,18 @@
 }
 
 #[rstest]
-fn an_old_answer_as_replica_leaves_a_new_primary_to_writes_alone() {
+fn delayed_replica_claim_restricts_new_primary_to_writes() {
     let mut r = router(&[]);
     r.learn_role(NOW + 10, 1, claim(true, NOW + 5));
     r.learn_role(NOW + 20, 1, claim(false, NOW));
     assert_eq!(r.members[1].state, State::Healthy);
-    assert!(!Router::is_current(&r.members[1]), "it may have said so since");
+    assert!(!Router::is_current(&r.members[1]), "the replica claim may be the later one");
     r.learn_role(NOW + 30, 1, claim(true, NOW + 21));
     assert!(Router::is_current(&r.members[1]));
 }
 
 #[rstest]
-fn a_primary_asked_before_the_replica_was_heard_takes_writes_and_no_reads() {
+fn overlapping_primary_claim_allows_writes_but_no_reads() {
     let mut r = router(&[]);
     r.learn_role(NOW + 10, 1, claim(false, NOW));
     r.learn_role(NOW + 20, 1, claim(true, NOW + 5));
@@ -47,9 +47,9 @@
 }
 
 #[rstest]
-#[case::first(false)]
-#[case::after_the_other(true)]
-fn both_the_roles_that_a_probe_tells_count(#[case] recovers: bool) {
+#[case::healthy(false)]
+#[case::recovering(true)]
+fn probe_role_is_learned_without_a_report(#[case] recovers: bool) {
     let mut r = router(&[]);
     r.learn_role(NOW, 0, claim(true, NOW));
     r.members[0].state = if recovers { State::TransportError } else { State::Healthy };
@@ -61,16 +61,17 @@
 #[rstest]
 #[case::replica(false, State::TopologyReject)]
 #[case::primary(true, State::Healthy)]
-fn a_role_that_is_told_as_a_connection_is_opened_counts(#[case] primary: bool, #[case] state: State) {
+fn role_sent_on_connect_is_learned(#[case] primary: bool, #[case] state: State) {
     let mut r = router(&[]);
     r.role_told(NOW, "a", NOW - 10, primary);
     r.role_told(NOW, "nobody", NOW - 10, primary);
     assert_eq!(r.members[0].state, state);
 }
 
-/// A router that stood still, a slow way: reports that were given long before they are heard.
+/// Reports that arrive long after they were made, as the router was suspended or the network is slow, must not
+/// contradict a correct clock.
 #[rstest]
-fn reports_that_lay_for_long_say_nothing_against_the_clock() {
+fn delayed_reports_do_not_contradict_the_clock() {
     let mut r = router(&[]);
     for at in (0..5).map(|n| NOW + n * 100) {
         let report = Report { primary: Some(true), position: Some(at - 13_000) };
@@ -82,7 +83,7 @@
 #[rstest]
 #[case::newer(100, State::Healthy)]
 #[case::older(-100, State::TopologyReject)]
-fn a_report_is_dated_by_its_position(#[case] after: Tenths, #[case] state: State) {
+fn report_is_dated_by_its_position(#[case] after: Tenths, #[case] state: State) {
     let mut r = router(&[]);
     r.learn_role(NOW, 1, claim(false, NOW - 5));
     let report = Report { primary: Some(true), position: Some(NOW + after) };
@@ -90,11 +91,11 @@
     assert_eq!(r.members[1].state, state);
 }
 
-/// Reports that a member which hangs hands on: what it told last, for as long as it does.
+/// A member that hangs keeps sending its last report from before the hang. Such reports must not move the clock.
 #[rstest]
 #[case::one_member(&["a"])]
-#[case::three_that_hang_together(&["a", "b", "c"])]
-fn a_report_from_before_a_hang_moves_no_clock(#[case] hanging: &[&str]) {
+#[case::three_members(&["a", "b", "c"])]
+fn report_from_before_a_hang_does_not_move_the_clock(#[case] hanging: &[&str]) {
     let mut r = router(&[]);
     for at in (0..50).map(|n| NOW + n * 1_000) {
         for node in hanging {
@@ -105,9 +106,9 @@
     }
 }
 
-/// A primary that stands still tells what was so as it stopped, in answers to what was asked since.
+/// A primary that hangs answers later requests with its position from before the hang.
 #[rstest]
-fn an_answer_with_a_position_that_stands_still_moves_no_clock() {
+fn unchanging_position_in_answers_does_not_move_the_clock() {
     let mut r = router(&[]);
     for at in (0..20).map(|n| NOW + n * 100) {
         let note = Note { primary: Some(true), position: NOW - 50 };
@@ -116,23 +117,23 @@
     }
 }
 
-/// Their clock is 1 s behind this one; a primary's positions go on, 0.2 s from one request to the next.
+/// The members' clock is 1 s behind the router's; a primary's position advances, with 0.2 s between requests.
 #[rstest]
-fn positions_that_go_on_correct_a_clock_that_is_ahead() {
+fn advancing_positions_correct_a_clock_that_is_ahead() {
     let mut r = router(&[]);
     r.clock = MemberClock::default();
     for at in (0..5).map(|n| NOW + n * 2_000) {
         let note = Note { primary: Some(true), position: at + 5 - SECOND };
         r.past(at + 10, at, 0, note, false);
     }
-    let latest = r.clock.latest(NOW + SECOND).expect("borne out") - NOW - SECOND;
+    let latest = r.clock.latest(NOW + SECOND).expect("confirmed") - NOW - SECOND;
     assert!((-SECOND..-SECOND + 2_050).contains(&latest), "{latest}");
 }
 
 #[rstest]
-#[case::from_before(NOW - 100, State::TransportError)]
-#[case::made_since(NOW + 100, State::Healthy)]
-fn a_report_from_before_it_broke_brings_no_primary_back(#[case] made: Tenths, #[case] state: State) {
+#[case::made_before(NOW - 100, State::TransportError)]
+#[case::made_after(NOW + 100, State::Healthy)]
+fn report_from_before_the_break_does_not_restore_the_primary(#[case] made: Tenths, #[case] state: State) {
     let mut r = router(&[]);
     r.learn_role(NOW - 200, 0, claim(true, NOW - 200));
     r.break_member(NOW, 0);
@@ -140,11 +141,11 @@
     r.probe_ended(NOW + 300, "a", ProbeEnd { took: 10, ..probed(Ending::Answered, report) });
     assert_eq!(r.members[0].state, state);
     let asked_again = r.members[0].retry_at <= NOW + 300 + 2 * PAUSE;
-    assert!(asked_again || state == State::Healthy, "soon");
+    assert!(asked_again || state == State::Healthy, "the member is probed again soon");
 }
 
 #[rstest]
-fn a_position_told_as_the_primary_is_none_of_a_replica() {
+fn position_sent_as_primary_is_not_a_replica_position() {
     let mut r = router(&[]);
     r.learn_position(NOW, NOW - 10, 0, Note { primary: Some(true), position: NOW });
     r.learn_report(NOW, NOW - 10, 0, Report { primary: Some(true), position: Some(NOW) });
@@ -152,9 +153,9 @@
 }
 
 #[rstest]
-#[case::asked_later(NOW + 20, NOW - 500)]
+#[case::requested_later(NOW + 20, NOW - 500)]
 #[case::overtaken(NOW + 5, NOW)]
-fn a_replica_that_tells_less_than_before_is_believed(#[case] asked: Tenths, #[case] position: Tenths) {
+fn lower_position_of_a_replica_replaces_a_higher_one(#[case] asked: Tenths, #[case] position: Tenths) {
     let mut r = router(&[]);
     r.learn_position(NOW + 10, NOW, 1, Note { primary: Some(false), position: NOW });
     r.learn_position(NOW + 30, asked, 1, Note { primary: Some(false), position: NOW - 500 });
--- a/src/decide/freshness/tests.rs
+++ b/src/decide/freshness/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 use rstest::rstest;
 
-/// A router with a bounded read (300 ms) out at the member `b`, sent at NOW.
+/// A router with a bounded read (300 ms) in flight to the member `b`, sent at NOW.
 fn reading(extra: &[(&str, &str)]) -> Router {
     let mut r = router(extra);
     open(&mut r, "bounded");
@@ -16,11 +16,11 @@
 
 #[rstest]
 #[case::in_time(NOW + 2_999, true)]
-#[case::held_up(NOW + 3_000, false)]
-fn a_bound_counts_from_the_write(#[case] written: Tenths, #[case] served: bool) {
+#[case::delayed(NOW + 3_000, false)]
+fn staleness_bound_counts_from_the_write(#[case] written: Tenths, #[case] served: bool) {
     let mut r = reading(&[]);
     r.members[1].position = NOW;
-    assert!(r.may_write(NOW + 1, "cmd", 0), "by the decision's clock");
+    assert!(r.may_write(NOW + 1, "cmd", 0), "the position is fresh enough at the time of the decision");
     let found = r.attempt_written(written, "cmd", 0);
     let behind = written - NOW;
     let expected =
@@ -31,7 +31,7 @@
 #[rstest]
 #[case::allowed("true", true)]
 #[case::not_allowed("false", false)]
-fn what_was_written_too_late_is_given_up_where_that_is_allowed(#[case] cancel: &str, #[case] allowed: bool) {
+fn stale_attempt_may_be_cancelled_only_if_permitted(#[case] cancel: &str, #[case] allowed: bool) {
     let mut r = reading(&[("permissions.cancel", cancel)]);
     let found = r.attempt_written(NOW, "cmd", 0);
     assert!(matches!(found, Written::TooOld { may_give_up, .. } if may_give_up == allowed), "{found:?}");
@@ -41,8 +41,8 @@
 #[rstest]
 #[case::any("any", &[])]
 #[case::write("write", &[])]
-#[case::nodes_check("bounded", &[("family_info.server_checks", "refuse")])]
-fn what_has_no_age_is_served_whenever_it_is_written(#[case] kind: &str, #[case] extra: &[(&str, &str)]) {
+#[case::members_check_age("bounded", &[("family_info.server_checks", "refuse")])]
+fn commands_without_staleness_bound_are_always_served(#[case] kind: &str, #[case] extra: &[(&str, &str)]) {
     let mut r = router(extra);
     open(&mut r, kind);
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
@@ -51,10 +51,10 @@
 }
 
 #[rstest]
-#[case::asked_before_the_write(NOW - 1, false)]
-#[case::asked_in_the_moment_of_the_write(NOW + 10, false)]
-#[case::asked_after_the_write(NOW + 11, true)]
-fn word_of_a_replica_that_may_be_older_than_the_write_bars_the_answer(
+#[case::requested_before_the_write(NOW - 1, false)]
+#[case::requested_at_the_write(NOW + 10, false)]
+#[case::requested_after_the_write(NOW + 11, true)]
+fn replica_claim_that_may_precede_the_write_bars_the_answer(
     #[case] asked: Tenths,
     #[case] served: bool,
 ) {
@@ -66,7 +66,7 @@
         assert_eq!(r.attempt_written(NOW + 10, "cmd", 0), Written::ToPrimary);
         r.heard_replica(NOW + 20, "b", asked);
         assert_eq!(answered(&r), served, "{kind}");
-        // It is the primary again: that makes the read no fresher.
+        // The member becomes the primary again, which does not make the data of the read any fresher.
         r.learn_role(NOW + 40, 1, claim(true, NOW + 30));
         assert_eq!(answered(&r), served, "{kind}");
     }
@@ -75,7 +75,7 @@
 #[rstest]
 #[case::fresh_enough(NOW - 3_000, true)]
 #[case::too_old(NOW - 3_001, false)]
-fn an_answer_that_tells_too_old_a_position_is_not_served(#[case] position: Tenths, #[case] served: bool) {
+fn answer_with_a_stale_position_is_not_served(#[case] position: Tenths, #[case] served: bool) {
     let mut r = reading(&[]);
     r.members[1].position = NOW;
     assert_eq!(r.attempt_written(NOW, "cmd", 0), Written::ToReplica { behind: 0 });
@@ -83,11 +83,11 @@
     assert_eq!(r.may_serve("cmd", 0, note), served);
 }
 
-/// What was known of the members' time at the write may turn out to be wrong until the answer comes.
+/// The estimate of the members' clock may be corrected between the write and the answer.
 #[rstest]
-#[case::as_it_was_taken_to_be(0, true)]
-#[case::later_than_it_was_taken_to_be(500, false)]
-fn an_answer_is_judged_by_what_is_known_of_the_clock_as_it_comes(
+#[case::unchanged(0, true)]
+#[case::corrected_to_later(500, false)]
+fn answer_is_judged_by_the_current_clock_estimate(
     #[case] later: Tenths,
     #[case] served: bool,
 ) {
@@ -101,7 +101,7 @@
 #[rstest]
 #[case::replayable("pure", true)]
 #[case::mutating("side_effect", false)]
-fn a_read_that_was_not_served_goes_out_again_if_it_may(#[case] semantics: &str, #[case] again: bool) {
+fn stale_read_is_retried_only_if_replayable(#[case] semantics: &str, #[case] again: bool) {
     let mut r = reading(&[("request_classes.1.semantics", semantics)]);
     r.members[2].position = NOW + 10;
     r.dispatch_ended(NOW + 10, "cmd", ended(Ending::TooOld, Some(false)));
@@ -112,7 +112,7 @@
 }
 
 #[rstest]
-fn a_primary_that_may_be_a_replica_is_asked_while_reads_wait_for_it() {
+fn primary_in_doubt_is_probed_while_reads_wait() {
     let mut r = router(&[]);
     (1..3).for_each(|n| r.members[n].shut = true);
     open(&mut r, "fresh");
@@ -122,11 +122,11 @@
     assert_eq!(r.next_decision(NOW + PAUSE), Some(Decision::Probe { node: "a".into() }));
 }
 
-/// Beside reads alone only reports tell the members' time.
+/// Without writes, only reports give evidence of the members' clock.
 #[rstest]
-#[case::not_yet_borne_out(MemberClock::default(), true)]
-#[case::borne_out(confirmed(), false)]
-fn a_primary_is_asked_for_the_time_until_the_clock_is_borne_out(
+#[case::unconfirmed(MemberClock::default(), true)]
+#[case::confirmed(confirmed(), false)]
+fn primary_is_probed_until_the_clock_is_confirmed(
     #[case] clock: MemberClock,
     #[case] asks: bool,
 ) {
@@ -148,7 +148,7 @@
     clock
 }
 
-/// A session's write is answered at NOW + 20, with its commit at NOW + 10.
+/// A write of the session is answered at NOW + 20, with its commit at NOW + 10.
 fn session_writes(r: &mut Router) {
     r.next_key = 1;
     let (id, command_group, session) = ("w".into(), "write".into(), Some("s".into()));
@@ -165,7 +165,7 @@
 #[case::remembered("remembered", "s", false)]
 #[case::of_another_session("remembered", "t", true)]
 #[case::carried_by_the_client("carried", "s", true)]
-fn a_read_that_waits_sees_what_its_session_writes_meanwhile(
+fn waiting_read_must_include_writes_of_its_session(
     #[case] mode: &str,
     #[case] session: &str,
     #[case] lawful: bool,
@@ -180,9 +180,9 @@
     assert_eq!(r.may_write(NOW + 30, "cmd", 0), lawful);
 }
 
-/// What was written before is judged by what it had to see then.
+/// An attempt that was written earlier is judged by the position that was required at that time.
 #[rstest]
-fn a_read_that_was_written_before_the_write_was_answered_is_served() {
+fn read_written_before_the_commit_was_known_is_served() {
     let mut r = router(&[("family_info.token_mode", "remembered")]);
     open(&mut r, "session");
     let read = r.open.get_mut(&0).unwrap();
--- a/src/decide/patience/tests.rs
+++ b/src/decide/patience/tests.rs
@@ -2,7 +2,8 @@
 use super::*;
 use rstest::rstest;
 
-/// A bounded read that has waited for as long as it should, after a slow time; a check of `b` is out that may let it through.
+/// A bounded read whose usual waiting time is over, after a period of slow answers; a probe of `b` is in flight that may
+/// show `b` to be fresh enough.
 fn read_beside_a_check() -> Router {
     let mut r = router(&[]);
     open(&mut r, "bounded");
@@ -22,14 +23,14 @@
 }
 
 #[rstest]
-#[case::a_check_is_out(|_: &mut Router| (), true)]
-#[case::none_is_out(|r: &mut Router| r.members[1].probing = false, false)]
-#[case::it_is_out_for_long(|r: &mut Router| r.members[1].asked_at = NOW - CHECK_MOST, false)]
-#[case::it_is_fresh_without_it(|r: &mut Router| r.members[1].position = NOW, false)]
-#[case::answers_are_slow_now(|r: &mut Router| (0..100).for_each(|_| r.slow.add(NOW, SLOW_HALF, 0.9)), false)]
-#[case::another_waits(|r: &mut Router| _ = r.sets.get_mut(&1).unwrap().waiting[0].insert((0, Reverse(9))), false)]
-#[case::half_its_time_is_over(|r: &mut Router| r.open.get_mut(&0).unwrap().patience = NOW, false)]
-fn a_read_with_little_time_left_waits_for_a_check_where_that_helps(
+#[case::probe_in_flight(|_: &mut Router| (), true)]
+#[case::no_probe(|r: &mut Router| r.members[1].probing = false, false)]
+#[case::probe_overdue(|r: &mut Router| r.members[1].asked_at = NOW - CHECK_MOST, false)]
+#[case::member_already_fresh(|r: &mut Router| r.members[1].position = NOW, false)]
+#[case::answers_slow(|r: &mut Router| (0..100).for_each(|_| r.slow.add(NOW, SLOW_HALF, 0.9)), false)]
+#[case::another_command_waits(|r: &mut Router| _ = r.sets.get_mut(&1).unwrap().waiting[0].insert((0, Reverse(9))), false)]
+#[case::half_the_timeout_passed(|r: &mut Router| r.open.get_mut(&0).unwrap().patience = NOW, false)]
+fn read_waits_for_a_probe_only_if_it_can_help(
     #[case] happens: impl Fn(&mut Router),
     #[case] kept: bool,
 ) {
@@ -38,7 +39,8 @@
     assert_eq!(is_kept(&mut r, NOW), kept);
 }
 
-/// A write that has waited to half of its time for a cold primary, whose credit grows by one write's target in 100 ms.
+/// A write that has waited for half of its timeout for a cold primary, whose credit grows by the response target of one
+/// write in 100 ms.
 fn write_at_a_cold_primary(credit: f64) -> Router {
     let mut r = router(&[("rules.start_capacity", "1"), ("rules.tip_multiple", "1.25")]);
     open(&mut r, "write");
@@ -60,12 +62,12 @@
     (1..=count).for_each(|key| _ = r.sets.get_mut(&1).unwrap().waiting[kind].insert((0, Reverse(key))));
 }
 
-/// What is refused while its credit comes in time waits for it instead; what cannot have it in time is refused at once.
+/// A command waits if the slow-start credit will suffice in time; otherwise it is throttled at once.
 #[rstest]
-#[case::nobody_is_ahead(0, Some(1_000))]
-#[case::two_are_ahead(2, Some(3_000))]
-#[case::too_many_are_ahead(5, None)]
-fn a_command_waits_for_a_credit_that_comes_in_time(#[case] others: u64, #[case] comes: Option<Tenths>) {
+#[case::none_ahead(0, Some(1_000))]
+#[case::two_ahead(2, Some(3_000))]
+#[case::too_many_ahead(5, None)]
+fn command_waits_for_credit_that_suffices_in_time(#[case] others: u64, #[case] comes: Option<Tenths>) {
     let mut r = write_at_a_cold_primary(0.0);
     ahead(&mut r, others);
     let at = r.worth_waiting_until(NOW, 0);
@@ -78,18 +80,18 @@
 }
 
 #[rstest]
-fn a_command_at_a_warm_primary_waits_no_longer_than_before() {
+fn command_for_a_warm_primary_does_not_wait_longer() {
     let mut r = write_at_a_cold_primary(0.0);
     r.members[0].started = 0;
     r.members[0].shy_until = NOW + SECOND;
     assert!(!is_kept(&mut r, NOW));
 }
 
-/// What else keeps it back is not known to end in time.
+/// Other gates are not known to open in time, so the command does not wait for the credit.
 #[rstest]
-#[case::a_closed_window(|m: &mut Member| m.shy_until = NOW + SECOND)]
+#[case::closed_window(|m: &mut Member| m.shy_until = NOW + SECOND)]
 #[case::no_connection(|m: &mut Member| m.dial_at = NOW + SECOND)]
-fn a_command_that_more_than_a_credit_keeps_back_waits_no_longer_than_before(
+fn command_held_by_other_gates_does_not_wait_for_credit(
     #[case] closes: impl Fn(&mut Member),
     #[values(0.0, 3.0)] credit: f64,
 ) {
--- a/src/decide/slow_start/tests.rs
+++ b/src/decide/slow_start/tests.rs
@@ -2,13 +2,14 @@
 use super::*;
 use rstest::rstest;
 
-/// What all routers may send a cold member over one span, held and earned, is the multiple of what it can do, no more,
-/// however far it has warmed: here one router with all the traffic, so that its credit may hold more than a few commands.
+/// Guards against overloading a cold member: over one span, the credit held at its start plus the credit earned in it
+/// must not exceed the allowed multiple of the member's capacity, however far it has warmed. One router has all the
+/// traffic here, so that its credit can hold more than a few commands.
 #[rstest]
 #[case::just_started(0.0, 0.8)]
 #[case::half_warm(0.5, 0.9)]
 #[case::almost_warm(0.99, 0.998)]
-fn over_a_span_held_and_earned_credit_make_the_multiple(#[case] warmth: f64, #[case] part: f64) {
+fn held_and_earned_credit_stay_within_the_allowed_multiple(#[case] warmth: f64, #[case] part: f64) {
     let span = SECOND;
     let extra =
         [("rules.warm_after_ms", "20000"), ("rules.start_capacity", "0.2"), ("rules.tip_multiple", "2")];
--- a/src/decide/withheld/tests.rs
+++ b/src/decide/withheld/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 use rstest::rstest;
 
-/// `a` is the primary and free, `b` and `c` are replicas with a position of now and room.
+/// A router without load: `a` is the primary, `b` and `c` are replicas with the current position; all windows have room.
 fn at_ease(kind: &str) -> Router {
     let mut r = router(&[]);
     open(&mut r, kind);
@@ -32,20 +32,20 @@
 }
 
 #[rstest]
-#[case::nothing("write", |_: &mut Router| (), Gate::Turn)]
-#[case::a_slow_router("write", slow, Gate::Pace)]
+#[case::no_gate("write", |_: &mut Router| (), Gate::Turn)]
+#[case::router_paced("write", slow, Gate::Pace)]
 #[case::no_primary("write", |r: &mut Router| r.members[0].state = State::TransportError, Gate::NoPrimary)]
-#[case::a_primary_that_may_be_a_replica("session", |r: &mut Router| {
+#[case::primary_in_doubt("session", |r: &mut Router| {
     both(r, |m| m.shut = true);
     r.members[0].roles.claims_replica(NOW, NOW);
 }, Gate::RoleInDoubt)]
 #[case::no_connection("write", |r: &mut Router| r.members[0].dial_at = NOW + 1, Gate::NoConnection)]
-#[case::no_window("write", |r: &mut Router| r.members[0].shy_until = NOW + 1, Gate::Window)]
-#[case::a_cold_primary("write", |r: &mut Router| cold(r, 0), Gate::SlowStart)]
-#[case::old_replicas("bounded", |r: &mut Router| both(r, |m| m.position = NOW - SECOND), Gate::NotFresh)]
-#[case::full_replicas("bounded", |r: &mut Router| both(r, |m| m.shy_until = NOW + 1), Gate::Window)]
+#[case::window_closed("write", |r: &mut Router| r.members[0].shy_until = NOW + 1, Gate::Window)]
+#[case::cold_primary("write", |r: &mut Router| cold(r, 0), Gate::SlowStart)]
+#[case::stale_replicas("bounded", |r: &mut Router| both(r, |m| m.position = NOW - SECOND), Gate::NotFresh)]
+#[case::replica_windows_closed("bounded", |r: &mut Router| both(r, |m| m.shy_until = NOW + 1), Gate::Window)]
 #[case::cold_replicas("bounded", |r: &mut Router| (cold(r, 1), cold(r, 2)).0, Gate::SlowStart)]
-#[case::one_old_and_one_full("bounded", |r: &mut Router| {
+#[case::one_stale_one_window_closed("bounded", |r: &mut Router| {
     r.members[1].position = NOW - SECOND;
     r.members[2].shy_until = NOW + 1;
 }, Gate::Window)]
@@ -53,7 +53,7 @@
     both(r, |m| m.shut = true);
     r.members[0].state = State::TransportError;
 }, Gate::NoPrimary)]
-fn what_is_given_up_names_the_gate_that_kept_it_back(
+fn withheld_command_reports_the_gate(
     #[case] kind: &str,
     #[case] happens: impl Fn(&mut Router),
     #[case] gate: Gate,
@@ -63,9 +63,9 @@
     assert_eq!(r.withheld_by(NOW, 0), gate);
 }
 
-/// A cold primary was refused as "no room", which operators read as load.
+/// Guards against reporting a full window for a command held by slow start, which operators would read as overload.
 #[rstest]
-fn a_command_that_waits_for_a_cold_primary_is_given_up_by_its_slow_start() {
+fn command_held_by_a_cold_primary_reports_slow_start() {
     let mut r = at_ease("write");
     cold(&mut r, 0);
     r.open.get_mut(&0).unwrap().patience = NOW;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,4 @@
-//! The plain types at the border of [`crate::Router`]. Nothing is decided here.
+//! The public data types that [`crate::Router`] takes and returns. No decisions are made here.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,26 +6,26 @@
 /// A time or a length of time in whole tenths of a millisecond.
 pub type Tenths = i64;
 
-/// An id as the wire gives it.
+/// An id of a command, member, zone or machine, as received on the wire.
 pub type Id = Arc<str>;
 
-/// The settings that an instance starts with: names to values, as told.
+/// The settings of a router instance: flat names to their values, both as text.
 pub type Told = BTreeMap<String, String>;
 
-/// A command as it reaches the router.
+/// A command as it arrives at the router.
 #[derive(Clone, Debug)]
 pub struct Command {
     pub id: Id,
     pub command_group: String,
     pub customer: Option<String>,
-    /// The set of members that holds its data.
+    /// The member set that holds the command's data.
     pub set: i64,
-    /// Time until the client gives up on this try.
+    /// Time until the client times out on this attempt of its own.
     pub time_left: Tenths,
-    /// Age of the session's last write, where clients carry tokens.
+    /// Age of the session's last write, if clients send session tokens.
     pub token_age: Option<Tenths>,
     pub session: Option<String>,
-    /// Known to be a client's further try.
+    /// Set if the command is known to be a retry by the client.
     pub repeat: bool,
 }
 
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     Answered,
-    /// Answered, from data that may be older than the command may see: not passed on.
+    /// Answered from data that may be older than the command's staleness bound, so the answer is not passed on.
     TooOld,
     Error,
     Full,
@@ -42,67 +42,67 @@
     Reset,
     CalledOff,
     NeverSent,
-    /// This machine could not open a connection: no member saw it.
+    /// This machine could not open a connection, so no member has seen the dispatch.
     NotDialled,
     Miss,
 }
 
-/// What a member said of itself with an answer: role, and a position (0 if left out).
+/// The role and the position (0 if left out) that a member attaches to an answer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Note {
     pub primary: Option<bool>,
     pub position: Tenths,
 }
 
-/// What a member's report said, as old as the report is.
+/// The content of a member's report, which may be older than the message that carries it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Report {
     pub primary: Option<bool>,
     pub position: Option<Tenths>,
 }
 
-/// How a dispatch came to its end, and what came with that.
+/// The outcome of a dispatch and the data that came with it.
 #[derive(Clone, Copy, Debug)]
 pub struct DispatchEnd {
     pub dispatch: u32,
     pub ending: Ending,
     pub took: Tenths,
-    /// How long its connection had idled before; None for a new one.
+    /// How long the connection was idle before the dispatch; None for a new connection.
     pub idled: Option<Tenths>,
-    /// The command is over: nothing is owed for it any more.
+    /// The command is complete: no answer to the client is outstanding any more.
     pub over: bool,
     pub note: Note,
     pub report: Report,
 }
 
-/// How a probe came to its end, and what came with that.
+/// The outcome of a probe and the data that came with it.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeEnd {
     pub ending: Ending,
     pub took: Tenths,
-    /// The member's role beside the report, where it told one.
+    /// The member's role, if it was sent apart from the report.
     pub primary: Option<bool>,
     pub report: Report,
 }
 
-/// What an attempt may see that has been written whole.
+/// What data an attempt may read, judged when it has been written completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Written {
-    /// Its data may have any age, or the member checks that.
+    /// The data may have any age, or the member checks the age itself.
     Free,
     ToPrimary,
-    /// The member is this far behind at the most.
+    /// Written to a replica that lags by at most this much.
     ToReplica {
         behind: Tenths,
     },
-    /// Its answer will not be served; whether it may be given up at once.
+    /// The data is too old, so the answer will not be served; `may_give_up` allows cancelling the attempt at once.
     TooOld {
         behind: Tenths,
         may_give_up: bool,
     },
 }
 
-/// What a replica's position was known by.
+/// Which kind of message a replica's position was learned from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PositionSource {
     #[default]
@@ -110,31 +110,33 @@
     Report,
 }
 
-/// How new data have to be that a replica serves.
+/// How fresh the data must be that a replica serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DataNeed {
-    /// No older than this, as the attempt is written.
+    /// No older than this at the time the attempt is written.
     Bound(Tenths),
-    /// All that the session has written.
+    /// Includes everything that the session has written.
     Session,
 }
 
-/// What an attempt at a replica may have seen, and by what that is known. For the log and the counters alone.
+/// The age of the data that an attempt at a replica may have read, and the source of that knowledge.
+/// Only for the log and the counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DataAge {
     pub need: DataNeed,
-    /// How old the data are at the most, as the attempt was written; of a session's read, how far behind its last write.
+    /// The maximum age of the data when the attempt was written; for a session read, how far the data lags behind
+    /// the session's last write.
     pub behind: Tenths,
     pub source: PositionSource,
-    /// How long ago, at the write, the position had been heard.
+    /// How long before the write the position was received.
     pub heard_before: Tenths,
-    /// By how much the members' clock is taken to be ahead, and may be at the most.
+    /// The estimated offset by which the members' clock is ahead, and its upper bound.
     pub clock_ahead: Tenths,
     pub clock_ahead_most: Tenths,
 }
 
 impl DataAge {
-    /// How much older the data might have been.
+    /// How much older the data could have been without violating the need.
     pub fn spare(&self) -> Tenths {
         match self.need {
             DataNeed::Bound(bound) => bound - self.behind,
@@ -143,7 +145,7 @@
     }
 }
 
-/// One line of the member list.
+/// One row of the member list.
 #[derive(Clone, Debug)]
 pub struct Entry {
     pub node: Id,
@@ -162,10 +164,11 @@
     Removed,
 }
 
-/// What the router wants done next. A dispatch not wholly written by `until` must not be written any more: it
-/// was never sent; nor one that the router, asked at the write, does not let through. `CallOff` takes back
-/// what was not written whole, and the rest only where `written` says so. `LetGo` closes the connections to a
-/// member that idle. `Forget`: the module knows the member no more, unless it has been told of it since.
+/// An action that the host must carry out. A dispatch that has not been written completely by `until`, or that
+/// `Router::may_write` rejects at the time of the write, must not be written; it ends as `NeverSent`. `CallOff`
+/// cancels a dispatch that has not been written completely, and one that has been only if `written` is set.
+/// `LetGo` closes the idle connections to a member. `Forget`: the router has removed the member and does not know
+/// it any more, unless the list has named it again since.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     Dispatch { command: Id, node: Id, limit: Tenths, until: Tenths },
@@ -178,7 +181,7 @@
     WatchList,
 }
 
-/// What a router takes a member for: the paper's states, best first.
+/// The state of a member as this router sees it. The states are those of the paper, in order of preference.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
     Healthy,
@@ -191,57 +194,58 @@
 /// Why a member's state changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateReason {
-    /// An answer or a report named its role.
+    /// An answer or a report stated the member's role.
     Role,
-    /// Another member of its set is the primary.
+    /// Another member of the set has become the primary.
     Superseded,
-    /// Connections there fail, or it is silent.
+    /// Connections to the member fail, or it does not answer.
     Broken,
-    /// It has answered again.
+    /// The member has answered again.
     Recovered,
-    /// The list told of a new start.
+    /// The member list shows a newer start time.
     Restarted,
-    /// It is broken, and probes that would tell more are not allowed.
+    /// The member is broken, and the probes that would establish its state are not allowed.
     NotAsked,
 }
 
-/// What kept a command back from the members that could serve it, in the order in which a command meets them.
+/// What prevented a command from being sent to the members that could serve it, in the order in which the checks
+/// are made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Gate {
-    /// The router slows itself, as answers take long: the cheapest command groups wait.
+    /// The router paces itself because answers take long: the command groups of the lowest benefit wait.
     Pace,
     /// No primary is known.
     NoPrimary,
-    /// No replica is known to be as new as the read needs.
+    /// No replica is known to be as fresh as the read requires.
     NotFresh,
-    /// The primary may be a replica by now.
+    /// The member known as the primary may have become a replica.
     RoleInDoubt,
-    /// This machine could not open a connection, and waits before the next.
+    /// This machine could not open a connection and backs off before the next attempt.
     NoConnection,
-    /// As many attempts are out as the member answers in time.
+    /// The member's window is full: as many attempts are in flight as it answers in time.
     Window,
-    /// The member has started a short while ago and is sent little.
+    /// The member started recently, and slow start limits what it is sent.
     SlowStart,
-    /// None: others of its group went before it.
+    /// No gate is closed: other commands of the group went first.
     Turn,
 }
 
 /// Why a command was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum GaveUp {
-    /// Its time is up.
+    /// The command's deadline has passed.
     Deadline,
-    /// No member was sent it in a time in which an answer was still worth waiting for; what kept it back at the end.
+    /// The command was not sent to any member while an answer in time was still likely; the gate that held it last.
     Withheld(Gate),
-    /// It has had all attempts that it may have.
+    /// The maximum number of attempts has been made.
     Attempts,
-    /// It may have run, and may not run again.
+    /// The command may have run and must not run again.
     MayHaveRun,
-    /// It erred where a further attempt does not help.
+    /// The command failed with an error that a further attempt is unlikely to cure.
     Errors,
 }
 
-/// What happened inside a router, for the log and the counters alone: nothing depends on it.
+/// An event inside a router, only for the log and the counters: no decision depends on it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     GaveUp {
@@ -255,17 +259,18 @@
         to: MemberState,
         reason: StateReason,
     },
-    /// An answer said "primary" that was asked for so long ago; newer ones may have said otherwise, so it changes nothing.
+    /// An answer to a request of this age claimed the primary role. Newer answers may contradict it, so it is ignored.
     OldRole {
         node: Id,
         age: Tenths,
     },
-    /// The members' clock is taken to be ahead of this one by so much, by this member's word.
+    /// The estimate of how far the members' clock is ahead of this router's has changed; `node` sent the position
+    /// that changed it.
     Clock {
         offset: Tenths,
         node: Id,
     },
-    /// A probe was answered with a report from before the member broke, so long ago: it is not taken for well.
+    /// A probe was answered with a report of this age, made before the member broke, so the member stays broken.
     ReportFromBefore {
         node: Id,
         age: Tenths,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! vetchkeel decides where each command of a sharded, replicated database goes.
-//! The decisions are in `decide`, the types at their border in `interface`.
+//! Query routing for sharded, replicated databases: decides which member each command is sent to.
+//! The decisions are made in `decide`; `interface` holds the public types.
 
 mod decay;
 mod decide;
--- a/src/member_clock.rs
+++ b/src/member_clock.rs
@@ -1,31 +1,33 @@
-//! The members' clock as seen from this router's: by how much the two are apart, and how late it may be there.
+//! Estimates the offset between the members' clock and this router's clock, with bounds.
 //!
-//! Positions and starts are Unix times by the members' clocks. A router's own Unix time is one reading of its wall clock
-//! at the start, which may be wrong by seconds or by an hour, carried on by the monotonic clock. What a primary says of
-//! its position bounds the offset (Cristian's algorithm): if the position was the present at some time after `since` and was
-//! heard at `heard` on this router's clock, it lies between. Bounds are intersected (Marzullo's algorithm), so the
-//! narrowest count. No other evidence moves the clock. Danger: a clock that is set back makes every replica look fresher, at
-//! all routers alike; so nothing may bound the offset from above whose age is not proven.
+//! Positions and start times are Unix times by the members' clocks. A router's own Unix time is one reading of its wall
+//! clock at the start, which may be wrong by seconds or by an hour, advanced by the monotonic clock. A position sent by
+//! a primary bounds the offset (Cristian's algorithm): if the position was the current time there at some moment after
+//! `since`, and was received at `heard` on this router's clock, the moment lies between the two. Bounds are intersected
+//! (Marzullo's algorithm), so the narrowest ones prevail. No other evidence changes the estimate. A clock estimate that
+//! is too early makes every replica look fresher, at all routers alike; so only positions of proven age may bound the
+//! offset from above.
 
 use crate::interface::Tenths;
 
-/// What reading a clock and rounding a position may add up to.
+/// The maximum combined error of reading a clock and rounding a position.
 const READING: Tenths = 50;
-/// So many pieces of evidence that contradict the clock, and agree, correct it. Danger: one position that was spoilt on
-/// its way would.
+/// How many consistent pieces of evidence that contradict the estimate are needed to correct it. With one, a single
+/// corrupted position would correct it.
 const AGREE: usize = 3;
-/// And they must have come over at least so long, with nothing in between that refutes them. Danger: whatever stands still
-/// for a moment and is dated wrongly tells the same several times at its end.
+/// The minimum time span over which that evidence must have arrived, with nothing in between that refutes it. A source
+/// that hangs for a moment and is dated wrongly sends the same position several times at the end of the hang.
 const AGREE_OVER: Tenths = 5_000;
-/// What is kept of it: the first and the last ones.
+/// How many pieces of contradicting evidence are kept: the first one and the latest ones.
 const KEPT: usize = 8;
-/// By how much the clock may be behind theirs without a look at the bounds: a part of the 50 ms that the operators' pages grant.
+/// How far the estimate may be behind the members' clock without being moved to its upper bound: part of the 50 ms
+/// that the operators' documentation allows.
 const TRUSTED: Tenths = 300;
-/// Two clocks drift apart by one part in so many: bounds widen by that. Danger: given up after a time, they would be lost in
-/// the quiet, and with them every replica.
+/// Two clocks are assumed to drift apart by one part in this many, and the bounds widen accordingly. If bounds expired
+/// after a time instead, a period without traffic would lose them, and no replica would count as fresh.
 const DRIFT_ONE_IN: Tenths = 10_000;
 
-/// What one position proves of the offset: it lies between these.
+/// The bounds on the clock offset that one position proves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Evidence {
     pub least: Tenths,
@@ -39,14 +41,15 @@
 }
 
 impl Evidence {
-    /// A position, heard at `heard`, that was the present there at some time after `since`, give or take `delay`: a commit
-    /// that was asked for then, or a primary's position that has advanced since (`Progress`).
+    /// Evidence from a position, received at `heard`, that was the current time at the member at some moment after
+    /// `since - delay`: a commit requested at `since`, or a primary's position that has advanced since (`Progress`).
     pub(crate) fn of_primary(position: Tenths, since: Tenths, heard: Tenths, delay: Tenths) -> Evidence {
         let most = position.saturating_sub(since).saturating_add(delay + READING);
         Evidence { most, ..Evidence::of_any(position, heard) }
     }
 
-    /// A position that was told by `heard`; since when it has been the present at some moment, where that is proven.
+    /// Evidence from a position received at `heard`; `since` is set if the position is proven to have been the current
+    /// time at some moment after it.
     pub(crate) fn told(position: Tenths, since: Option<Tenths>, heard: Tenths, delay: Tenths) -> Evidence {
         match since {
             Some(since) => Evidence::of_primary(position, since, heard, delay),
@@ -54,7 +57,8 @@
         }
     }
 
-    /// Nobody has applied what is yet to come.
+    /// Evidence from a position of unknown age. It bounds the offset from below only: no member can have applied
+    /// commits of the future.
     pub(crate) fn of_any(position: Tenths, heard: Tenths) -> Evidence {
         Evidence { least: position.saturating_sub(heard + READING), most: Tenths::MAX }
     }
@@ -67,11 +71,12 @@
         Evidence { least: self.least.max(other.least), most: self.most.min(other.most) }
     }
 
-    /// Bounds that are not known stay so.
+    /// Widens both bounds; unknown bounds stay unknown.
     fn widened(&self, by: Tenths) -> Evidence {
         Evidence { least: self.least.saturating_sub(by), most: self.most.saturating_add(by) }
     }
 
+    /// The highest plausible offset: the upper bound less the reading error.
     fn late_side(&self) -> Tenths {
         (self.most - READING).max(self.least)
     }
@@ -85,46 +90,47 @@
     }
 }
 
+/// The estimate of the members' clock.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MemberClock {
-    /// What this router's time lacks to theirs.
+    /// The members' time minus this router's time.
     offset: Tenths,
-    /// A primary has borne it out.
+    /// Evidence from a primary has confirmed the offset.
     confirmed: bool,
-    /// The host's time is theirs.
+    /// The host's time is the members' own time.
     exact: bool,
-    /// It is no longer the one of the wall clock.
+    /// The offset has been corrected and is no longer that of the wall clock.
     corrected: bool,
-    /// What is left of the offset by all that has borne it out, as of then.
+    /// The intersection of all evidence that has confirmed the offset, as of `bounds_at`.
     bounds: Evidence,
     bounds_at: Tenths,
-    /// Evidence against it that no evidence for it refutes, and when that came.
+    /// Evidence that contradicts the offset and has not been refuted by confirming evidence, with the time of arrival.
     against: Vec<(Tenths, Evidence)>,
 }
 
 impl MemberClock {
-    /// Their time, as far as is known.
+    /// The estimated time at the members.
     pub(crate) fn now(&self, now: Tenths) -> Tenths {
         now + self.offset
     }
 
-    /// The latest that it may be there; None as long as no primary has borne the clock out.
+    /// The latest possible time at the members; None until a primary has confirmed the clock.
     pub(crate) fn latest(&self, now: Tenths) -> Option<Tenths> {
         self.is_confirmed().then_some(now.saturating_add(self.latest_offset(now)))
     }
 
-    /// By how much it is taken to be ahead, and may be at the most.
+    /// The estimated offset by which the members' clock is ahead, and its upper bound.
     pub(crate) fn ahead(&self, now: Tenths) -> (Tenths, Tenths) {
         (self.offset, self.latest_offset(now))
     }
 
-    /// The earliest time here at which it can have been this time there, as far as is known by now.
+    /// The earliest time on this router's clock at which the members' clock can have shown `there`.
     pub(crate) fn earliest_here(&self, now: Tenths, there: Tenths) -> Tenths {
         there.saturating_sub(self.latest_offset(now))
     }
 
-    /// Danger: a wall clock that is behind by less than the age of a report agrees with that report. So the clock counts as
-    /// late as the bounds allow, whatever it says itself.
+    /// The upper bound of the offset. A wall clock that is behind by less than the age of a report agrees with that
+    /// report, so the result is as late as the bounds allow, regardless of the estimate.
     fn latest_offset(&self, now: Tenths) -> Tenths {
         let bounds = self.bounds.widened(self.drift(now));
         let proven = if bounds.is_of_primary() { bounds.most - TRUSTED } else { self.offset };
@@ -134,28 +140,28 @@
             .fold(self.offset.max(proven), Tenths::max)
     }
 
-    /// The host's time is the members' own: no wall clock was read.
+    /// Declares that the host's time is the members' own time and does not depend on a wall clock.
     pub(crate) fn is_theirs(&mut self) {
         self.exact = true;
     }
 
-    /// Whether a primary has borne it out, or it is theirs.
+    /// Whether a primary has confirmed the clock, or it is the members' own.
     pub(crate) fn is_confirmed(&self) -> bool {
         self.confirmed || self.exact
     }
 
-    /// Whether evidence against it waits for more that agrees.
+    /// Whether there is contradicting evidence that has not been refuted but is too little for a correction.
     pub(crate) fn is_contradicted(&self) -> bool {
         !self.against.is_empty()
     }
 
-    /// Whether a position may have been reached by now, as far as is known.
+    /// Whether a position is not in the future by the estimated members' time.
     pub(crate) fn is_past(&self, position: Tenths, now: Tenths) -> bool {
         position <= self.now(now) + READING
     }
 
-    /// Takes evidence in, now. A corrected clock is as late as the evidence allows: positions then rather look old. True
-    /// if the offset in use changes.
+    /// Updates the estimate with evidence received at `now`. A corrected clock is set as late as the evidence allows, so
+    /// that positions look too old rather than too fresh. Returns whether the offset in use has changed.
     pub(crate) fn learn(&mut self, now: Tenths, evidence: Evidence) -> bool {
         if self.exact {
             return false;
@@ -172,7 +178,7 @@
         self.offset != before
     }
 
-    /// By how much the clocks may have drifted apart since the bounds' time.
+    /// How far the clocks may have drifted apart since `bounds_at`.
     fn drift(&self, now: Tenths) -> Tenths {
         (now - self.bounds_at).max(0) / DRIFT_ONE_IN
     }
@@ -182,7 +188,8 @@
         if self.corrected {
             self.offset = self.bounds.late_side();
         }
-        // Danger: a report that may be a second old says nothing against an answer that is not. What is refuted goes.
+        // Only contradicting evidence that is incompatible with the new evidence is refuted and dropped: a report that
+        // may be a second old does not refute an answer that is not.
         if evidence.is_of_primary() {
             self.confirmed = true;
             self.against.retain(|(_, e)| e.and(&evidence).is_possible());
--- a/src/progress.rs
+++ b/src/progress.rs
@@ -1,13 +1,13 @@
-//! What a primary's advancing position proves of the time at which it was told.
+//! Dates a primary's positions by their progress.
 //!
-//! A primary is positioned at the present, but one that hangs or stands still tells the position from before, and reports
-//! are of unknown age: how long ago a position was the present can't be read off it. If it tells a later position than it
-//! told before, it went on in between. So the later position was the present at some time after the request for the
-//! earlier one was sent. A position that does not advance proves nothing, however often it is told.
+//! A primary's position is its current time, but a primary that hangs sends an old one, and reports are of unknown age:
+//! a position alone does not show how long ago it was current. If a primary sends a later position than before, it has
+//! run in between. So the later position was current at some moment after the request for the earlier one was sent. A
+//! position that does not advance proves nothing, however often it is sent.
 
 use crate::interface::Tenths;
 
-/// The last position that one member told as the primary, in one kind of message.
+/// The last position that one member has sent as the primary, in one kind of message.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Progress {
     last: Option<Told>,
@@ -16,16 +16,16 @@
 #[derive(Clone, Copy, Debug)]
 struct Told {
     position: Tenths,
-    /// When the request was sent that it answered, the latest of those with this position.
+    /// When the latest request was sent that was answered with this position.
     asked: Tenths,
 }
 
 impl Progress {
-    /// Takes in a position that it tells as the primary, in the answer to a request sent at `asked`. The time since which the
-    /// position has been the present at some moment, if this proves one.
+    /// Records a position that the member sent as the primary, in the answer to a request sent at `asked`. If the
+    /// position has advanced, returns a time after which the position was current at some moment.
     pub(crate) fn tells(&mut self, position: Tenths, asked: Tenths) -> Option<Tenths> {
         let Some(last) = self.last.filter(|last| last.position <= position) else {
-            // Nothing to compare with, or an answer that was overtaken by a later one.
+            // The first position, or an answer that was overtaken by a later one.
             self.last.get_or_insert(Told { position, asked });
             return None;
         };
@@ -35,7 +35,7 @@
         advanced.then_some(last.asked)
     }
 
-    /// It is no primary any more: what it tells as the next time says nothing of the time in between.
+    /// The member is no longer the primary: positions of a later term are not compared with earlier ones.
     pub(crate) fn ends(&mut self) {
         self.last = None;
     }
--- a/src/progress/tests.rs
+++ b/src/progress/tests.rs
@@ -7,14 +7,14 @@
 }
 
 #[rstest]
-#[case::the_first(&[(100, 90)], None)]
+#[case::first(&[(100, 90)], None)]
 #[case::advances(&[(100, 90), (200, 190)], Some(90))]
-#[case::stands_still(&[(100, 90), (100, 190), (100, 290)], None)]
-#[case::goes_on_after_it_stood_still(&[(100, 90), (100, 190), (300, 290)], Some(190))]
+#[case::unchanged(&[(100, 90), (100, 190), (100, 290)], None)]
+#[case::advances_after_unchanged(&[(100, 90), (100, 190), (300, 290)], Some(190))]
 #[case::overtaken(&[(200, 190), (100, 90)], None)]
-#[case::overtaken_and_then_later(&[(200, 190), (100, 290), (300, 280)], Some(190))]
-#[case::both_under_way(&[(100, 90), (101, 80)], Some(90))]
-fn only_a_position_that_advances_dates_itself(
+#[case::advances_after_overtaken(&[(200, 190), (100, 290), (300, 280)], Some(190))]
+#[case::concurrent_requests(&[(100, 90), (101, 80)], Some(90))]
+fn only_an_advancing_position_is_dated(
     #[case] told: &[(Tenths, Tenths)],
     #[case] since: Option<Tenths>,
 ) {
@@ -22,7 +22,7 @@
 }
 
 #[rstest]
-fn a_later_reign_is_not_compared_with_an_earlier_one() {
+fn positions_of_different_terms_are_not_compared() {
     let mut progress = Progress::default();
     progress.tells(100, 90);
     progress.ends();
--- a/src/roles.rs
+++ b/src/roles.rs
@@ -1,35 +1,36 @@
-//! What one member has said of its own role, ordered by when it can have said it.
+//! Orders the claims that one member makes about its own role by when they can have been made.
 //!
-//! An answer was worked out between the sending of its request and the moment at which it was heard, and answers on two
-//! connections overtake each other. So what is heard last need not be what was said last. A claim to be the primary
-//! disproves a claim to be a replica only if its request was sent after the other had been heard; until then the member
-//! may be a replica. Of two claims whose times overlap, the one that was asked for later is likely the later one.
+//! A claim is made at some time between the sending of the request and the receipt of the answer, and answers on two
+//! connections can overtake each other. So the claim received last is not necessarily the latest. A claim to be the
+//! primary disproves a claim to be a replica only if its request was sent after the other claim had been received;
+//! until then the member may be a replica. Of two claims whose intervals overlap, the one that was requested later is
+//! likely the later one.
 
 use crate::interface::Tenths;
 
-/// The claims of one member. Times are this router's.
+/// The role claims of one member. Times are by this router's clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Roles {
-    /// When the request was sent whose answer said "primary", the latest of them.
+    /// When the latest request was sent that was answered with "primary".
     primary_asked: Option<Tenths>,
-    /// The same of "replica", of claims that nothing has disproved, and when the last of these was heard.
+    /// The same for "replica", among the claims that have not been disproved, and when the last of these was received.
     replica_asked: Option<Tenths>,
     replica_heard: Option<Tenths>,
 }
 
-/// What a claim to be the primary is worth beside what the member has said otherwise.
+/// How a claim to be the primary stands against the member's other claims.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Standing {
-    /// It is later than all that.
+    /// Later than all claims to be a replica.
     Proven,
-    /// It was asked for later, but may have been said before.
+    /// Requested later than the claims to be a replica, but it may have been made earlier.
     Likely,
-    /// It was asked for earlier.
+    /// Requested no later than a claim to be a replica.
     Old,
 }
 
 impl Roles {
-    /// Takes in that it says to be the primary, asked then.
+    /// Records a claim to be the primary, in the answer to a request sent at `asked`.
     pub(crate) fn claims_primary(&mut self, asked: Tenths) -> Standing {
         if self.replica_heard.is_none_or(|heard| asked >= heard) {
             (self.replica_asked, self.replica_heard) = (None, None);
@@ -40,18 +41,18 @@
         if self.may_be_replica() { Standing::Likely } else { Standing::Proven }
     }
 
-    /// Takes in that it says to be a replica, asked and heard then.
+    /// Records a claim to be a replica, requested at `asked` and received at `heard`.
     pub(crate) fn claims_replica(&mut self, asked: Tenths, heard: Tenths) {
         self.replica_asked = self.replica_asked.max(Some(asked));
         self.replica_heard = self.replica_heard.max(Some(heard));
     }
 
-    /// Whether it may have said "replica" later than "primary".
+    /// Whether the latest claim may be the one to be a replica.
     pub(crate) fn may_be_replica(&self) -> bool {
         self.replica_heard.is_some()
     }
 
-    /// Whether it has said "primary" to a request that was sent later than this.
+    /// Whether the member has answered "primary" to a request that was sent after `asked`.
     pub(crate) fn was_primary_after(&self, asked: Tenths) -> bool {
         self.primary_asked.is_some_and(|later| later > asked)
     }
--- a/src/roles/tests.rs
+++ b/src/roles/tests.rs
@@ -2,12 +2,12 @@
 use rstest::rstest;
 
 #[rstest]
-#[case::asked_first(4, Standing::Old)]
-#[case::asked_together(5, Standing::Old)]
-#[case::asked_before_the_other_was_heard(9, Standing::Likely)]
-#[case::asked_as_it_was_heard(10, Standing::Proven)]
-#[case::asked_later(11, Standing::Proven)]
-fn a_primary_disproves_only_what_was_heard_before_it_was_asked(
+#[case::requested_first(4, Standing::Old)]
+#[case::requested_together(5, Standing::Old)]
+#[case::requested_before_receipt(9, Standing::Likely)]
+#[case::requested_at_receipt(10, Standing::Proven)]
+#[case::requested_later(11, Standing::Proven)]
+fn primary_claim_disproves_only_claims_received_before_its_request(
     #[case] asked: Tenths,
     #[case] standing: Standing,
 ) {
@@ -19,11 +19,11 @@
 }
 
 #[rstest]
-fn a_replica_may_be_one_however_late_that_is_heard() {
+fn late_replica_claim_casts_doubt_on_the_primary() {
     let mut roles = Roles::default();
     assert_eq!(roles.claims_primary(20), Standing::Proven);
     roles.claims_replica(10, 30);
-    assert!(roles.may_be_replica(), "said at any time from 10 to 30");
+    assert!(roles.may_be_replica(), "the claim was made at some time from 10 to 30");
     assert!(roles.was_primary_after(10));
     assert_eq!(roles.claims_primary(25), Standing::Likely);
     assert_eq!(roles.claims_primary(31), Standing::Proven);
@@ -31,7 +31,7 @@
 }
 
 #[rstest]
-fn the_latest_claims_count() {
+fn older_claims_do_not_replace_later_ones() {
     let mut roles = Roles::default();
     roles.claims_replica(25, 30);
     roles.claims_replica(5, 10);
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What a router holds. Nothing is decided here: `decide` alone reads and changes it.
+//! The router's state. No decisions are made here: only `decide` reads and changes it.
 
 use crate::decay::Mean;
 use crate::interface::{Id, PositionSource, Tenths};
@@ -8,12 +8,12 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A member's place in the router's table.
+/// A member's index in the router's member table.
 pub(crate) type Node = usize;
 
 pub(crate) use crate::interface::MemberState as State;
 
-/// How new a command group's data must be; a bound where there is one.
+/// How fresh the data must be that a command group accesses, with the staleness bound if there is one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Access {
     Any,
@@ -23,6 +23,8 @@
     Write,
 }
 
+/// Whether a command may run again. `Keyed`: repeats are deduplicated by a key, for `window` after the first dispatch
+/// that may have run: everywhere, within one zone, or else within the set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Effect {
     Replayable,
@@ -37,25 +39,26 @@
     pub target: Tenths,
     pub late_share: f64,
     pub benefit: f64,
-    /// The most dispatches of one command.
+    /// The maximum number of dispatches of one command.
     pub attempts: u32,
-    /// How long a throttled client is told to stay away.
+    /// The retry delay that is sent to a throttled client.
     pub hold_off: Tenths,
     pub latency: Mean,
 }
 
-/// Command groups in numbered places. A command knows its group by the place, so a group that new settings
-/// change or drop stays as it is for as long as a command of it is open.
+/// Command groups in numbered slots. A command refers to its group by slot, so a group that new settings change or
+/// remove is kept unchanged for as long as a command of it is open.
 #[derive(Debug, Default)]
 pub(crate) struct CommandGroups {
     pub places: Vec<CommandGroup>,
-    /// Where the settings' groups are.
+    /// The slots of the groups in the current settings, by name.
     pub named: BTreeMap<String, usize>,
 }
 
 impl CommandGroups {
-    /// Takes in the groups of new settings, `held` being the places that open commands know. One that is as it
-    /// was keeps its place; another gets one that is not held, with what was measured under its name.
+    /// Replaces the groups with those of new settings; `held` are the slots that open commands refer to. An unchanged
+    /// group keeps its slot; a changed or new one gets a slot that is not held. The latency measured under the same
+    /// name is carried over.
     pub(crate) fn replace(&mut self, told: Vec<(String, CommandGroup)>, held: &BTreeSet<usize>) {
         let old = std::mem::take(&mut self.named);
         let (mut taken, mut moved) = (held.clone(), Vec::new());
@@ -77,7 +80,7 @@
         }
     }
 
-    /// Those of the settings and of open commands, as far as `held` names them.
+    /// The groups of the current settings and those in the slots of `held`, each once.
     pub(crate) fn in_use<'a>(&'a self, held: &'a BTreeSet<usize>) -> impl Iterator<Item = &'a CommandGroup> {
         held.iter()
             .chain(self.named.values().filter(|place| !held.contains(*place)))
@@ -92,89 +95,93 @@
     pub zone: Id,
     pub tie: usize,
     pub listed_primary: bool,
-    /// Told as draining or gone.
+    /// Listed as draining or removed: nothing is sent to it.
     pub shut: bool,
-    /// The list has it no more.
+    /// No longer on the member list.
     pub gone: bool,
     pub started: Tenths,
-    /// When this router learned of that start.
+    /// When this router learned of the start.
     pub start_known: Tenths,
     pub state: State,
-    /// When the last answer's note told its role.
+    /// When the last answer arrived whose note stated the member's role.
     pub noted_at: Tenths,
     pub roles: Roles,
-    /// Attempts that see what a primary has, by command and number, with the time at which each was written there.
+    /// Attempts written to this member as the primary, by command and attempt number, with the time of the write.
     pub written_as_primary: BTreeMap<(u64, u32), Tenths>,
-    /// Proven: all commits up to here are applied. Told as a replica; the last word of it that counted was heard then.
+    /// Proven: all commits up to this position are applied. Learned from the member as a replica; `position_heard` is
+    /// when the last message that set it was received.
     pub position: Tenths,
     pub position_heard: Tenths,
     pub position_source: PositionSource,
-    /// The positions that it tells as the primary, in answers and in reports.
+    /// The positions that the member sends as the primary, in answers and in reports.
     pub answered_positions: Progress,
     pub reported_positions: Progress,
-    /// When it was last taken for broken.
+    /// When the member was last marked as broken.
     pub broken_at: Tenths,
     pub checked_at: Tenths,
-    /// How far behind it was at the last word of it, and when that came.
+    /// The replication lag last learned, and when it was learned.
     pub behind: Tenths,
     pub behind_at: Tenths,
     pub heard: Tenths,
-    /// It has answered a dispatch or a probe, or was on the first list: no name alone.
+    /// Has answered a dispatch or a probe, or was on the first member list. Otherwise the member is only a listed name
+    /// and may not exist.
     pub met: bool,
-    /// Dispatches counted as lost since it was last heard.
+    /// Dispatches counted as lost since the last message from the member.
     pub unheard: usize,
-    /// Dispatches out: command and number, with the time of each.
+    /// Dispatches in flight, by command and attempt number, with the time of each.
     pub out: BTreeMap<(u64, u32), Tenths>,
     pub window: f64,
     pub shy_until: Tenths,
-    /// Until then the primary's spare part is taken.
+    /// Until then the part of a primary's window that is open to reads is used up.
     pub spare_at: Tenths,
-    /// Seen to die; back, it is cold.
+    /// Its process was seen to die: when the member is back, it is cold.
     pub died: bool,
-    /// What this router may still send it while it is cold.
+    /// The work that this router may still send to the member while it is cold.
     pub credit: f64,
     pub credit_at: Tenths,
     pub turn: f64,
     pub probing: bool,
-    /// When the last probe went out.
+    /// When the last probe was sent.
     pub asked_at: Tenths,
     pub fails: u32,
-    /// When it last turned a dispatch away; 0 once one sent later was answered.
+    /// When the member last rejected a dispatch; 0 once a dispatch sent later was answered.
     pub turned_away: Tenths,
-    /// Connections refused since the last answer.
+    /// Number of refused connections since the last answer.
     pub refused: u32,
-    /// A connection there broke, and no probe has told yet whether it died.
+    /// A connection to the member broke, and no probe has shown yet whether its process died.
     pub broke: bool,
     pub retry_at: Tenths,
-    /// Dials in a row that failed on this machine, and until when no further one is made.
+    /// Consecutive dials that failed on this machine, and until when no further one is made.
     pub local_errors: u32,
     pub dial_at: Tenths,
 }
 
 impl Member {
-    /// How far behind it is taken to be: it catches up as time passes, so one that does not is tried again
-    /// after twice as long each time. A guess; no rule rests on it.
+    /// The estimated replication lag: it shrinks as time passes, so a member that does not catch up is tried again
+    /// after twice as long each time. Only an estimate; no rule depends on it.
     pub(crate) fn behind(&self, now: Tenths) -> Tenths {
         (self.behind - (now - self.behind_at)).max(0)
     }
 }
 
-/// The sessions' last writes, as positions. Those long past are forgotten once there are many.
+/// The sessions' last writes, as positions. Old ones are evicted when there are many.
 #[derive(Debug, Default)]
 pub(crate) struct Sessions {
     writes: BTreeMap<String, Tenths>,
-    /// How many are held before some are forgotten again; 0 as long as none was.
+    /// The number of sessions at which old ones are evicted next; 0 as long as none was evicted.
     most: usize,
 }
 
 impl Sessions {
-    /// The last write of a session. One that may have been forgotten at `old` or before counts as written
-    /// then.
+    /// The position of a session's last write. For an unknown session: `old` if sessions were evicted, as its last
+    /// write may be that recent, else 0.
     pub(crate) fn written(&self, session: &Option<String>, old: Tenths) -> Tenths {
         let forgotten = if self.most > 0 { old } else { 0 };
         session.as_ref().and_then(|s| self.writes.get(s)).copied().unwrap_or(forgotten)
     }
 
+    /// Records a session's write. Evicts the writes up to `old` if at least `least` sessions are held and the eviction
+    /// threshold is reached.
     pub(crate) fn write(&mut self, session: String, at: Tenths, old: Tenths, least: usize) {
         if self.writes.len() >= self.most.max(least) {
             self.writes.retain(|_, at| *at > old);
@@ -190,61 +197,72 @@
     }
 }
 
-/// A waiting command: what goes behind has the higher rank, and the newest goes first.
+/// A waiting command's place in its queue: lower ranks first, then the newest first.
 pub(crate) type Place = (u8, Reverse<u64>);
 
+/// A database set with its members and the commands that wait for them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MemberSet {
     pub nodes: Vec<Node>,
-    /// Waiting commands, a queue for each command group.
+    /// Waiting commands: one queue for each command group.
     pub waiting: Vec<BTreeSet<Place>>,
+    /// The held write that searches for the primary by trying the members.
     pub scout: Option<u64>,
+    /// When the next probe may look for a primary.
     pub seek_at: Tenths,
+    /// When the waiting commands are offered again.
     pub look_at: Tenths,
+    /// Consecutive rounds of the search that ended with transport errors.
     pub broken_rounds: u32,
+    /// When the next round of the search may begin.
     pub round_at: Tenths,
-    /// Latencies over response targets of its answers.
+    /// The mean ratio of latency to response target of the set's answers.
     pub slow: Mean,
 }
 
+/// A command that has arrived and is not complete.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Open {
     pub id: Id,
     pub kind: usize,
     pub set: i64,
     pub rank: u8,
-    /// When the last use of an answer ends.
+    /// After this time an answer is of no more use.
     pub ends: Tenths,
-    /// How long it waits for a first dispatch to be written.
+    /// Until when the command waits for a first dispatch to be written.
     pub patience: Tenths,
-    /// When it is looked at next while nothing of it is out.
+    /// When the command is examined next while no dispatch is in flight.
     pub settles: Tenths,
-    /// The position that a session or fresh read must see.
+    /// The position that the data of a session or fresh read must include.
     pub needs: Tenths,
     pub session: Option<String>,
     pub dispatches: u32,
-    /// Dispatches that this machine could not open a connection for.
+    /// Dispatches for which this machine could not open a connection; they do not count as attempts.
     pub given_back: u32,
     pub out: BTreeMap<u32, (Node, Tenths)>,
-    /// Attempts whose answers may be older than it may see.
+    /// Attempts whose answers may come from data that is too old for the command.
     pub too_old: BTreeSet<u32>,
-    /// What attempts that were written to replicas may see.
+    /// What data the attempts written to replicas may read.
     pub seen: BTreeMap<u32, Seen>,
-    /// The first dispatch that may have run.
+    /// The first dispatch that may have run: its member and when it was sent.
     pub maybe_ran: Option<(Node, Tenths)>,
+    /// Members tried in the current round of the search for the primary.
     pub tried: Vec<Node>,
+    /// A dispatch of the current round ended with a transport error.
     pub broken_round: bool,
+    /// A dispatch ended with an error.
     pub erred: bool,
-    /// Erred where a further dispatch would not help.
+    /// A dispatch ended with an error, and a further one is unlikely to succeed.
     pub hopeless: bool,
     pub closed: bool,
 }
 
-/// What an attempt may see: when its last byte was written, and up to when its member had applied all by then.
+/// The data that an attempt may read: when its last byte was written, and up to which position its member was known
+/// to have applied all commits at that time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Seen {
     pub written: Tenths,
-    /// What its command had to see by then, where that is a session's read.
+    /// The position that the command required at that time, if it is a session read.
     pub needs: Tenths,
     pub position: Tenths,
     pub source: PositionSource,
@@ -252,12 +270,13 @@
 }
 
 impl Open {
-    /// Dispatches that count as attempts.
+    /// The number of dispatches that count as attempts.
     pub(crate) fn attempts(&self) -> u32 {
         self.dispatches - self.given_back
     }
 }
 
+/// A scheduled task of the router.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Task {
     Settle(u64),
@@ -268,7 +287,7 @@
     Watch,
 }
 
-/// The instance's chance, from its seed alone.
+/// The instance's random numbers, determined by its seed alone.
 pub(crate) struct Chance(WyRand);
 
 impl Default for Chance {
@@ -284,12 +303,12 @@
 }
 
 impl Chance {
-    /// A length of time from 0 up to, but not including, `most`.
+    /// A random duration from 0 up to, but not including, `most`.
     pub(crate) fn below(&mut self, most: Tenths) -> Tenths {
         self.0.generate_range(0..most.max(1) as u64) as Tenths
     }
 
-    /// `base` and up to as much again.
+    /// `base` plus a random duration of less than `base`.
     pub(crate) fn jittered(&mut self, base: Tenths) -> Tenths {
         base + self.below(base)
     }
--- a/src/told.rs
+++ b/src/told.rs
@@ -1,4 +1,4 @@
-//! Reads values out of the settings as told.
+//! Parses the settings: single values, command groups and customers' shares.
 
 use crate::decay::Decay;
 use crate::interface::{Tenths, Told};
@@ -6,21 +6,23 @@
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
+/// Converts milliseconds to tenths of a millisecond, rounded down.
 pub(crate) fn tenths(ms: f64) -> Tenths {
     (ms * 10.0).floor() as Tenths
 }
 
-/// The value told, or `or` where none is; an unreadable one is an error.
+/// The value of a setting, or `or` if it is absent. A value that cannot be parsed is an error.
 pub(crate) fn pick<T: FromStr>(told: &Told, name: &str, or: T) -> Result<T, String> {
     told.get(name).map_or(Ok(or), |v| v.parse().map_err(|_| format!("setting {name}: cannot read '{v}'")))
 }
 
+/// The value of a setting that must be present.
 pub(crate) fn need<T: FromStr>(told: &Told, name: &str) -> Result<T, String> {
     let value = told.get(name).ok_or_else(|| format!("setting {name} is missing"))?;
     value.parse().map_err(|_| format!("setting {name}: cannot read '{value}'"))
 }
 
-/// Settings that are numbers from 0 and are read as they are used.
+/// Settings that are non-negative numbers and are parsed each time they are used.
 const NUMBERS: [&str; 10] = [
     "me",
     "balancers",
@@ -34,7 +36,8 @@
     "rules.warm_after_ms",
 ];
 
-/// Whether all those that are told can be read. Danger: read where it is used, a wrong one would count as none.
+/// Checks that all numeric settings that are present can be parsed. Without this check, a malformed one would
+/// silently be replaced by its default where it is used.
 pub(crate) fn numbers(told: &Told) -> Result<(), String> {
     let good = |value: &String| value.parse().is_ok_and(|number: f64| number.is_finite() && number >= 0.0);
     let told = NUMBERS.iter().filter_map(|name| Some((name, told.get(*name)?)));
@@ -44,12 +47,12 @@
     })
 }
 
-/// One value of a plain list.
+/// One value of a comma-separated list.
 fn item<'a>(told: &'a Told, name: &str, at: usize) -> Option<&'a str> {
     told.get(name)?.split(',').nth(at)
 }
 
-/// The command groups in the settings' order, by name; `access` and `effect` stand where none is told.
+/// The command groups with their names, in the order of the settings; `access` and `effect` are the defaults.
 pub(crate) fn command_groups(
     told: &Told,
     access: Access,
@@ -68,7 +71,7 @@
     Ok(groups)
 }
 
-/// The customers' shares, each with nothing counted yet.
+/// The customers' traffic shares by customer name, each with an empty traffic count.
 pub(crate) fn shares(told: &Told) -> Result<BTreeMap<String, (f64, Decay)>, String> {
     let share = |i: usize| {
         let share = pick(told, &format!("projects.{i}.share"), 1.0)?;
@@ -112,6 +115,7 @@
     Ok((need(told, &key("name"))?, group))
 }
 
+/// Whether a setting is present with exactly this value.
 pub(crate) fn is(told: &Told, name: &str, value: &str) -> bool {
     told.get(name).is_some_and(|v| v == value)
 }
