--- a/crates/log/src/tests.rs
+++ b/crates/log/src/tests.rs
@@ -3,16 +3,16 @@
 
 #[rstest]
 fn lines_beyond_the_limit_are_suppressed_and_counted() {
-    let gate = Gate::new(LINES_A_SECOND);
-    let first: Vec<Option<u32>> = (0..8).map(|_| gate.open_in(3)).collect();
+    let limiter = RateLimiter::new(LINES_A_SECOND);
+    let first: Vec<Option<u32>> = (0..8).map(|_| limiter.admit_in(3)).collect();
     assert_eq!(first, [Some(0), Some(0), Some(0), Some(0), Some(0), None, None, None]);
-    assert_eq!((gate.open_in(4), gate.open_in(4)), (Some(3), Some(0)));
+    assert_eq!((limiter.admit_in(4), limiter.admit_in(4)), (Some(3), Some(0)));
 }
 
 #[rstest]
 fn limiter_admits_a_custom_rate() {
-    let gate = Gate::new(7);
-    assert_eq!((0..9).filter(|_| gate.open_in(3).is_some()).count(), 7);
+    let limiter = RateLimiter::new(7);
+    assert_eq!((0..9).filter(|_| limiter.admit_in(3).is_some()).count(), 7);
 }
 
 #[rstest]
@@ -23,5 +23,5 @@
 fn any_wall_clock_time_is_formatted(#[case] seconds: i64, #[case] millis: u64, #[case] text: &str) {
     let span = Duration::from_secs(seconds.unsigned_abs());
     let at = if seconds < 0 { UNIX_EPOCH - span } else { UNIX_EPOCH + span };
-    assert_eq!(date(at + Duration::from_millis(millis)), text);
+    assert_eq!(format_time(at + Duration::from_millis(millis)), text);
 }
--- a/crates/log/tests/streams.rs
+++ b/crates/log/tests/streams.rs
@@ -15,22 +15,22 @@
 
 /// Runs the example to its end through a shell that redirects its standard error, and returns whether it succeeded and
 /// the lines it logged.
-fn lines_of(count: usize, leads_to: &str) -> (bool, String) {
-    let script = format!("exec '{}' {count} {leads_to}", example().display());
+fn run_example(count: usize, redirect: &str) -> (bool, String) {
+    let script = format!("exec '{}' {count} {redirect}", example().display());
     let child =
         Command::new("sh").args(["-c", &script]).stdout(Stdio::piped()).stderr(Stdio::piped()).spawn();
     let mut child = child.expect("a shell");
-    let mut said = String::new();
-    child.stdout.take().expect("piped").read_to_string(&mut said).expect("text");
+    let mut stdout_text = String::new();
+    child.stdout.take().expect("piped").read_to_string(&mut stdout_text).expect("text");
     // Read only after the program has ended, so that a full pipe stays full while it runs.
     let mut lines = String::new();
     child.stderr.take().expect("piped").read_to_string(&mut lines).expect("text");
-    (said == "done\n" && child.wait().expect("a child").success(), lines)
+    (stdout_text == "done\n" && child.wait().expect("a child").success(), lines)
 }
 
 #[rstest]
 fn pipe_read_after_exit_holds_all_lines_with_their_times() {
-    let (ended, lines) = lines_of(100, "");
+    let (ended, lines) = run_example(100, "");
     assert!(ended);
     assert_eq!(lines.lines().count(), 100);
     assert!(lines.starts_with("line 0 at 2") && lines.trim_end().ends_with('Z'), "{lines}");
@@ -38,7 +38,7 @@
 
 #[rstest]
 fn unread_pipe_keeps_first_lines_without_blocking() {
-    let (ended, lines) = lines_of(20_000, "");
+    let (ended, lines) = run_example(20_000, "");
     assert!(ended);
     assert!(lines.starts_with("line 0 at "));
     assert!((1_000..20_000).contains(&lines.lines().count()), "{}", lines.lines().count());
@@ -47,6 +47,6 @@
 #[rstest]
 #[case::full_disk("2>/dev/full")]
 #[case::closed("2>&-")]
-fn unwritable_stream_does_not_end_the_program(#[case] leads_to: &str) {
-    assert_eq!(lines_of(100, leads_to), (true, String::new()));
+fn unwritable_stream_does_not_end_the_program(#[case] redirect: &str) {
+    assert_eq!(run_example(100, redirect), (true, String::new()));
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -7,65 +7,65 @@
 use vetchkeel_pgwire::said;
 
 /// Lists whose entries clients refer to by name.
-const NAMED: [&str; 2] = ["request_classes", "projects"];
+const CLIENT_NAMED_LISTS: [&str; 2] = ["request_classes", "projects"];
 
 /// The settings of a JSON object as flat names and values.
 pub fn flattened(settings: &Map<String, Value>) -> Told {
-    let mut told = Told::new();
-    settings.iter().for_each(|(name, value)| flatten(name, value, &mut told));
-    told
+    let mut values = Told::new();
+    settings.iter().for_each(|(name, value)| flatten(name, value, &mut values));
+    values
 }
 
 /// Checks that the names in the lists that clients refer to are distinct and can be read from a statement's comment.
 /// The error is one line that states what was expected.
-pub fn check(told: &Told) -> Result<(), String> {
-    NAMED.into_iter().try_for_each(|list| told_apart(list, told))
+pub fn check(values: &Told) -> Result<(), String> {
+    CLIENT_NAMED_LISTS.into_iter().try_for_each(|list| check_names(list, values))
 }
 
 /// The names of the command groups or customers in this list.
-pub fn names<'a>(told: &'a Told, list: &str) -> impl Iterator<Item = &'a String> {
-    (0..).map_while(move |i| told.get(&format!("{list}.{i}.name")))
+pub fn names<'a>(values: &'a Told, list: &str) -> impl Iterator<Item = &'a String> {
+    (0..).map_while(move |i| values.get(&format!("{list}.{i}.name")))
 }
 
 /// Checks that each entry of a list has a distinct name that clients can write in a statement's comment. Otherwise a
 /// command would get the effect, deadline or share of another entry.
-fn told_apart(list: &str, told: &Told) -> Result<(), String> {
-    let mut places = BTreeMap::new();
-    for (at, name) in names(told, list).enumerate() {
-        if let Some(first) = places.insert(name, at) {
+fn check_names(list: &str, values: &Told) -> Result<(), String> {
+    let mut indexes = BTreeMap::new();
+    for (index, name) in names(values, list).enumerate() {
+        if let Some(first) = indexes.insert(name, index) {
             return Err(format!(
-                "expected another name for each of '{list}', found {name:?} at {first} and {at}"
+                "expected another name for each of '{list}', found {name:?} at {first} and {index}"
             ));
         }
         let statement = format!("/*id=i,d=1,c={name},t={name}*/");
-        let read = said(statement.as_bytes()).map(|s| (s.group, s.customer));
-        if read != Ok((name, Some(name))) {
+        let parsed = said(statement.as_bytes()).map(|s| (s.group, s.customer));
+        if parsed != Ok((name, Some(name))) {
             let expected = "a name that reads the same in a statement's comment";
-            return Err(format!("expected {expected} for each of '{list}', found {name:?} at {at}"));
+            return Err(format!("expected {expected} for each of '{list}', found {name:?} at {index}"));
         }
     }
     Ok(())
 }
 
-fn plain(value: &Value) -> String {
+fn scalar_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
 
-fn flatten(name: &str, value: &Value, told: &mut Told) {
+fn flatten(name: &str, value: &Value, values: &mut Told) {
     match value {
         Value::Null => {}
-        Value::Object(parts) => parts.iter().for_each(|(n, v)| flatten(&format!("{name}.{n}"), v, told)),
+        Value::Object(fields) => fields.iter().for_each(|(n, v)| flatten(&format!("{name}.{n}"), v, values)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            told.insert(format!("{name}.count"), items.len().to_string());
-            items.iter().enumerate().for_each(|(i, v)| flatten(&format!("{name}.{i}"), v, told));
+            values.insert(format!("{name}.count"), items.len().to_string());
+            items.iter().enumerate().for_each(|(i, v)| flatten(&format!("{name}.{i}"), v, values));
         }
         Value::Array(items) => {
             // Entries are read by index from comma-separated text: one that contains a comma would count as two.
-            let entry = |item| plain(item).replace(',', "_");
-            told.insert(name.to_owned(), items.iter().map(entry).collect::<Vec<_>>().join(","));
+            let entry = |item| scalar_text(item).replace(',', "_");
+            values.insert(name.to_owned(), items.iter().map(entry).collect::<Vec<_>>().join(","));
         }
         other => {
-            told.insert(name.to_owned(), plain(other));
+            values.insert(name.to_owned(), scalar_text(other));
         }
     }
 }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use rstest::rstest;
 
-fn object(text: &str) -> Told {
+fn flattened_json(text: &str) -> Told {
     flattened(serde_json::from_str::<Value>(text).expect("JSON").as_object().expect("an object"))
 }
 
 #[rstest]
 fn json_object_is_flattened_with_names_unchanged() {
-    let told = object(
+    let values = flattened_json(
         r#"{"me":2,"zone":"big hall","kinds":["std-4","big one","x,y"],
         "permissions":{"cancel":true,"dial_timeout_ms":250.0},
         "request_classes":[{"name":"map view, old","aim_ms":600.0}]}"#,
@@ -22,14 +22,14 @@
         ("request_classes.count", "1"),
         ("zone", "big hall"),
     ];
-    let told: Vec<(&str, &str)> = told.iter().map(|(n, v)| (n.as_str(), v.as_str())).collect();
-    assert_eq!(told, want);
+    let values: Vec<(&str, &str)> = values.iter().map(|(n, v)| (n.as_str(), v.as_str())).collect();
+    assert_eq!(values, want);
 }
 
 #[rstest]
 #[case::duplicate(r#"{"request_classes":[{"name":"a"},{"name":"a"}]}"#, "found \"a\" at 0 and 1")]
 #[case::unreadable_in_a_comment(r#"{"projects":[{"name":"a*/"}]}"#, "'projects', found \"a*/\" at 0")]
 fn ambiguous_names_are_rejected(#[case] text: &str, #[case] found: &str) {
-    let why = check(&object(text)).expect_err("rejected");
+    let why = check(&flattened_json(text)).expect_err("rejected");
     assert!(why.starts_with("expected ") && why.contains(found), "{why}");
 }
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -11,14 +11,14 @@
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Instance>,
-    sheets: BTreeMap<u32, Vec<Entry>>,
+    member_lists: BTreeMap<u32, Vec<Entry>>,
     line: usize,
 }
 
 struct Instance {
     /// None once the instance has failed: a `die` line has been written, and later events are ignored.
     router: Option<Router>,
-    zero: Tenths,
+    position_origin: Tenths,
     timer: Option<Tenths>,
 }
 
@@ -42,7 +42,7 @@
     }
 
     fn tenths(&mut self, what: &str) -> Result<Option<Tenths>, String> {
-        self.optional(what)?.map(|t| tenths(t, what)).transpose()
+        self.optional(what)?.map(|t| parse_tenths(t, what)).transpose()
     }
 
     fn flag(&mut self, what: &str) -> Result<bool, String> {
@@ -54,7 +54,7 @@
     }
 }
 
-fn tenths(text: &str, what: &str) -> Result<Tenths, String> {
+fn parse_tenths(text: &str, what: &str) -> Result<Tenths, String> {
     let ms: f64 = text.parse().map_err(|_| format!("expected {what} in milliseconds, found '{text}'"))?;
     if !ms.is_finite() {
         return Err(format!("expected {what} in milliseconds, found '{text}'"));
@@ -70,9 +70,9 @@
             if line.is_empty() {
                 continue;
             }
-            let place = self.line;
-            self.batch(&line.clone(), &mut input, &mut line, &mut output)
-                .map_err(|why| format!("line {}: {why} (batch began at line {place})", self.line))?;
+            let first_line = self.line;
+            self.handle_batch(&line.clone(), &mut input, &mut line, &mut output)
+                .map_err(|why| format!("line {}: {why} (batch began at line {first_line})", self.line))?;
         }
         Ok(())
     }
@@ -88,21 +88,21 @@
         Ok(read > 0)
     }
 
-    fn batch(
+    fn handle_batch(
         &mut self,
-        head: &str,
+        header: &str,
         input: &mut impl BufRead,
         line: &mut String,
         output: &mut impl Write,
     ) -> Result<(), String> {
-        let mut head = Fields { parts: head.split('\t') };
-        let word = head.text("'tick'")?;
-        if word != "tick" {
-            return Err(format!("expected 'tick', found '{word}'"));
+        let mut header = Fields { parts: header.split('\t') };
+        let keyword = header.text("'tick'")?;
+        if keyword != "tick" {
+            return Err(format!("expected 'tick', found '{keyword}'"));
         }
-        let now = head.tenths("the clock")?.ok_or("expected the clock, found '-'")?;
-        let number: u64 = head.number("the batch number")?;
-        let mut touched = Vec::new();
+        let now = header.tenths("the clock")?.ok_or("expected the clock, found '-'")?;
+        let number: u64 = header.number("the batch number")?;
+        let mut active = Vec::new();
         let mut reply = String::new();
         loop {
             if !self.read_line(input, line)? {
@@ -112,34 +112,34 @@
                 break;
             }
             let mut fields = Fields { parts: line.split('\t') };
-            let word = fields.text("an event")?;
-            if word == "inventory" {
-                let sheet = fields.number("the sheet")?;
+            let keyword = fields.text("an event")?;
+            if keyword == "inventory" {
+                let list_number = fields.number("the sheet")?;
                 let count: usize = fields.number("the number of rows")?;
                 let mut entries = Vec::new();
                 for _ in 0..count {
                     if !self.read_line(input, line)? {
                         return Err("expected a row, found the end of the input".into());
                     }
-                    entries.push(row(line)?);
+                    entries.push(parse_row(line)?);
                 }
-                self.sheets.insert(sheet, entries);
+                self.member_lists.insert(list_number, entries);
                 continue;
             }
-            let inst: u32 = fields.number("the instance")?;
-            let outcome = catch_unwind(AssertUnwindSafe(|| self.event(now, inst, word, &mut fields)));
+            let instance_id: u32 = fields.number("the instance")?;
+            let outcome = catch_unwind(AssertUnwindSafe(|| self.handle_event(now, instance_id, keyword, &mut fields)));
             let failure = match outcome {
                 Ok(done) => done?,
                 Err(cause) => Some(panic_text(cause)),
             };
             if let Some(text) = failure {
-                self.fail(inst, &text, &mut reply);
-            } else if !touched.contains(&inst) {
-                touched.push(inst);
+                self.fail(instance_id, &text, &mut reply);
+            } else if !active.contains(&instance_id) {
+                active.push(instance_id);
             }
         }
-        for inst in touched {
-            self.pull(now, inst, &mut reply);
+        for instance_id in active {
+            self.write_decisions(now, instance_id, &mut reply);
         }
         reply.push_str(&format!("end\t{number}\n"));
         output
@@ -148,59 +148,59 @@
             .map_err(|e| format!("cannot reply: {e}"))
     }
 
-    fn fail(&mut self, inst: u32, text: &str, reply: &mut String) {
-        if let Some(instance) = self.instances.get_mut(&inst) {
+    fn fail(&mut self, instance_id: u32, text: &str, reply: &mut String) {
+        if let Some(instance) = self.instances.get_mut(&instance_id) {
             instance.router = None;
         }
         let text = text.replace(['\t', '\n', '\r'], " ");
-        reply.push_str(&format!("die\t{inst}\t{text}\n"));
+        reply.push_str(&format!("die\t{instance_id}\t{text}\n"));
     }
 
     /// Handles one event. Err means a malformed line; Ok with a text means that the instance has failed.
-    fn event(
+    fn handle_event(
         &mut self,
         now: Tenths,
-        inst: u32,
-        word: &str,
-        f: &mut Fields,
+        instance_id: u32,
+        keyword: &str,
+        fields: &mut Fields,
     ) -> Result<Option<String>, String> {
-        if word == "begin" {
-            let seed: u64 = f.number("the seed")?;
-            let mut told = Told::new();
-            for pair in f.parts.by_ref().filter(|p| !p.is_empty() && *p != "-") {
+        if keyword == "begin" {
+            let seed: u64 = fields.number("the seed")?;
+            let mut settings = Told::new();
+            for pair in fields.parts.by_ref().filter(|p| !p.is_empty() && *p != "-") {
                 let (name, value) =
                     pair.split_once('=').ok_or_else(|| format!("expected name=value, found '{pair}'"))?;
-                told.insert(name.to_owned(), value.to_owned());
+                settings.insert(name.to_owned(), value.to_owned());
             }
-            let zero = match told.get("family_info.zero_ms") {
-                Some(text) => tenths(text, "family_info.zero_ms")?,
+            let position_origin = match settings.get("family_info.zero_ms") {
+                Some(text) => parse_tenths(text, "family_info.zero_ms")?,
                 None => 0,
             };
-            let (router, failure) = match Router::start(told, seed, now) {
+            let (router, failure) = match Router::start(settings, seed, now) {
                 Ok(mut router) => {
                     router.shares_clock();
                     (Some(router), None)
                 }
                 Err(why) => (None, Some(why)),
             };
-            self.instances.insert(inst, Instance { router, zero, timer: None });
+            self.instances.insert(instance_id, Instance { router, position_origin, timer: None });
             return Ok(failure);
         }
-        if word == "down" {
-            self.instances.remove(&inst);
+        if keyword == "down" {
+            self.instances.remove(&instance_id);
             return Ok(None);
         }
-        let Some(Instance { router: Some(router), zero, timer }) = self.instances.get_mut(&inst) else {
-            return match word {
+        let Some(Instance { router: Some(router), position_origin, timer }) = self.instances.get_mut(&instance_id) else {
+            return match keyword {
                 "sync" | "arrival" | "left" | "begun" | "outcome" | "memo" | "probe_done" | "due" => Ok(None),
-                _ => Err(format!("expected an event, found '{word}'")),
+                _ => Err(format!("expected an event, found '{keyword}'")),
             };
         };
-        match word {
+        match keyword {
             "sync" => {
-                let sheet: u32 = f.number("the sheet").unwrap_or(u32::MAX);
-                f.text("the epoch")?;
-                let whole = match f.text("the form")? {
+                let list_number: u32 = fields.number("the sheet").unwrap_or(u32::MAX);
+                fields.text("the epoch")?;
+                let complete = match fields.text("the form")? {
                     "delta" => false,
                     "full" | "cached" => true,
                     "failed" => {
@@ -210,25 +210,25 @@
                     other => return Err(format!("expected delta, full, cached or failed, found '{other}'")),
                 };
                 let entries =
-                    self.sheets.get(&sheet).ok_or_else(|| format!("no inventory has number {sheet}"))?;
-                router.members_changed(now, whole, entries);
+                    self.member_lists.get(&list_number).ok_or_else(|| format!("no inventory has number {list_number}"))?;
+                router.members_changed(now, complete, entries);
             }
             "arrival" => {
-                let id = Id::from(f.text("the command's id")?);
-                let customer = f.optional("the customer")?.filter(|c| *c != "0").map(str::to_owned);
-                let token_age = f.tenths("the token's age")?;
-                let time_left = f.tenths("the time left")?.unwrap_or(0);
-                let bits: f64 =
-                    f.optional("the bits")?.unwrap_or("0").parse().map_err(|_| "expected the bits")?;
-                let repeat = bits as u64 & 2 != 0;
-                f.text("the effort")?;
-                let set: f64 = f
+                let id = Id::from(fields.text("the command's id")?);
+                let customer = fields.optional("the customer")?.filter(|c| *c != "0").map(str::to_owned);
+                let token_age = fields.tenths("the token's age")?;
+                let time_left = fields.tenths("the time left")?.unwrap_or(0);
+                let flags: f64 =
+                    fields.optional("the bits")?.unwrap_or("0").parse().map_err(|_| "expected the bits")?;
+                let repeat = flags as u64 & 2 != 0;
+                fields.text("the effort")?;
+                let set: f64 = fields
                     .optional("the group")?
                     .unwrap_or("0")
                     .parse()
                     .map_err(|_| "expected the group's number")?;
-                let command_group = f.text("the command group")?.to_owned();
-                let session = f.optional("the session")?.map(str::to_owned);
+                let command_group = fields.text("the command group")?.to_owned();
+                let session = fields.optional("the session")?.map(str::to_owned);
                 let command = Command {
                     id,
                     command_group,
@@ -243,23 +243,23 @@
                     return Ok(Some(why));
                 }
             }
-            "left" => router.command_left(f.text("the command's id")?),
+            "left" => router.command_left(fields.text("the command's id")?),
             "begun" | "memo" => {}
             "outcome" => {
-                let id = f.text("the command's id")?;
-                let dispatch: u32 = f.number("the dispatch")?;
-                let took = f.tenths("the delay")?.unwrap_or(0);
-                let over = f.flag("whether the command is over")?;
-                f.text("the node")?;
-                let note: i64 = f
+                let id = fields.text("the command's id")?;
+                let dispatch: u32 = fields.number("the dispatch")?;
+                let took = fields.tenths("the delay")?.unwrap_or(0);
+                let over = fields.flag("whether the command is over")?;
+                fields.text("the node")?;
+                let note: i64 = fields
                     .optional("the note")?
                     .unwrap_or("0")
                     .parse()
                     .map_err(|_| "expected the note's number")?;
-                let ending = ending(f.text("the status")?)?;
-                let report = report(f.optional("the report")?, *zero)?;
-                // Positions are sent in whole milliseconds after `zero`, which is itself rounded down.
-                let position = if note >= 4 { *zero + (note / 4) * 10 } else { 0 };
+                let ending = parse_ending(fields.text("the status")?)?;
+                let report = parse_report(fields.optional("the report")?, *position_origin)?;
+                // Positions are sent in whole milliseconds after `position_origin`, which is itself rounded down.
+                let position = if note >= 4 { *position_origin + (note / 4) * 10 } else { 0 };
                 let primary = [None, Some(true), Some(false), None][(note % 4).unsigned_abs() as usize];
                 let note = Note { primary, position };
                 router.dispatch_ended(
@@ -269,14 +269,14 @@
                 );
             }
             "probe_done" => {
-                let node = f.text("the node")?;
-                let ending = ending(f.text("the status")?)?;
-                let took = f.tenths("the delay")?.unwrap_or(0);
-                let report = report(f.optional("the report")?, *zero)?;
+                let node = fields.text("the node")?;
+                let ending = parse_ending(fields.text("the status")?)?;
+                let took = fields.tenths("the delay")?.unwrap_or(0);
+                let report = parse_report(fields.optional("the report")?, *position_origin)?;
                 router.probe_ended(now, node, ProbeEnd { ending, took, primary: None, report });
             }
             "due" => {
-                f.text("the timer's name")?;
+                fields.text("the timer's name")?;
                 if timer.is_some_and(|at| at <= now) {
                     *timer = None;
                 }
@@ -286,25 +286,25 @@
         Ok(None)
     }
 
-    fn pull(&mut self, now: Tenths, inst: u32, reply: &mut String) {
-        let Some(Instance { router: Some(router), timer, .. }) = self.instances.get_mut(&inst) else {
+    fn write_decisions(&mut self, now: Tenths, instance_id: u32, reply: &mut String) {
+        let Some(Instance { router: Some(router), timer, .. }) = self.instances.get_mut(&instance_id) else {
             return;
         };
         let outcome = catch_unwind(AssertUnwindSafe(|| {
             while let Some(decision) = router.next_decision(now) {
-                encode(inst, &decision, reply);
+                write_decision(instance_id, &decision, reply);
             }
             if let Some(at) = router.wake_at()
                 && timer.is_none_or(|set| at < set)
             {
                 let wait = (at - now).max(1) as f64 / 10.0;
                 // The simulator's timers last at most 71 minutes: a longer wait is set again when the timer expires.
-                reply.push_str(&format!("timer\t{inst}\t{:.1}\t0\n", wait.min(3_600_000.0)));
+                reply.push_str(&format!("timer\t{instance_id}\t{:.1}\t0\n", wait.min(3_600_000.0)));
                 *timer = Some(now + (wait.min(3_600_000.0) * 10.0) as Tenths);
             }
         }));
         if let Err(cause) = outcome {
-            self.fail(inst, &panic_text(cause), reply);
+            self.fail(instance_id, &panic_text(cause), reply);
         }
     }
 }
@@ -314,30 +314,30 @@
     text.or_else(|| cause.downcast_ref::<&str>().map(|t| (*t).to_owned())).unwrap_or_else(|| "panic".into())
 }
 
-fn row(line: &str) -> Result<Entry, String> {
-    let mut f = Fields { parts: line.split('\t') };
-    let word = f.text("a row")?;
-    if word != "row" {
-        return Err(format!("expected 'row', found '{word}'"));
+fn parse_row(line: &str) -> Result<Entry, String> {
+    let mut fields = Fields { parts: line.split('\t') };
+    let keyword = fields.text("a row")?;
+    if keyword != "row" {
+        return Err(format!("expected 'row', found '{keyword}'"));
     }
-    let node = Id::from(f.text("the node")?);
-    let zone = Id::from(f.text("the zone")?);
-    let machine = Id::from(f.text("the machine")?);
+    let node = Id::from(fields.text("the node")?);
+    let zone = Id::from(fields.text("the zone")?);
+    let machine = Id::from(fields.text("the machine")?);
     let set: i64 =
-        f.optional("the group")?.unwrap_or("0").parse().map_err(|_| "expected the group's number")?;
-    let phase = match f.text("the phase")? {
+        fields.optional("the group")?.unwrap_or("0").parse().map_err(|_| "expected the group's number")?;
+    let phase = match fields.text("the phase")? {
         "up" => Phase::Up,
         "draining" => Phase::Draining,
         "removed" => Phase::Removed,
         other => return Err(format!("expected up, draining or removed, found '{other}'")),
     };
-    f.text("the scale")?;
-    let started = f.tenths("the start time")?.unwrap_or(0);
-    let primary = f.optional("the writer")?.is_some_and(|w| w.parse::<f64>().is_ok_and(|w| w > 0.0));
+    fields.text("the scale")?;
+    let started = fields.tenths("the start time")?.unwrap_or(0);
+    let primary = fields.optional("the writer")?.is_some_and(|w| w.parse::<f64>().is_ok_and(|w| w > 0.0));
     Ok(Entry { node, zone, machine, set, phase, started, primary })
 }
 
-fn ending(text: &str) -> Result<Ending, String> {
+fn parse_ending(text: &str) -> Result<Ending, String> {
     Ok(match text {
         "Ok" => Ending::Answered,
         "Failed" => Ending::Error,
@@ -352,7 +352,7 @@
     })
 }
 
-fn report(text: Option<&str>, zero: Tenths) -> Result<Report, String> {
+fn parse_report(text: Option<&str>, position_origin: Tenths) -> Result<Report, String> {
     let mut report = Report::default();
     for pair in text.unwrap_or("").split(',').filter(|p| !p.is_empty()) {
         let (name, value) =
@@ -361,7 +361,7 @@
             value.parse().map_err(|_| format!("expected a number for {name}, found '{value}'"))?;
         match name {
             // Seconds to tenths of a millisecond, less one millisecond in case the text was rounded up.
-            "x0" => report.position = Some(zero + (value * 10_000.0).floor() as Tenths - 10),
+            "x0" => report.position = Some(position_origin + (value * 10_000.0).floor() as Tenths - 10),
             "x1" => report.primary = Some(value > 0.5),
             _ => {}
         }
@@ -369,26 +369,26 @@
     Ok(report)
 }
 
-fn encode(inst: u32, decision: &Decision, reply: &mut String) {
+fn write_decision(instance_id: u32, decision: &Decision, reply: &mut String) {
     use std::fmt::Write;
     let written = match decision {
         Decision::Dispatch { command, node, limit, .. } => {
-            writeln!(reply, "place\t{inst}\t{command}\t{node}\t{:.1}", *limit as f64 / 10.0)
+            writeln!(reply, "place\t{instance_id}\t{command}\t{node}\t{:.1}", *limit as f64 / 10.0)
         }
         Decision::Throttle { command, hold_off } => {
-            writeln!(reply, "refuse\t{inst}\t{command}\t{:.1}", *hold_off as f64 / 10.0)
+            writeln!(reply, "refuse\t{instance_id}\t{command}\t{:.1}", *hold_off as f64 / 10.0)
         }
-        Decision::Fail { command } => writeln!(reply, "end_failed\t{inst}\t{command}"),
+        Decision::Fail { command } => writeln!(reply, "end_failed\t{instance_id}\t{command}"),
         // On this wire a dispatch is written as soon as it is decided, so there is nothing to cancel before that.
         Decision::CallOff { written: false, .. } => Ok(()),
         // No state is kept here for each member.
         Decision::Forget { .. } => Ok(()),
         Decision::CallOff { command, dispatch, .. } => {
-            writeln!(reply, "withdraw\t{inst}\t{command}\t{dispatch}")
+            writeln!(reply, "withdraw\t{instance_id}\t{command}\t{dispatch}")
         }
-        Decision::Probe { node } => writeln!(reply, "health_check\t{inst}\t{node}"),
-        Decision::LetGo { node } => writeln!(reply, "close_idle\t{inst}\t{node}"),
-        Decision::WatchList => writeln!(reply, "track\t{inst}\t1"),
+        Decision::Probe { node } => writeln!(reply, "health_check\t{instance_id}\t{node}"),
+        Decision::LetGo { node } => writeln!(reply, "close_idle\t{instance_id}\t{node}"),
+        Decision::WatchList => writeln!(reply, "track\t{instance_id}\t1"),
     };
     written.expect("writing to a string");
 }
--- a/crates/simhost/src/wire/tests.rs
+++ b/crates/simhost/src/wire/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use rstest::rstest;
 
-fn play(input: &str) -> (Result<(), String>, String) {
+fn run_host(input: &str) -> (Result<(), String>, String) {
     let mut output = Vec::new();
     let done = Host::default().run(input.as_bytes(), &mut output);
     (done, String::from_utf8(output).expect("text"))
@@ -16,7 +16,7 @@
 )]
 #[case::no_input("", "")]
 fn batches_are_answered(#[case] input: &str, #[case] reply: &str) {
-    let (done, output) = play(input);
+    let (done, output) = run_host(input);
     assert_eq!((done, output.as_str()), (Ok(()), reply));
 }
 
@@ -26,6 +26,6 @@
 #[case::cut_off("tick\t1.0\t1\nleft\t0\tx\n", "line 3", "end of the input")]
 #[case::short_inventory("tick\t1.0\t1\ninventory\t0\t2\nrow\tn\n", "line 3", "the zone")]
 fn malformed_lines_are_reported_with_line_and_cause(#[case] input: &str, #[case] place: &str, #[case] what: &str) {
-    let why = play(input).0.expect_err("malformed");
+    let why = run_host(input).0.expect_err("malformed");
     assert!(why.contains(place) && why.contains(what), "{why}");
 }
--- a/src/decay.rs
+++ b/src/decay.rs
@@ -7,13 +7,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Decay {
     sum: f64,
-    at: Tenths,
+    updated_at: Tenths,
 }
 
 impl Decay {
     /// The sum at `now`: each part is halved for every `half_life` since it was added.
     pub(crate) fn read(&self, now: Tenths, half_life: Tenths) -> f64 {
-        self.sum * (-((now - self.at).max(0) as f64) / half_life.max(1) as f64).exp2()
+        self.sum * (-((now - self.updated_at).max(0) as f64) / half_life.max(1) as f64).exp2()
     }
 
     /// The recent rate per tenth of a millisecond: the rate of the steady stream that gives this sum.
@@ -24,13 +24,13 @@
     /// The recent rate of a stream that began at `since`. Corrects for the time before `since`, which would
     /// otherwise count as time without traffic.
     pub(crate) fn rate_since(&self, now: Tenths, half_life: Tenths, since: Tenths) -> f64 {
-        let seen = 1.0 - (-((now - since).max(1) as f64) / half_life.max(1) as f64).exp2();
-        self.rate(now, half_life) / seen
+        let covered = 1.0 - (-((now - since).max(1) as f64) / half_life.max(1) as f64).exp2();
+        self.rate(now, half_life) / covered
     }
 
     pub(crate) fn add(&mut self, now: Tenths, half_life: Tenths, amount: f64) {
         self.sum = self.read(now, half_life) + amount;
-        self.at = self.at.max(now);
+        self.updated_at = self.updated_at.max(now);
     }
 }
 
@@ -42,13 +42,13 @@
 }
 
 impl Mean {
-    /// The mean at `now`, with `guess` as a prior that weighs as much as two fresh parts.
-    pub(crate) fn read(&self, now: Tenths, half_life: Tenths, guess: f64) -> f64 {
-        (self.sum.read(now, half_life) + 2.0 * guess) / (self.weight.read(now, half_life) + 2.0)
+    /// The mean at `now`, with `prior` as a prior that weighs as much as two fresh parts.
+    pub(crate) fn read(&self, now: Tenths, half_life: Tenths, prior: f64) -> f64 {
+        (self.sum.read(now, half_life) + 2.0 * prior) / (self.weight.read(now, half_life) + 2.0)
     }
 
-    pub(crate) fn add(&mut self, now: Tenths, half_life: Tenths, part: f64) {
-        self.sum.add(now, half_life, part);
+    pub(crate) fn add(&mut self, now: Tenths, half_life: Tenths, value: f64) {
+        self.sum.add(now, half_life, value);
         self.weight.add(now, half_life, 1.0);
     }
 }
@@ -58,19 +58,19 @@
 pub(crate) struct ByAge(BTreeMap<u32, (Decay, Decay)>);
 
 impl ByAge {
-    pub(crate) fn add(&mut self, now: Tenths, half_life: Tenths, age: Tenths, happened: bool) {
-        let (times, cases) = self.0.entry(age.max(1).ilog2()).or_default();
-        times.add(now, half_life, happened as u8 as f64);
+    pub(crate) fn add(&mut self, now: Tenths, half_life: Tenths, age: Tenths, occurred: bool) {
+        let (occurrences, cases) = self.0.entry(age.max(1).ilog2()).or_default();
+        occurrences.add(now, half_life, occurred as u8 as f64);
         cases.add(now, half_life, 1.0);
     }
 
-    /// The lowest age bucket in which the event happens in at least this share (`part`) of all cases, and at least
-    /// `least` times. Returns the lower end of the bucket.
-    pub(crate) fn first(&self, now: Tenths, half_life: Tenths, part: f64, least: f64) -> Option<Tenths> {
-        let often = |(times, cases): &(Decay, Decay)| {
-            let times = times.read(now, half_life);
-            times >= least && times >= part * cases.read(now, half_life)
+    /// The lowest age bucket in which the event happens in at least this share (`min_share`) of all cases, and at least
+    /// `min_count` times. Returns the lower end of the bucket.
+    pub(crate) fn first(&self, now: Tenths, half_life: Tenths, min_share: f64, min_count: f64) -> Option<Tenths> {
+        let is_frequent = |(occurrences, cases): &(Decay, Decay)| {
+            let occurrences = occurrences.read(now, half_life);
+            occurrences >= min_count && occurrences >= min_share * cases.read(now, half_life)
         };
-        self.0.iter().find(|(_, sums)| often(sums)).map(|(age, _)| 1 << *age)
+        self.0.iter().find(|(_, sums)| is_frequent(sums)).map(|(age, _)| 1 << *age)
     }
 }
--- a/src/decide/evidence/tests.rs
+++ b/src/decide/evidence/tests.rs
@@ -5,14 +5,14 @@
 #[rstest]
 #[case::requested_before_replica_claim(NOW + 4, State::TopologyReject)]
 #[case::requested_after_replica_claim(NOW + 10, State::Healthy)]
-fn delayed_primary_claim_does_not_override_replica_claim(#[case] asked: Tenths, #[case] state: State) {
+fn delayed_primary_claim_does_not_override_replica_claim(#[case] requested_at: Tenths, #[case] state: State) {
     let mut r = router(&[]);
     r.learn_role(NOW, 0, claim(true, NOW));
     r.learn_role(NOW + 10, 0, claim(false, NOW + 5));
-    r.learn_role(NOW + 20, 0, claim(true, asked));
+    r.learn_role(NOW + 20, 0, claim(true, requested_at));
     assert_eq!(r.members[0].state, state);
-    let old = r.take_events().iter().any(|event| matches!(event, Event::OldRole { .. }));
-    assert_eq!(old, state != State::Healthy);
+    let event_reported = r.take_events().iter().any(|event| matches!(event, Event::OldRole { .. }));
+    assert_eq!(event_reported, state != State::Healthy);
 }
 
 #[rstest]
@@ -133,15 +133,15 @@
 #[rstest]
 #[case::made_before(NOW - 100, State::TransportError)]
 #[case::made_after(NOW + 100, State::Healthy)]
-fn report_from_before_the_break_does_not_restore_the_primary(#[case] made: Tenths, #[case] state: State) {
+fn report_from_before_the_break_does_not_restore_the_primary(#[case] made_at: Tenths, #[case] state: State) {
     let mut r = router(&[]);
     r.learn_role(NOW - 200, 0, claim(true, NOW - 200));
     r.break_member(NOW, 0);
-    let report = Report { primary: Some(true), position: Some(made) };
+    let report = Report { primary: Some(true), position: Some(made_at) };
     r.probe_ended(NOW + 300, "a", ProbeEnd { took: 10, ..probed(Ending::Answered, report) });
     assert_eq!(r.members[0].state, state);
-    let asked_again = r.members[0].retry_at <= NOW + 300 + 2 * PAUSE;
-    assert!(asked_again || state == State::Healthy, "the member is probed again soon");
+    let probed_soon = r.members[0].retry_at <= NOW + 300 + 2 * PAUSE;
+    assert!(probed_soon || state == State::Healthy, "the member is probed again soon");
 }
 
 #[rstest]
@@ -155,9 +155,9 @@
 #[rstest]
 #[case::requested_later(NOW + 20, NOW - 500)]
 #[case::overtaken(NOW + 5, NOW)]
-fn lower_position_of_a_replica_replaces_a_higher_one(#[case] asked: Tenths, #[case] position: Tenths) {
+fn lower_position_of_a_replica_replaces_a_higher_one(#[case] requested_at: Tenths, #[case] position: Tenths) {
     let mut r = router(&[]);
     r.learn_position(NOW + 10, NOW, 1, Note { primary: Some(false), position: NOW });
-    r.learn_position(NOW + 30, asked, 1, Note { primary: Some(false), position: NOW - 500 });
+    r.learn_position(NOW + 30, requested_at, 1, Note { primary: Some(false), position: NOW - 500 });
     assert_eq!(r.members[1].position, position);
 }
--- a/src/decide/freshness/tests.rs
+++ b/src/decide/freshness/tests.rs
@@ -3,14 +3,14 @@
 use rstest::rstest;
 
 /// A router with a bounded read (300 ms) in flight to the member `b`, sent at NOW.
-fn reading(extra: &[(&str, &str)]) -> Router {
+fn router_with_read(extra: &[(&str, &str)]) -> Router {
     let mut r = router(extra);
     open(&mut r, "bounded");
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
     r
 }
 
-fn answered(r: &Router) -> bool {
+fn is_served(r: &Router) -> bool {
     r.may_serve("cmd", 0, Note::default())
 }
 
@@ -18,24 +18,24 @@
 #[case::in_time(NOW + 2_999, true)]
 #[case::delayed(NOW + 3_000, false)]
 fn staleness_bound_counts_from_the_write(#[case] written: Tenths, #[case] served: bool) {
-    let mut r = reading(&[]);
+    let mut r = router_with_read(&[]);
     r.members[1].position = NOW;
     assert!(r.may_write(NOW + 1, "cmd", 0), "the position is fresh enough at the time of the decision");
     let found = r.attempt_written(written, "cmd", 0);
     let behind = written - NOW;
     let expected =
         if served { Written::ToReplica { behind } } else { Written::TooOld { behind, may_give_up: true } };
-    assert_eq!((found, answered(&r)), (expected, served));
+    assert_eq!((found, is_served(&r)), (expected, served));
 }
 
 #[rstest]
 #[case::allowed("true", true)]
 #[case::not_allowed("false", false)]
 fn stale_attempt_may_be_cancelled_only_if_permitted(#[case] cancel: &str, #[case] allowed: bool) {
-    let mut r = reading(&[("permissions.cancel", cancel)]);
+    let mut r = router_with_read(&[("permissions.cancel", cancel)]);
     let found = r.attempt_written(NOW, "cmd", 0);
     assert!(matches!(found, Written::TooOld { may_give_up, .. } if may_give_up == allowed), "{found:?}");
-    assert!(!answered(&r));
+    assert!(!is_served(&r));
 }
 
 #[rstest]
@@ -47,7 +47,7 @@
     open(&mut r, kind);
     r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
     assert_eq!(r.attempt_written(NOW + 60 * SECOND, "cmd", 0), Written::Free);
-    assert!(answered(&r));
+    assert!(is_served(&r));
 }
 
 #[rstest]
@@ -55,7 +55,7 @@
 #[case::requested_at_the_write(NOW + 10, false)]
 #[case::requested_after_the_write(NOW + 11, true)]
 fn replica_claim_that_may_precede_the_write_bars_the_answer(
-    #[case] asked: Tenths,
+    #[case] requested_at: Tenths,
     #[case] served: bool,
 ) {
     for kind in ["bounded", "session", "fresh"] {
@@ -64,11 +64,11 @@
         r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
         r.learn_role(NOW - 2, 1, claim(true, NOW - 2));
         assert_eq!(r.attempt_written(NOW + 10, "cmd", 0), Written::ToPrimary);
-        r.heard_replica(NOW + 20, "b", asked);
-        assert_eq!(answered(&r), served, "{kind}");
+        r.heard_replica(NOW + 20, "b", requested_at);
+        assert_eq!(is_served(&r), served, "{kind}");
         // The member becomes the primary again, which does not make the data of the read any fresher.
         r.learn_role(NOW + 40, 1, claim(true, NOW + 30));
-        assert_eq!(answered(&r), served, "{kind}");
+        assert_eq!(is_served(&r), served, "{kind}");
     }
 }
 
@@ -76,7 +76,7 @@
 #[case::fresh_enough(NOW - 3_000, true)]
 #[case::too_old(NOW - 3_001, false)]
 fn answer_with_a_stale_position_is_not_served(#[case] position: Tenths, #[case] served: bool) {
-    let mut r = reading(&[]);
+    let mut r = router_with_read(&[]);
     r.members[1].position = NOW;
     assert_eq!(r.attempt_written(NOW, "cmd", 0), Written::ToReplica { behind: 0 });
     let note = Note { primary: Some(false), position };
@@ -88,27 +88,27 @@
 #[case::unchanged(0, true)]
 #[case::corrected_to_later(500, false)]
 fn answer_is_judged_by_the_current_clock_estimate(
-    #[case] later: Tenths,
+    #[case] correction: Tenths,
     #[case] served: bool,
 ) {
-    let mut r = reading(&[]);
+    let mut r = router_with_read(&[]);
     r.members[1].position = NOW - 2_800;
     assert_eq!(r.attempt_written(NOW, "cmd", 0), Written::ToReplica { behind: 2_800 });
-    r.clock.learn(NOW + 100, Evidence::of_any(NOW + 100 + later, NOW + 100));
-    assert_eq!(answered(&r), served);
+    r.clock.learn(NOW + 100, Evidence::of_any(NOW + 100 + correction, NOW + 100));
+    assert_eq!(is_served(&r), served);
 }
 
 #[rstest]
 #[case::replayable("pure", true)]
 #[case::mutating("side_effect", false)]
-fn stale_read_is_retried_only_if_replayable(#[case] semantics: &str, #[case] again: bool) {
-    let mut r = reading(&[("request_classes.1.semantics", semantics)]);
+fn stale_read_is_retried_only_if_replayable(#[case] semantics: &str, #[case] retried: bool) {
+    let mut r = router_with_read(&[("request_classes.1.semantics", semantics)]);
     r.members[2].position = NOW + 10;
     r.dispatch_ended(NOW + 10, "cmd", ended(Ending::TooOld, Some(false)));
     let decisions: Vec<Decision> = std::iter::from_fn(|| r.next_decision(NOW + 10)).collect();
     let sent = decisions.iter().any(|d| matches!(d, Decision::Dispatch { node, .. } if &**node == "c"));
     let failed = decisions.contains(&Decision::Fail { command: "cmd".into() });
-    assert_eq!((sent, failed), (again, !again), "{decisions:?}");
+    assert_eq!((sent, failed), (retried, !retried), "{decisions:?}");
 }
 
 #[rstest]
@@ -128,7 +128,7 @@
 #[case::confirmed(confirmed(), false)]
 fn primary_is_probed_until_the_clock_is_confirmed(
     #[case] clock: MemberClock,
-    #[case] asks: bool,
+    #[case] probes: bool,
 ) {
     let mut r = router(&[]);
     r.clock = clock;
@@ -139,7 +139,7 @@
     r.learn_role(NOW, 0, claim(true, NOW));
     assert!(r.offer(NOW, 1, 0), "the primary serves it");
     let decisions: Vec<Decision> = std::iter::from_fn(|| r.next_decision(NOW)).collect();
-    assert_eq!(decisions.contains(&Decision::Probe { node: "a".into() }), asks, "{decisions:?}");
+    assert_eq!(decisions.contains(&Decision::Probe { node: "a".into() }), probes, "{decisions:?}");
 }
 
 fn confirmed() -> MemberClock {
@@ -168,7 +168,7 @@
 fn waiting_read_must_include_writes_of_its_session(
     #[case] mode: &str,
     #[case] session: &str,
-    #[case] lawful: bool,
+    #[case] may_write: bool,
 ) {
     let mut r = router(&[("family_info.token_mode", mode)]);
     open(&mut r, "session");
@@ -177,7 +177,7 @@
     read.out.insert(0, (1, NOW));
     r.members[1].position = NOW - 50;
     session_writes(&mut r);
-    assert_eq!(r.may_write(NOW + 30, "cmd", 0), lawful);
+    assert_eq!(r.may_write(NOW + 30, "cmd", 0), may_write);
 }
 
 /// An attempt that was written earlier is judged by the position that was required at that time.
--- a/src/decide/patience/tests.rs
+++ b/src/decide/patience/tests.rs
@@ -4,7 +4,7 @@
 
 /// A bounded read whose usual waiting time is over, after a period of slow answers; a probe of `b` is in flight that may
 /// show `b` to be fresh enough.
-fn read_beside_a_check() -> Router {
+fn read_with_probe_in_flight() -> Router {
     let mut r = router(&[]);
     open(&mut r, "bounded");
     let cmd = r.open.get_mut(&0).unwrap();
@@ -17,7 +17,7 @@
     r
 }
 
-fn is_kept(r: &mut Router, now: Tenths) -> bool {
+fn keeps_waiting(r: &mut Router, now: Tenths) -> bool {
     r.settle(now, 0);
     !r.take_events().iter().any(|event| matches!(event, Event::GaveUp { .. }))
 }
@@ -31,17 +31,17 @@
 #[case::another_command_waits(|r: &mut Router| _ = r.sets.get_mut(&1).unwrap().waiting[0].insert((0, Reverse(9))), false)]
 #[case::half_the_timeout_passed(|r: &mut Router| r.open.get_mut(&0).unwrap().patience = NOW, false)]
 fn read_waits_for_a_probe_only_if_it_can_help(
-    #[case] happens: impl Fn(&mut Router),
+    #[case] disturb: impl Fn(&mut Router),
     #[case] kept: bool,
 ) {
-    let mut r = read_beside_a_check();
-    happens(&mut r);
-    assert_eq!(is_kept(&mut r, NOW), kept);
+    let mut r = read_with_probe_in_flight();
+    disturb(&mut r);
+    assert_eq!(keeps_waiting(&mut r, NOW), kept);
 }
 
 /// A write that has waited for half of its timeout for a cold primary, whose credit grows by the response target of one
 /// write in 100 ms.
-fn write_at_a_cold_primary(credit: f64) -> Router {
+fn write_for_cold_primary(credit: f64) -> Router {
     let mut r = router(&[("rules.start_capacity", "1"), ("rules.tip_multiple", "1.25")]);
     open(&mut r, "write");
     let cmd = r.open.get_mut(&0).unwrap();
@@ -57,7 +57,7 @@
     r
 }
 
-fn ahead(r: &mut Router, count: u64) {
+fn queue_ahead(r: &mut Router, count: u64) {
     let kind = r.open[&0].kind;
     (1..=count).for_each(|key| _ = r.sets.get_mut(&1).unwrap().waiting[kind].insert((0, Reverse(key))));
 }
@@ -67,24 +67,24 @@
 #[case::none_ahead(0, Some(1_000))]
 #[case::two_ahead(2, Some(3_000))]
 #[case::too_many_ahead(5, None)]
-fn command_waits_for_credit_that_suffices_in_time(#[case] others: u64, #[case] comes: Option<Tenths>) {
-    let mut r = write_at_a_cold_primary(0.0);
-    ahead(&mut r, others);
+fn command_waits_for_credit_that_suffices_in_time(#[case] commands_ahead: u64, #[case] credit_after: Option<Tenths>) {
+    let mut r = write_for_cold_primary(0.0);
+    queue_ahead(&mut r, commands_ahead);
     let at = r.worth_waiting_until(NOW, 0);
-    let around = |at: Tenths| (at - NOW) as f64;
-    match comes {
-        Some(comes) => assert!(at.is_some_and(|at| (around(at) / comes as f64 - 1.0).abs() < 0.02), "{at:?}"),
+    let time_until = |at: Tenths| (at - NOW) as f64;
+    match credit_after {
+        Some(credit_after) => assert!(at.is_some_and(|at| (time_until(at) / credit_after as f64 - 1.0).abs() < 0.02), "{at:?}"),
         None => assert_eq!(at, None),
     }
-    assert_eq!(is_kept(&mut r, NOW), comes.is_some());
+    assert_eq!(keeps_waiting(&mut r, NOW), credit_after.is_some());
 }
 
 #[rstest]
 fn command_for_a_warm_primary_does_not_wait_longer() {
-    let mut r = write_at_a_cold_primary(0.0);
+    let mut r = write_for_cold_primary(0.0);
     r.members[0].started = 0;
     r.members[0].shy_until = NOW + SECOND;
-    assert!(!is_kept(&mut r, NOW));
+    assert!(!keeps_waiting(&mut r, NOW));
 }
 
 /// Other gates are not known to open in time, so the command does not wait for the credit.
@@ -92,10 +92,10 @@
 #[case::closed_window(|m: &mut Member| m.shy_until = NOW + SECOND)]
 #[case::no_connection(|m: &mut Member| m.dial_at = NOW + SECOND)]
 fn command_held_by_other_gates_does_not_wait_for_credit(
-    #[case] closes: impl Fn(&mut Member),
+    #[case] close_gate: impl Fn(&mut Member),
     #[values(0.0, 3.0)] credit: f64,
 ) {
-    let mut r = write_at_a_cold_primary(credit);
-    closes(&mut r.members[0]);
-    assert!(!is_kept(&mut r, NOW));
+    let mut r = write_for_cold_primary(credit);
+    close_gate(&mut r.members[0]);
+    assert!(!keeps_waiting(&mut r, NOW));
 }
--- a/src/decide/withheld/tests.rs
+++ b/src/decide/withheld/tests.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 
 /// A router without load: `a` is the primary, `b` and `c` are replicas with the current position; all windows have room.
-fn at_ease(kind: &str) -> Router {
+fn unloaded_router(kind: &str) -> Router {
     let mut r = router(&[]);
     open(&mut r, kind);
     r.learn_role(NOW, 0, RoleClaim { primary: true, asked: NOW });
@@ -15,59 +15,59 @@
     r
 }
 
-fn both(r: &mut Router, change: impl Fn(&mut Member)) {
+fn change_replicas(r: &mut Router, change: impl Fn(&mut Member)) {
     [1, 2].into_iter().for_each(|replica| change(&mut r.members[replica]));
 }
 
-fn slow(r: &mut Router) {
+fn slow_down(r: &mut Router) {
     (0..1_000).for_each(|_| r.slow.add(NOW, SLOW_HALF, 1.0));
     (r.pace, r.allowance) = (PACE_LEAST, -1e9);
     r.asked_work.add(NOW, SLOW_HALF, 1.0);
     r.paced_at = NOW;
 }
 
-fn cold(r: &mut Router, node: Node) {
+fn restart_cold(r: &mut Router, node: Node) {
     r.restarted(NOW, NOW, node);
     r.members[node].window = 4.0;
 }
 
 #[rstest]
 #[case::no_gate("write", |_: &mut Router| (), Gate::Turn)]
-#[case::router_paced("write", slow, Gate::Pace)]
+#[case::router_paced("write", slow_down, Gate::Pace)]
 #[case::no_primary("write", |r: &mut Router| r.members[0].state = State::TransportError, Gate::NoPrimary)]
 #[case::primary_in_doubt("session", |r: &mut Router| {
-    both(r, |m| m.shut = true);
+    change_replicas(r, |m| m.shut = true);
     r.members[0].roles.claims_replica(NOW, NOW);
 }, Gate::RoleInDoubt)]
 #[case::no_connection("write", |r: &mut Router| r.members[0].dial_at = NOW + 1, Gate::NoConnection)]
 #[case::window_closed("write", |r: &mut Router| r.members[0].shy_until = NOW + 1, Gate::Window)]
-#[case::cold_primary("write", |r: &mut Router| cold(r, 0), Gate::SlowStart)]
-#[case::stale_replicas("bounded", |r: &mut Router| both(r, |m| m.position = NOW - SECOND), Gate::NotFresh)]
-#[case::replica_windows_closed("bounded", |r: &mut Router| both(r, |m| m.shy_until = NOW + 1), Gate::Window)]
-#[case::cold_replicas("bounded", |r: &mut Router| (cold(r, 1), cold(r, 2)).0, Gate::SlowStart)]
+#[case::cold_primary("write", |r: &mut Router| restart_cold(r, 0), Gate::SlowStart)]
+#[case::stale_replicas("bounded", |r: &mut Router| change_replicas(r, |m| m.position = NOW - SECOND), Gate::NotFresh)]
+#[case::replica_windows_closed("bounded", |r: &mut Router| change_replicas(r, |m| m.shy_until = NOW + 1), Gate::Window)]
+#[case::cold_replicas("bounded", |r: &mut Router| (restart_cold(r, 1), restart_cold(r, 2)).0, Gate::SlowStart)]
 #[case::one_stale_one_window_closed("bounded", |r: &mut Router| {
     r.members[1].position = NOW - SECOND;
     r.members[2].shy_until = NOW + 1;
 }, Gate::Window)]
 #[case::no_replica("bounded", |r: &mut Router| {
-    both(r, |m| m.shut = true);
+    change_replicas(r, |m| m.shut = true);
     r.members[0].state = State::TransportError;
 }, Gate::NoPrimary)]
 fn withheld_command_reports_the_gate(
     #[case] kind: &str,
-    #[case] happens: impl Fn(&mut Router),
+    #[case] disturb: impl Fn(&mut Router),
     #[case] gate: Gate,
 ) {
-    let mut r = at_ease(kind);
-    happens(&mut r);
+    let mut r = unloaded_router(kind);
+    disturb(&mut r);
     assert_eq!(r.withheld_by(NOW, 0), gate);
 }
 
 /// Guards against reporting a full window for a command held by slow start, which operators would read as overload.
 #[rstest]
 fn command_held_by_a_cold_primary_reports_slow_start() {
-    let mut r = at_ease("write");
-    cold(&mut r, 0);
+    let mut r = unloaded_router("write");
+    restart_cold(&mut r, 0);
     r.open.get_mut(&0).unwrap().patience = NOW;
     r.settle(NOW, 0);
     r.settle(NOW, 0);
--- a/src/member_clock.rs
+++ b/src/member_clock.rs
@@ -11,32 +11,32 @@
 use crate::interface::Tenths;
 
 /// The maximum combined error of reading a clock and rounding a position.
-const READING: Tenths = 50;
+const READ_ERROR: Tenths = 50;
 /// How many consistent pieces of evidence that contradict the estimate are needed to correct it. With one, a single
 /// corrupted position would correct it.
-const AGREE: usize = 3;
+const MIN_CONSISTENT: usize = 3;
 /// The minimum time span over which that evidence must have arrived, with nothing in between that refutes it. A source
 /// that hangs for a moment and is dated wrongly sends the same position several times at the end of the hang.
-const AGREE_OVER: Tenths = 5_000;
+const MIN_CONSISTENT_SPAN: Tenths = 5_000;
 /// How many pieces of contradicting evidence are kept: the first one and the latest ones.
-const KEPT: usize = 8;
+const MAX_CONTRADICTING: usize = 8;
 /// How far the estimate may be behind the members' clock without being moved to its upper bound: part of the 50 ms
 /// that the operators' documentation allows.
-const TRUSTED: Tenths = 300;
+const TOLERATED_LAG: Tenths = 300;
 /// Two clocks are assumed to drift apart by one part in this many, and the bounds widen accordingly. If bounds expired
 /// after a time instead, a period without traffic would lose them, and no replica would count as fresh.
-const DRIFT_ONE_IN: Tenths = 10_000;
+const DRIFT_DIVISOR: Tenths = 10_000;
 
 /// The bounds on the clock offset that one position proves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Evidence {
-    pub least: Tenths,
-    pub most: Tenths,
+    pub lower: Tenths,
+    pub upper: Tenths,
 }
 
 impl Default for Evidence {
     fn default() -> Evidence {
-        Evidence { least: Tenths::MIN, most: Tenths::MAX }
+        Evidence { lower: Tenths::MIN, upper: Tenths::MAX }
     }
 }
 
@@ -44,8 +44,8 @@
     /// Evidence from a position, received at `heard`, that was the current time at the member at some moment after
     /// `since - delay`: a commit requested at `since`, or a primary's position that has advanced since (`Progress`).
     pub(crate) fn of_primary(position: Tenths, since: Tenths, heard: Tenths, delay: Tenths) -> Evidence {
-        let most = position.saturating_sub(since).saturating_add(delay + READING);
-        Evidence { most, ..Evidence::of_any(position, heard) }
+        let upper = position.saturating_sub(since).saturating_add(delay + READ_ERROR);
+        Evidence { upper, ..Evidence::of_any(position, heard) }
     }
 
     /// Evidence from a position received at `heard`; `since` is set if the position is proven to have been the current
@@ -60,33 +60,33 @@
     /// Evidence from a position of unknown age. It bounds the offset from below only: no member can have applied
     /// commits of the future.
     pub(crate) fn of_any(position: Tenths, heard: Tenths) -> Evidence {
-        Evidence { least: position.saturating_sub(heard + READING), most: Tenths::MAX }
+        Evidence { lower: position.saturating_sub(heard + READ_ERROR), upper: Tenths::MAX }
     }
 
-    fn holds(&self, offset: Tenths) -> bool {
-        (self.least..=self.most).contains(&offset)
+    fn contains(&self, offset: Tenths) -> bool {
+        (self.lower..=self.upper).contains(&offset)
     }
 
-    fn and(&self, other: &Evidence) -> Evidence {
-        Evidence { least: self.least.max(other.least), most: self.most.min(other.most) }
+    fn intersect(&self, other: &Evidence) -> Evidence {
+        Evidence { lower: self.lower.max(other.lower), upper: self.upper.min(other.upper) }
     }
 
     /// Widens both bounds; unknown bounds stay unknown.
     fn widened(&self, by: Tenths) -> Evidence {
-        Evidence { least: self.least.saturating_sub(by), most: self.most.saturating_add(by) }
+        Evidence { lower: self.lower.saturating_sub(by), upper: self.upper.saturating_add(by) }
     }
 
     /// The highest plausible offset: the upper bound less the reading error.
-    fn late_side(&self) -> Tenths {
-        (self.most - READING).max(self.least)
+    fn upper_estimate(&self) -> Tenths {
+        (self.upper - READ_ERROR).max(self.lower)
     }
 
-    fn is_possible(&self) -> bool {
-        self.least <= self.most
+    fn is_consistent(&self) -> bool {
+        self.lower <= self.upper
     }
 
-    fn is_of_primary(&self) -> bool {
-        self.most < Tenths::MAX
+    fn has_upper_bound(&self) -> bool {
+        self.upper < Tenths::MAX
     }
 }
 
@@ -105,7 +105,7 @@
     bounds: Evidence,
     bounds_at: Tenths,
     /// Evidence that contradicts the offset and has not been refuted by confirming evidence, with the time of arrival.
-    against: Vec<(Tenths, Evidence)>,
+    contradicting: Vec<(Tenths, Evidence)>,
 }
 
 impl MemberClock {
@@ -133,10 +133,10 @@
     /// report, so the result is as late as the bounds allow, regardless of the estimate.
     fn latest_offset(&self, now: Tenths) -> Tenths {
         let bounds = self.bounds.widened(self.drift(now));
-        let proven = if bounds.is_of_primary() { bounds.most - TRUSTED } else { self.offset };
-        self.against
+        let proven = if bounds.has_upper_bound() { bounds.upper - TOLERATED_LAG } else { self.offset };
+        self.contradicting
             .iter()
-            .map(|(_, e)| e.least.saturating_add(READING))
+            .map(|(_, e)| e.lower.saturating_add(READ_ERROR))
             .fold(self.offset.max(proven), Tenths::max)
     }
 
@@ -152,12 +152,12 @@
 
     /// Whether there is contradicting evidence that has not been refuted but is too little for a correction.
     pub(crate) fn is_contradicted(&self) -> bool {
-        !self.against.is_empty()
+        !self.contradicting.is_empty()
     }
 
     /// Whether a position is not in the future by the estimated members' time.
     pub(crate) fn is_past(&self, position: Tenths, now: Tenths) -> bool {
-        position <= self.now(now) + READING
+        position <= self.now(now) + READ_ERROR
     }
 
     /// Updates the estimate with evidence received at `now`. A corrected clock is set as late as the evidence allows, so
@@ -169,49 +169,49 @@
         let before = self.offset;
         let drift = self.drift(now);
         self.bounds = self.bounds.widened(drift);
-        self.bounds_at += drift * DRIFT_ONE_IN;
-        if evidence.holds(self.offset) || (self.corrected && self.bounds.and(&evidence).is_possible()) {
-            self.bear_out(evidence);
+        self.bounds_at += drift * DRIFT_DIVISOR;
+        if evidence.contains(self.offset) || (self.corrected && self.bounds.intersect(&evidence).is_consistent()) {
+            self.confirm(evidence);
         } else {
-            self.contradict(now, evidence);
+            self.record_contradiction(now, evidence);
         }
         self.offset != before
     }
 
     /// How far the clocks may have drifted apart since `bounds_at`.
     fn drift(&self, now: Tenths) -> Tenths {
-        (now - self.bounds_at).max(0) / DRIFT_ONE_IN
+        (now - self.bounds_at).max(0) / DRIFT_DIVISOR
     }
 
-    fn bear_out(&mut self, evidence: Evidence) {
-        self.bounds = self.bounds.and(&evidence);
+    fn confirm(&mut self, evidence: Evidence) {
+        self.bounds = self.bounds.intersect(&evidence);
         if self.corrected {
-            self.offset = self.bounds.late_side();
+            self.offset = self.bounds.upper_estimate();
         }
         // Only contradicting evidence that is incompatible with the new evidence is refuted and dropped: a report that
         // may be a second old does not refute an answer that is not.
-        if evidence.is_of_primary() {
+        if evidence.has_upper_bound() {
             self.confirmed = true;
-            self.against.retain(|(_, e)| e.and(&evidence).is_possible());
+            self.contradicting.retain(|(_, e)| e.intersect(&evidence).is_consistent());
         }
     }
 
-    fn contradict(&mut self, now: Tenths, evidence: Evidence) {
-        let agreed = self.against.iter().fold(evidence, |all, (_, e)| all.and(e));
-        if !agreed.is_possible() {
-            self.against.clear();
+    fn record_contradiction(&mut self, now: Tenths, evidence: Evidence) {
+        let common = self.contradicting.iter().fold(evidence, |all, (_, e)| all.intersect(e));
+        if !common.is_consistent() {
+            self.contradicting.clear();
         }
-        if self.against.len() == KEPT {
-            self.against.remove(1);
+        if self.contradicting.len() == MAX_CONTRADICTING {
+            self.contradicting.remove(1);
         }
-        self.against.push((now, evidence));
-        let over = now - self.against[0].0;
-        let enough = self.against.len() >= AGREE && over >= AGREE_OVER;
-        if agreed.is_possible() && agreed.is_of_primary() && enough {
-            self.offset = agreed.late_side();
-            (self.bounds, self.bounds_at) = (agreed, now);
+        self.contradicting.push((now, evidence));
+        let span = now - self.contradicting[0].0;
+        let enough = self.contradicting.len() >= MIN_CONSISTENT && span >= MIN_CONSISTENT_SPAN;
+        if common.is_consistent() && common.has_upper_bound() && enough {
+            self.offset = common.upper_estimate();
+            (self.bounds, self.bounds_at) = (common, now);
             (self.confirmed, self.corrected) = (true, true);
-            self.against.clear();
+            self.contradicting.clear();
         }
     }
 }
--- a/src/member_clock/tests.rs
+++ b/src/member_clock/tests.rs
@@ -6,7 +6,7 @@
 const HEARD: Tenths = NOW + 200;
 
 /// Evidence of a members' clock that is ahead of the router's by this much.
-fn evidence(ahead: Tenths) -> Evidence {
+fn evidence_ahead_by(ahead: Tenths) -> Evidence {
     Evidence::of_primary(NOW + 100 + ahead, NOW, HEARD, 0)
 }
 
@@ -14,7 +14,7 @@
 fn clock(evidence: &[Evidence]) -> MemberClock {
     let mut clock = MemberClock::default();
     for (at, e) in evidence.iter().enumerate() {
-        clock.learn(NOW - AGREE_OVER * (evidence.len() - 1 - at) as Tenths, *e);
+        clock.learn(NOW - MIN_CONSISTENT_SPAN * (evidence.len() - 1 - at) as Tenths, *e);
     }
     clock
 }
@@ -27,7 +27,7 @@
 
 #[rstest]
 fn correct_clock_is_unchanged() {
-    assert_eq!(clock(&[evidence(0); 5]).latest(NOW), Some(NOW));
+    assert_eq!(clock(&[evidence_ahead_by(0); 5]).latest(NOW), Some(NOW));
 }
 
 #[rstest]
@@ -35,46 +35,46 @@
 #[case::far_behind(36_000_000)]
 #[case::ahead(-20_000)]
 #[case::far_ahead(-36_000_000)]
-fn consistent_contradictions_correct_the_clock_to_the_late_side(#[case] wrong: Tenths) {
-    let clock = clock(&[evidence(wrong); AGREE]);
+fn consistent_contradictions_correct_the_clock_to_the_late_side(#[case] offset_error: Tenths) {
+    let clock = clock(&[evidence_ahead_by(offset_error); MIN_CONSISTENT]);
     let latest = clock.latest(NOW).expect("confirmed") - NOW;
-    assert!((wrong..=wrong + 200).contains(&latest), "{latest}");
+    assert!((offset_error..=offset_error + 200).contains(&latest), "{latest}");
     assert_eq!(clock.now(NOW) - NOW, latest);
 }
 
 /// Evidence that arrives in a burst may have a single cause, and the next evidence may refute it.
 #[rstest]
-#[case::burst(AGREE_OVER - 1, 0)]
-#[case::long_span(AGREE_OVER, -2_000)]
+#[case::burst(MIN_CONSISTENT_SPAN - 1, 0)]
+#[case::long_span(MIN_CONSISTENT_SPAN, -2_000)]
 fn correction_requires_evidence_over_a_minimum_span(#[case] over: Tenths, #[case] offset: Tenths) {
-    let mut clock = clock(&[evidence(0)]);
+    let mut clock = clock(&[evidence_ahead_by(0)]);
     let standing_still = Evidence::of_primary(NOW - 2_000, NOW, HEARD, 0);
     (0..20).for_each(|at| _ = clock.learn(NOW + at * over / 19, standing_still));
     let found = clock.now(NOW) - NOW;
     assert!((offset..=offset + 100).contains(&found), "{found}");
     let mut refuted = clock.clone();
-    refuted.learn(NOW + over + 1, evidence(0));
-    assert!(refuted.against.is_empty() || offset != 0, "{refuted:?}");
+    refuted.learn(NOW + over + 1, evidence_ahead_by(0));
+    assert!(refuted.contradicting.is_empty() || offset != 0, "{refuted:?}");
 }
 
 #[rstest]
 fn single_corrupted_position_is_dropped_once_refuted() {
-    let mut clock = clock(&[evidence(0), evidence(36_000_000)]);
+    let mut clock = clock(&[evidence_ahead_by(0), evidence_ahead_by(36_000_000)]);
     assert_eq!(clock.now(NOW), NOW);
     assert!(clock.latest(NOW) > Some(NOW + 35_000_000), "no replica is fresh until the position is refuted");
-    clock.learn(NOW, evidence(0));
+    clock.learn(NOW, evidence_ahead_by(0));
     assert_eq!(clock.latest(NOW), Some(NOW));
 }
 
 #[rstest]
 fn inconsistent_contradictions_do_not_correct_the_clock() {
-    let clock = clock(&[evidence(10_000), evidence(50_000), evidence(90_000), evidence(130_000)]);
+    let clock = clock(&[evidence_ahead_by(10_000), evidence_ahead_by(50_000), evidence_ahead_by(90_000), evidence_ahead_by(130_000)]);
     assert_eq!(clock.now(NOW), NOW);
 }
 
 #[rstest]
 fn future_position_raises_the_bound_but_not_the_offset() {
-    let clock = clock(&[[evidence(0)].as_slice(), &[Evidence::of_any(NOW + 9_000, NOW); 9]].concat());
+    let clock = clock(&[[evidence_ahead_by(0)].as_slice(), &[Evidence::of_any(NOW + 9_000, NOW); 9]].concat());
     assert_eq!(clock.now(NOW), NOW);
     assert_eq!(clock.latest(NOW), Some(NOW + 9_000));
 }
@@ -82,7 +82,7 @@
 /// A wall clock that is behind by less than a report's age agrees with the report.
 #[rstest]
 #[case::reports_only(None, NOW + 6_750)]
-#[case::with_an_answer(Some(evidence(0)), NOW)]
+#[case::with_an_answer(Some(evidence_ahead_by(0)), NOW)]
 fn old_report_does_not_contradict_and_bounds_loosely(
     #[case] answer: Option<Evidence>,
     #[case] latest: Tenths,
@@ -99,36 +99,36 @@
     clock.is_theirs();
     assert_eq!(clock.latest(NOW), Some(NOW));
     let standing_still = Evidence::of_primary(NOW - 3_000, NOW, HEARD, 0);
-    [evidence(9_000), Evidence::of_any(NOW + 9_000, NOW)].iter().chain(&[standing_still; 5]).for_each(|e| {
+    [evidence_ahead_by(9_000), Evidence::of_any(NOW + 9_000, NOW)].iter().chain(&[standing_still; 5]).for_each(|e| {
         assert!(!clock.learn(NOW, *e), "no evidence changes it: {e:?}");
     });
     assert_eq!(clock.latest(NOW), Some(NOW));
 }
 
 /// Evidence from a primary's report that was `age` old when received; the members' clock is ahead by `ahead`.
-fn report(ahead: Tenths, age: Tenths) -> Evidence {
+fn report_ahead_by(ahead: Tenths, age: Tenths) -> Evidence {
     Evidence::of_primary(HEARD + ahead - age, NOW, HEARD, 10_000)
 }
 
 #[rstest]
 #[case::behind(1_500)]
 #[case::ahead(-3_000)]
-fn possibly_old_reports_do_not_refute_answers(#[case] wrong: Tenths) {
-    let answer = evidence(wrong);
-    let one = clock(&[report(wrong, 2_500), answer, report(wrong, 2_500)]);
+fn possibly_old_reports_do_not_refute_answers(#[case] offset_error: Tenths) {
+    let answer = evidence_ahead_by(offset_error);
+    let one = clock(&[report_ahead_by(offset_error, 2_500), answer, report_ahead_by(offset_error, 2_500)]);
     // Half of the round trip is unknown.
-    assert!(one.latest(NOW).expect("confirmed") >= NOW + wrong - 100, "the proven bound stays");
-    let three = clock(&[answer, report(wrong, 2_500), answer, report(wrong, 2_500), answer]);
+    assert!(one.latest(NOW).expect("confirmed") >= NOW + offset_error - 100, "the proven bound stays");
+    let three = clock(&[answer, report_ahead_by(offset_error, 2_500), answer, report_ahead_by(offset_error, 2_500), answer]);
     let latest = three.latest(NOW).expect("confirmed") - NOW;
-    assert!((wrong..=wrong + 200).contains(&latest), "{latest}");
+    assert!((offset_error..=offset_error + 200).contains(&latest), "{latest}");
 }
 
 #[rstest]
 fn later_evidence_narrows_a_corrected_clock() {
-    let mut clock = clock(&[report(15_000, 1_000); AGREE]);
+    let mut clock = clock(&[report_ahead_by(15_000, 1_000); MIN_CONSISTENT]);
     let before = clock.latest(NOW).expect("confirmed") - NOW;
     assert!(before > 15_000 + 5_000, "the upper bound that reports allow: {before}");
-    clock.learn(NOW, evidence(15_000));
+    clock.learn(NOW, evidence_ahead_by(15_000));
     let after = clock.latest(NOW).expect("confirmed") - NOW;
     assert!((15_000..=15_200).contains(&after), "{after}");
 }
@@ -136,11 +136,11 @@
 #[rstest]
 #[case::members_clock_fast(60)]
 #[case::members_clock_slow(-60)]
-fn bounds_widen_with_clock_drift(#[case] a_minute: Tenths) {
-    let mut clock = clock(&[evidence(10_000); AGREE]);
+fn bounds_widen_with_clock_drift(#[case] drift_per_step: Tenths) {
+    let mut clock = clock(&[evidence_ahead_by(10_000); MIN_CONSISTENT]);
     let span = 600_000;
     for step in 1..=4 {
-        let drifted = 10_000 + step * a_minute;
+        let drifted = 10_000 + step * drift_per_step;
         let (asked, heard) = (NOW + step * span, HEARD + step * span);
         clock.learn(heard, Evidence::of_primary(asked + 100 + drifted, asked, heard, 0));
         let latest = clock.latest(heard).expect("confirmed") - heard;
@@ -152,10 +152,10 @@
 #[rstest]
 #[case::minutes(3_000_000, 150)]
 #[case::an_hour(36_000_000, 3_450)]
-fn bounds_survive_a_period_without_evidence(#[case] quiet: Tenths, #[case] late_most: Tenths) {
-    let mut clock = clock(&[evidence(0)]);
-    let later = NOW + quiet;
+fn bounds_survive_a_period_without_evidence(#[case] gap: Tenths, #[case] max_upper: Tenths) {
+    let mut clock = clock(&[evidence_ahead_by(0)]);
+    let later = NOW + gap;
     clock.learn(later, Evidence::of_primary(later - 2_000, later, later, 10_000));
     let latest = clock.latest(later).expect("confirmed") - later;
-    assert!((0..=late_most).contains(&latest), "{latest}");
+    assert!((0..=max_upper).contains(&latest), "{latest}");
 }
--- a/src/progress.rs
+++ b/src/progress.rs
@@ -10,29 +10,29 @@
 /// The last position that one member has sent as the primary, in one kind of message.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Progress {
-    last: Option<Told>,
+    last: Option<LastPosition>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct LastPosition {
     position: Tenths,
     /// When the latest request was sent that was answered with this position.
-    asked: Tenths,
+    requested_at: Tenths,
 }
 
 impl Progress {
-    /// Records a position that the member sent as the primary, in the answer to a request sent at `asked`. If the
+    /// Records a position that the member sent as the primary, in the answer to a request sent at `requested_at`. If the
     /// position has advanced, returns a time after which the position was current at some moment.
-    pub(crate) fn tells(&mut self, position: Tenths, asked: Tenths) -> Option<Tenths> {
+    pub(crate) fn tells(&mut self, position: Tenths, requested_at: Tenths) -> Option<Tenths> {
         let Some(last) = self.last.filter(|last| last.position <= position) else {
             // The first position, or an answer that was overtaken by a later one.
-            self.last.get_or_insert(Told { position, asked });
+            self.last.get_or_insert(LastPosition { position, requested_at });
             return None;
         };
         let advanced = position > last.position;
-        let asked = if advanced { asked } else { asked.max(last.asked) };
-        self.last = Some(Told { position, asked });
-        advanced.then_some(last.asked)
+        let requested_at = if advanced { requested_at } else { requested_at.max(last.requested_at) };
+        self.last = Some(LastPosition { position, requested_at });
+        advanced.then_some(last.requested_at)
     }
 
     /// The member is no longer the primary: positions of a later term are not compared with earlier ones.
--- a/src/progress/tests.rs
+++ b/src/progress/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use rstest::rstest;
 
-fn progress(told: &[(Tenths, Tenths)]) -> Option<Tenths> {
+fn last_dated(answers: &[(Tenths, Tenths)]) -> Option<Tenths> {
     let mut progress = Progress::default();
-    told.iter().fold(None, |_, (position, asked)| progress.tells(*position, *asked))
+    answers.iter().fold(None, |_, (position, requested_at)| progress.tells(*position, *requested_at))
 }
 
 #[rstest]
@@ -15,10 +15,10 @@
 #[case::advances_after_overtaken(&[(200, 190), (100, 290), (300, 280)], Some(190))]
 #[case::concurrent_requests(&[(100, 90), (101, 80)], Some(90))]
 fn only_an_advancing_position_is_dated(
-    #[case] told: &[(Tenths, Tenths)],
+    #[case] answers: &[(Tenths, Tenths)],
     #[case] since: Option<Tenths>,
 ) {
-    assert_eq!(progress(told), since);
+    assert_eq!(last_dated(answers), since);
 }
 
 #[rstest]
--- a/src/roles.rs
+++ b/src/roles.rs
@@ -12,10 +12,10 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Roles {
     /// When the latest request was sent that was answered with "primary".
-    primary_asked: Option<Tenths>,
+    primary_requested_at: Option<Tenths>,
     /// The same for "replica", among the claims that have not been disproved, and when the last of these was received.
-    replica_asked: Option<Tenths>,
-    replica_heard: Option<Tenths>,
+    replica_requested_at: Option<Tenths>,
+    replica_received_at: Option<Tenths>,
 }
 
 /// How a claim to be the primary stands against the member's other claims.
@@ -30,31 +30,31 @@
 }
 
 impl Roles {
-    /// Records a claim to be the primary, in the answer to a request sent at `asked`.
-    pub(crate) fn claims_primary(&mut self, asked: Tenths) -> Standing {
-        if self.replica_heard.is_none_or(|heard| asked >= heard) {
-            (self.replica_asked, self.replica_heard) = (None, None);
-        } else if self.replica_asked.is_some_and(|replica| asked <= replica) {
+    /// Records a claim to be the primary, in the answer to a request sent at `requested_at`.
+    pub(crate) fn claims_primary(&mut self, requested_at: Tenths) -> Standing {
+        if self.replica_received_at.is_none_or(|received_at| requested_at >= received_at) {
+            (self.replica_requested_at, self.replica_received_at) = (None, None);
+        } else if self.replica_requested_at.is_some_and(|replica_request| requested_at <= replica_request) {
             return Standing::Old;
         }
-        self.primary_asked = self.primary_asked.max(Some(asked));
+        self.primary_requested_at = self.primary_requested_at.max(Some(requested_at));
         if self.may_be_replica() { Standing::Likely } else { Standing::Proven }
     }
 
-    /// Records a claim to be a replica, requested at `asked` and received at `heard`.
-    pub(crate) fn claims_replica(&mut self, asked: Tenths, heard: Tenths) {
-        self.replica_asked = self.replica_asked.max(Some(asked));
-        self.replica_heard = self.replica_heard.max(Some(heard));
+    /// Records a claim to be a replica, requested at `requested_at` and received at `received_at`.
+    pub(crate) fn claims_replica(&mut self, requested_at: Tenths, received_at: Tenths) {
+        self.replica_requested_at = self.replica_requested_at.max(Some(requested_at));
+        self.replica_received_at = self.replica_received_at.max(Some(received_at));
     }
 
     /// Whether the latest claim may be the one to be a replica.
     pub(crate) fn may_be_replica(&self) -> bool {
-        self.replica_heard.is_some()
+        self.replica_received_at.is_some()
     }
 
-    /// Whether the member has answered "primary" to a request that was sent after `asked`.
-    pub(crate) fn was_primary_after(&self, asked: Tenths) -> bool {
-        self.primary_asked.is_some_and(|later| later > asked)
+    /// Whether the member has answered "primary" to a request that was sent after `requested_at`.
+    pub(crate) fn was_primary_after(&self, requested_at: Tenths) -> bool {
+        self.primary_requested_at.is_some_and(|latest| latest > requested_at)
     }
 }
 
--- a/src/roles/tests.rs
+++ b/src/roles/tests.rs
@@ -8,14 +8,14 @@
 #[case::requested_at_receipt(10, Standing::Proven)]
 #[case::requested_later(11, Standing::Proven)]
 fn primary_claim_disproves_only_claims_received_before_its_request(
-    #[case] asked: Tenths,
+    #[case] requested_at: Tenths,
     #[case] standing: Standing,
 ) {
     let mut roles = Roles::default();
     roles.claims_replica(5, 10);
-    assert_eq!(roles.claims_primary(asked), standing);
+    assert_eq!(roles.claims_primary(requested_at), standing);
     assert_eq!(roles.may_be_replica(), standing != Standing::Proven);
-    assert_eq!(roles.was_primary_after(asked - 1), standing != Standing::Old);
+    assert_eq!(roles.was_primary_after(requested_at - 1), standing != Standing::Old);
 }
 
 #[rstest]
--- a/src/state.rs
+++ b/src/state.rs
@@ -59,32 +59,32 @@
     /// Replaces the groups with those of new settings; `held` are the slots that open commands refer to. An unchanged
     /// group keeps its slot; a changed or new one gets a slot that is not held. The latency measured under the same
     /// name is carried over.
-    pub(crate) fn replace(&mut self, told: Vec<(String, CommandGroup)>, held: &BTreeSet<usize>) {
+    pub(crate) fn replace(&mut self, new_groups: Vec<(String, CommandGroup)>, held: &BTreeSet<usize>) {
         let old = std::mem::take(&mut self.named);
-        let (mut taken, mut moved) = (held.clone(), Vec::new());
-        for (name, mut group) in told {
-            let place = old.get(&name).copied();
-            group.latency = place.map_or(group.latency, |place| self.places[place].latency);
-            match place.filter(|place| self.places[*place] == group) {
-                Some(place) => _ = (taken.insert(place), self.named.insert(name, place)),
+        let (mut occupied, mut moved) = (held.clone(), Vec::new());
+        for (name, mut group) in new_groups {
+            let slot = old.get(&name).copied();
+            group.latency = slot.map_or(group.latency, |slot| self.places[slot].latency);
+            match slot.filter(|slot| self.places[*slot] == group) {
+                Some(slot) => _ = (occupied.insert(slot), self.named.insert(name, slot)),
                 None => moved.push((name, group)),
             }
         }
         for (name, group) in moved {
-            let place = (0..).find(|place| !taken.contains(place)).unwrap_or(self.places.len());
-            match self.places.get_mut(place) {
+            let slot = (0..).find(|slot| !occupied.contains(slot)).unwrap_or(self.places.len());
+            match self.places.get_mut(slot) {
                 Some(vacant) => *vacant = group,
                 None => self.places.push(group),
             }
-            _ = (taken.insert(place), self.named.insert(name, place));
+            _ = (occupied.insert(slot), self.named.insert(name, slot));
         }
     }
 
     /// The groups of the current settings and those in the slots of `held`, each once.
     pub(crate) fn in_use<'a>(&'a self, held: &'a BTreeSet<usize>) -> impl Iterator<Item = &'a CommandGroup> {
         held.iter()
-            .chain(self.named.values().filter(|place| !held.contains(*place)))
-            .map(|p| &self.places[*p])
+            .chain(self.named.values().filter(|slot| !held.contains(*slot)))
+            .map(|slot| &self.places[*slot])
     }
 }
 
@@ -169,26 +169,26 @@
 pub(crate) struct Sessions {
     writes: BTreeMap<String, Tenths>,
     /// The number of sessions at which old ones are evicted next; 0 as long as none was evicted.
-    most: usize,
+    eviction_threshold: usize,
 }
 
 impl Sessions {
-    /// The position of a session's last write. For an unknown session: `old` if sessions were evicted, as its last
-    /// write may be that recent, else 0.
-    pub(crate) fn written(&self, session: &Option<String>, old: Tenths) -> Tenths {
-        let forgotten = if self.most > 0 { old } else { 0 };
-        session.as_ref().and_then(|s| self.writes.get(s)).copied().unwrap_or(forgotten)
+    /// The position of a session's last write. For an unknown session: `evicted_up_to` if sessions were evicted, as
+    /// its last write may be that recent, else 0.
+    pub(crate) fn written(&self, session: &Option<String>, evicted_up_to: Tenths) -> Tenths {
+        let default = if self.eviction_threshold > 0 { evicted_up_to } else { 0 };
+        session.as_ref().and_then(|s| self.writes.get(s)).copied().unwrap_or(default)
     }
 
-    /// Records a session's write. Evicts the writes up to `old` if at least `least` sessions are held and the eviction
-    /// threshold is reached.
-    pub(crate) fn write(&mut self, session: String, at: Tenths, old: Tenths, least: usize) {
-        if self.writes.len() >= self.most.max(least) {
-            self.writes.retain(|_, at| *at > old);
-            self.most = 2 * self.writes.len() + 1;
+    /// Records a session's write. Evicts the writes up to `evict_up_to` first if at least `min_sessions` sessions are
+    /// held and the eviction threshold is reached.
+    pub(crate) fn write(&mut self, session: String, position: Tenths, evict_up_to: Tenths, min_sessions: usize) {
+        if self.writes.len() >= self.eviction_threshold.max(min_sessions) {
+            self.writes.retain(|_, position| *position > evict_up_to);
+            self.eviction_threshold = 2 * self.writes.len() + 1;
         }
         let last = self.writes.entry(session).or_insert(0);
-        *last = at.max(*last);
+        *last = position.max(*last);
     }
 
     #[cfg(test)]
@@ -303,9 +303,9 @@
 }
 
 impl Chance {
-    /// A random duration from 0 up to, but not including, `most`.
-    pub(crate) fn below(&mut self, most: Tenths) -> Tenths {
-        self.0.generate_range(0..most.max(1) as u64) as Tenths
+    /// A random duration from 0 up to, but not including, `limit`.
+    pub(crate) fn below(&mut self, limit: Tenths) -> Tenths {
+        self.0.generate_range(0..limit.max(1) as u64) as Tenths
     }
 
     /// `base` plus a random duration of less than `base`.
