--- a/src/interface.rs
+++ b/src/interface.rs
@@ -20,7 +20,7 @@
     pub customer: Option<String>,
     /// The member set that holds the command's data.
     pub set: i64,
-    /// Time until the client times out on this attempt of its own.
+    /// Time left until the client times out.
     pub time_left: Tenths,
     /// Age of the session's last write, if clients send session tokens.
     pub token_age: Option<Tenths>,
