--- a/src/state.rs
+++ b/src/state.rs
@@ -88,11 +88,13 @@
     }
 }
 
+/// What the router knows about a member.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Member {
     pub id: Id,
     pub set: i64,
     pub zone: Id,
+    /// Order among members of equal rank: their order by id, rotated by the router's number.
     pub tie: usize,
     pub listed_primary: bool,
     /// Listed as draining or removed: nothing is sent to it.
@@ -100,7 +102,7 @@
     /// No longer on the member list.
     pub gone: bool,
     pub started: Tenths,
-    /// When this router learned of the start.
+    /// When this router learned of the start at `started`.
     pub start_known: Tenths,
     pub state: State,
     /// When the last answer arrived whose note stated the member's role.
@@ -118,10 +120,12 @@
     pub reported_positions: Progress,
     /// When the member was last marked as broken.
     pub broken_at: Tenths,
+    /// When a probe was last answered or a report with a valid position was last received.
     pub checked_at: Tenths,
     /// The replication lag last learned, and when it was learned.
     pub behind: Tenths,
     pub behind_at: Tenths,
+    /// When the last answer was received.
     pub heard: Tenths,
     /// Has answered a dispatch or a probe, or was on the first member list. Otherwise the member is only a listed name
     /// and may not exist.
@@ -130,7 +134,9 @@
     pub unheard: usize,
     /// Dispatches in flight, by command and attempt number, with the time of each.
     pub out: BTreeMap<(u64, u32), Tenths>,
+    /// The limit of dispatches in flight; below one, dispatches are also spaced by pauses.
     pub window: f64,
+    /// Until then the window counts as closed, as it is below one or the member refuses connections.
     pub shy_until: Tenths,
     /// Until then the part of a primary's window that is open to reads is used up.
     pub spare_at: Tenths,
@@ -139,10 +145,13 @@
     /// The work that this router may still send to the member while it is cold.
     pub credit: f64,
     pub credit_at: Tenths,
+    /// The accumulated cost of its turns: reads go to the member with the lowest.
     pub turn: f64,
+    /// A probe is in flight.
     pub probing: bool,
     /// When the last probe was sent.
     pub asked_at: Tenths,
+    /// How often it broke or lost a probe since the last answer.
     pub fails: u32,
     /// When the member last rejected a dispatch; 0 once a dispatch sent later was answered.
     pub turned_away: Tenths,
@@ -150,6 +159,7 @@
     pub refused: u32,
     /// A connection to the member broke, and no probe has shown yet whether its process died.
     pub broke: bool,
+    /// When the member may be tried again while it is broken.
     pub retry_at: Tenths,
     /// Consecutive dials that failed on this machine, and until when no further one is made.
     pub local_errors: u32,
@@ -224,6 +234,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Open {
     pub id: Id,
+    /// The slot of its command group.
     pub kind: usize,
     pub set: i64,
     pub rank: u8,
@@ -239,6 +250,7 @@
     pub dispatches: u32,
     /// Dispatches for which this machine could not open a connection; they do not count as attempts.
     pub given_back: u32,
+    /// Dispatches in flight: by number, the member and when it was sent.
     pub out: BTreeMap<u32, (Node, Tenths)>,
     /// Attempts whose answers may come from data that is too old for the command.
     pub too_old: BTreeSet<u32>,
@@ -266,6 +278,7 @@
     pub needs: Tenths,
     pub position: Tenths,
     pub source: PositionSource,
+    /// When the position was received.
     pub heard: Tenths,
 }
 
