--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -127,7 +127,8 @@
                 continue;
             }
             let instance_id: u32 = fields.number("the instance")?;
-            let outcome = catch_unwind(AssertUnwindSafe(|| self.handle_event(now, instance_id, keyword, &mut fields)));
+            let outcome =
+                catch_unwind(AssertUnwindSafe(|| self.handle_event(now, instance_id, keyword, &mut fields)));
             let failure = match outcome {
                 Ok(done) => done?,
                 Err(cause) => Some(panic_text(cause)),
@@ -190,7 +191,9 @@
             self.instances.remove(&instance_id);
             return Ok(None);
         }
-        let Some(Instance { router: Some(router), position_origin, timer }) = self.instances.get_mut(&instance_id) else {
+        let Some(Instance { router: Some(router), position_origin, timer }) =
+            self.instances.get_mut(&instance_id)
+        else {
             return match keyword {
                 "sync" | "arrival" | "left" | "begun" | "outcome" | "memo" | "probe_done" | "due" => Ok(None),
                 _ => Err(format!("expected an event, found '{keyword}'")),
@@ -209,8 +212,10 @@
                     }
                     other => return Err(format!("expected delta, full, cached or failed, found '{other}'")),
                 };
-                let entries =
-                    self.member_lists.get(&list_number).ok_or_else(|| format!("no inventory has number {list_number}"))?;
+                let entries = self
+                    .member_lists
+                    .get(&list_number)
+                    .ok_or_else(|| format!("no inventory has number {list_number}"))?;
                 router.members_changed(now, complete, entries);
             }
             "arrival" => {
--- a/crates/simhost/src/wire/tests.rs
+++ b/crates/simhost/src/wire/tests.rs
@@ -25,7 +25,11 @@
 #[case::bad_number("tick\tnoon\t1\neof_batch\n", "line 1", "the clock")]
 #[case::cut_off("tick\t1.0\t1\nleft\t0\tx\n", "line 3", "end of the input")]
 #[case::short_inventory("tick\t1.0\t1\ninventory\t0\t2\nrow\tn\n", "line 3", "the zone")]
-fn malformed_lines_are_reported_with_line_and_cause(#[case] input: &str, #[case] place: &str, #[case] what: &str) {
+fn malformed_lines_are_reported_with_line_and_cause(
+    #[case] input: &str,
+    #[case] place: &str,
+    #[case] what: &str,
+) {
     let why = run_host(input).0.expect_err("malformed");
     assert!(why.contains(place) && why.contains(what), "{why}");
 }
--- a/src/decay.rs
+++ b/src/decay.rs
@@ -66,7 +66,13 @@
 
     /// The lowest age bucket in which the event happens in at least this share (`min_share`) of all cases, and at least
     /// `min_count` times. Returns the lower end of the bucket.
-    pub(crate) fn first(&self, now: Tenths, half_life: Tenths, min_share: f64, min_count: f64) -> Option<Tenths> {
+    pub(crate) fn first(
+        &self,
+        now: Tenths,
+        half_life: Tenths,
+        min_share: f64,
+        min_count: f64,
+    ) -> Option<Tenths> {
         let is_frequent = |(occurrences, cases): &(Decay, Decay)| {
             let occurrences = occurrences.read(now, half_life);
             occurrences >= min_count && occurrences >= min_share * cases.read(now, half_life)
--- a/src/decide/freshness/tests.rs
+++ b/src/decide/freshness/tests.rs
@@ -87,10 +87,7 @@
 #[rstest]
 #[case::unchanged(0, true)]
 #[case::corrected_to_later(500, false)]
-fn answer_is_judged_by_the_current_clock_estimate(
-    #[case] correction: Tenths,
-    #[case] served: bool,
-) {
+fn answer_is_judged_by_the_current_clock_estimate(#[case] correction: Tenths, #[case] served: bool) {
     let mut r = router_with_read(&[]);
     r.members[1].position = NOW - 2_800;
     assert_eq!(r.attempt_written(NOW, "cmd", 0), Written::ToReplica { behind: 2_800 });
@@ -126,10 +123,7 @@
 #[rstest]
 #[case::unconfirmed(MemberClock::default(), true)]
 #[case::confirmed(confirmed(), false)]
-fn primary_is_probed_until_the_clock_is_confirmed(
-    #[case] clock: MemberClock,
-    #[case] probes: bool,
-) {
+fn primary_is_probed_until_the_clock_is_confirmed(#[case] clock: MemberClock, #[case] probes: bool) {
     let mut r = router(&[]);
     r.clock = clock;
     while r.next_decision(NOW).is_some() {}
--- a/src/decide/patience/tests.rs
+++ b/src/decide/patience/tests.rs
@@ -30,10 +30,7 @@
 #[case::answers_slow(|r: &mut Router| (0..100).for_each(|_| r.slow.add(NOW, SLOW_HALF, 0.9)), false)]
 #[case::another_command_waits(|r: &mut Router| _ = r.sets.get_mut(&1).unwrap().waiting[0].insert((0, Reverse(9))), false)]
 #[case::half_the_timeout_passed(|r: &mut Router| r.open.get_mut(&0).unwrap().patience = NOW, false)]
-fn read_waits_for_a_probe_only_if_it_can_help(
-    #[case] disturb: impl Fn(&mut Router),
-    #[case] kept: bool,
-) {
+fn read_waits_for_a_probe_only_if_it_can_help(#[case] disturb: impl Fn(&mut Router), #[case] kept: bool) {
     let mut r = read_with_probe_in_flight();
     disturb(&mut r);
     assert_eq!(keeps_waiting(&mut r, NOW), kept);
@@ -67,13 +64,18 @@
 #[case::none_ahead(0, Some(1_000))]
 #[case::two_ahead(2, Some(3_000))]
 #[case::too_many_ahead(5, None)]
-fn command_waits_for_credit_that_suffices_in_time(#[case] commands_ahead: u64, #[case] credit_after: Option<Tenths>) {
+fn command_waits_for_credit_that_suffices_in_time(
+    #[case] commands_ahead: u64,
+    #[case] credit_after: Option<Tenths>,
+) {
     let mut r = write_for_cold_primary(0.0);
     queue_ahead(&mut r, commands_ahead);
     let at = r.worth_waiting_until(NOW, 0);
     let time_until = |at: Tenths| (at - NOW) as f64;
     match credit_after {
-        Some(credit_after) => assert!(at.is_some_and(|at| (time_until(at) / credit_after as f64 - 1.0).abs() < 0.02), "{at:?}"),
+        Some(credit_after) => {
+            assert!(at.is_some_and(|at| (time_until(at) / credit_after as f64 - 1.0).abs() < 0.02), "{at:?}")
+        }
         None => assert_eq!(at, None),
     }
     assert_eq!(keeps_waiting(&mut r, NOW), credit_after.is_some());
--- a/src/member_clock.rs
+++ b/src/member_clock.rs
@@ -170,7 +170,9 @@
         let drift = self.drift(now);
         self.bounds = self.bounds.widened(drift);
         self.bounds_at += drift * DRIFT_DIVISOR;
-        if evidence.contains(self.offset) || (self.corrected && self.bounds.intersect(&evidence).is_consistent()) {
+        if evidence.contains(self.offset)
+            || (self.corrected && self.bounds.intersect(&evidence).is_consistent())
+        {
             self.confirm(evidence);
         } else {
             self.record_contradiction(now, evidence);
--- a/src/member_clock/tests.rs
+++ b/src/member_clock/tests.rs
@@ -68,13 +68,19 @@
 
 #[rstest]
 fn inconsistent_contradictions_do_not_correct_the_clock() {
-    let clock = clock(&[evidence_ahead_by(10_000), evidence_ahead_by(50_000), evidence_ahead_by(90_000), evidence_ahead_by(130_000)]);
+    let clock = clock(&[
+        evidence_ahead_by(10_000),
+        evidence_ahead_by(50_000),
+        evidence_ahead_by(90_000),
+        evidence_ahead_by(130_000),
+    ]);
     assert_eq!(clock.now(NOW), NOW);
 }
 
 #[rstest]
 fn future_position_raises_the_bound_but_not_the_offset() {
-    let clock = clock(&[[evidence_ahead_by(0)].as_slice(), &[Evidence::of_any(NOW + 9_000, NOW); 9]].concat());
+    let clock =
+        clock(&[[evidence_ahead_by(0)].as_slice(), &[Evidence::of_any(NOW + 9_000, NOW); 9]].concat());
     assert_eq!(clock.now(NOW), NOW);
     assert_eq!(clock.latest(NOW), Some(NOW + 9_000));
 }
@@ -99,9 +105,12 @@
     clock.is_theirs();
     assert_eq!(clock.latest(NOW), Some(NOW));
     let standing_still = Evidence::of_primary(NOW - 3_000, NOW, HEARD, 0);
-    [evidence_ahead_by(9_000), Evidence::of_any(NOW + 9_000, NOW)].iter().chain(&[standing_still; 5]).for_each(|e| {
-        assert!(!clock.learn(NOW, *e), "no evidence changes it: {e:?}");
-    });
+    [evidence_ahead_by(9_000), Evidence::of_any(NOW + 9_000, NOW)]
+        .iter()
+        .chain(&[standing_still; 5])
+        .for_each(|e| {
+            assert!(!clock.learn(NOW, *e), "no evidence changes it: {e:?}");
+        });
     assert_eq!(clock.latest(NOW), Some(NOW));
 }
 
@@ -118,7 +127,13 @@
     let one = clock(&[report_ahead_by(offset_error, 2_500), answer, report_ahead_by(offset_error, 2_500)]);
     // Half of the round trip is unknown.
     assert!(one.latest(NOW).expect("confirmed") >= NOW + offset_error - 100, "the proven bound stays");
-    let three = clock(&[answer, report_ahead_by(offset_error, 2_500), answer, report_ahead_by(offset_error, 2_500), answer]);
+    let three = clock(&[
+        answer,
+        report_ahead_by(offset_error, 2_500),
+        answer,
+        report_ahead_by(offset_error, 2_500),
+        answer,
+    ]);
     let latest = three.latest(NOW).expect("confirmed") - NOW;
     assert!((offset_error..=offset_error + 200).contains(&latest), "{latest}");
 }
--- a/src/progress/tests.rs
+++ b/src/progress/tests.rs
@@ -14,10 +14,7 @@
 #[case::overtaken(&[(200, 190), (100, 90)], None)]
 #[case::advances_after_overtaken(&[(200, 190), (100, 290), (300, 280)], Some(190))]
 #[case::concurrent_requests(&[(100, 90), (101, 80)], Some(90))]
-fn only_an_advancing_position_is_dated(
-    #[case] answers: &[(Tenths, Tenths)],
-    #[case] since: Option<Tenths>,
-) {
+fn only_an_advancing_position_is_dated(#[case] answers: &[(Tenths, Tenths)], #[case] since: Option<Tenths>) {
     assert_eq!(last_dated(answers), since);
 }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -192,7 +192,13 @@
 
     /// Records a session's write. Evicts the writes up to `evict_up_to` first if at least `min_sessions` sessions are
     /// held and the eviction threshold is reached.
-    pub(crate) fn write(&mut self, session: String, position: Tenths, evict_up_to: Tenths, min_sessions: usize) {
+    pub(crate) fn write(
+        &mut self,
+        session: String,
+        position: Tenths,
+        evict_up_to: Tenths,
+        min_sessions: usize,
+    ) {
         if self.writes.len() >= self.eviction_threshold.max(min_sessions) {
             self.writes.retain(|_, position| *position > evict_up_to);
             self.eviction_threshold = 2 * self.writes.len() + 1;
--- a/src/told.rs
+++ b/src/told.rs
@@ -13,7 +13,9 @@
 
 /// The value of a setting, or `default` if it is absent. A value that cannot be parsed is an error.
 pub(crate) fn pick<T: FromStr>(settings: &Told, name: &str, default: T) -> Result<T, String> {
-    settings.get(name).map_or(Ok(default), |v| v.parse().map_err(|_| format!("setting {name}: cannot read '{v}'")))
+    settings
+        .get(name)
+        .map_or(Ok(default), |v| v.parse().map_err(|_| format!("setting {name}: cannot read '{v}'")))
 }
 
 /// The value of a setting that must be present.
@@ -39,7 +41,8 @@
 /// Checks that all numeric settings that are present can be parsed. Without this check, a malformed one would
 /// silently be replaced by its default where it is used.
 pub(crate) fn numbers(settings: &Told) -> Result<(), String> {
-    let is_valid = |value: &String| value.parse().is_ok_and(|number: f64| number.is_finite() && number >= 0.0);
+    let is_valid =
+        |value: &String| value.parse().is_ok_and(|number: f64| number.is_finite() && number >= 0.0);
     let present = NUMERIC_SETTINGS.iter().filter_map(|name| Some((name, settings.get(*name)?)));
     let invalid = present.into_iter().find(|(_, value)| !is_valid(value));
     invalid.map_or(Ok(()), |(name, value)| {
@@ -87,7 +90,9 @@
     effect: Effect,
 ) -> Result<(String, CommandGroup), String> {
     let key = |name: &str| format!("request_classes.{index}.{name}");
-    let bound = list_item(settings, "family_info.lag_allowed_ms", index).and_then(|b| b.parse().ok()).map_or(0, tenths);
+    let bound = list_item(settings, "family_info.lag_allowed_ms", index)
+        .and_then(|b| b.parse().ok())
+        .map_or(0, tenths);
     let access = match list_item(settings, "family_info.class_read", index) {
         Some("any") => Access::Any,
         Some("bounded") => Access::Bounded(bound),
