--- a/src/decay.rs
+++ b/src/decay.rs
@@ -1,38 +1,40 @@
-//! A sum whose parts fade with age, brought up to date when it is read or added to.
+//! Exponentially decaying sums, means and frequencies. The decay is applied on each read and each addition.
 
 use crate::interface::Tenths;
 use std::collections::BTreeMap;
 
+/// A sum whose parts decay exponentially with age.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Decay {
     sum: f64,
-    at: Tenths,
+    updated_at: Tenths,
 }
 
 impl Decay {
-    /// The sum as it stands at `now`, each part halved for every `half_life` since it came.
+    /// The sum at `now`: each part is halved for every `half_life` since it was added.
     pub(crate) fn read(&self, now: Tenths, half_life: Tenths) -> f64 {
-        self.sum * (-((now - self.at).max(0) as f64) / half_life.max(1) as f64).exp2()
+        self.sum * (-((now - self.updated_at).max(0) as f64) / half_life.max(1) as f64).exp2()
     }
 
-    /// What came lately per tenth of a millisecond, as far as a steady stream would leave this sum.
+    /// The recent rate per tenth of a millisecond: the rate of the steady stream that gives this sum.
     pub(crate) fn rate(&self, now: Tenths, half_life: Tenths) -> f64 {
         self.read(now, half_life) / (half_life.max(1) as f64 * std::f64::consts::LOG2_E)
     }
 
-    /// The same for a stream that began at `since`: what is not yet in the sum is not taken for a lull.
+    /// The recent rate of a stream that began at `since`. Corrects for the time before `since`, which would
+    /// otherwise count as time without traffic.
     pub(crate) fn rate_since(&self, now: Tenths, half_life: Tenths, since: Tenths) -> f64 {
-        let seen = 1.0 - (-((now - since).max(1) as f64) / half_life.max(1) as f64).exp2();
-        self.rate(now, half_life) / seen
+        let covered = 1.0 - (-((now - since).max(1) as f64) / half_life.max(1) as f64).exp2();
+        self.rate(now, half_life) / covered
     }
 
     pub(crate) fn add(&mut self, now: Tenths, half_life: Tenths, amount: f64) {
         self.sum = self.read(now, half_life) + amount;
-        self.at = self.at.max(now);
+        self.updated_at = self.updated_at.max(now);
     }
 }
 
-/// A mean whose parts fade with age.
+/// A mean whose parts decay exponentially with age.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Mean {
     sum: Decay,
@@ -40,34 +42,41 @@
 }
 
 impl Mean {
-    /// The mean as it stands at `now`, with `guess` counted as two more parts.
-    pub(crate) fn read(&self, now: Tenths, half_life: Tenths, guess: f64) -> f64 {
-        (self.sum.read(now, half_life) + 2.0 * guess) / (self.weight.read(now, half_life) + 2.0)
+    /// The mean at `now`, with `prior` as a prior that weighs as much as two fresh parts.
+    pub(crate) fn read(&self, now: Tenths, half_life: Tenths, prior: f64) -> f64 {
+        (self.sum.read(now, half_life) + 2.0 * prior) / (self.weight.read(now, half_life) + 2.0)
     }
 
-    pub(crate) fn add(&mut self, now: Tenths, half_life: Tenths, part: f64) {
-        self.sum.add(now, half_life, part);
+    pub(crate) fn add(&mut self, now: Tenths, half_life: Tenths, value: f64) {
+        self.sum.add(now, half_life, value);
         self.weight.add(now, half_life, 1.0);
     }
 }
 
-/// How often something happens by age: each doubling of the age has fading sums of its own.
+/// How often an event happens, by age: one bucket of decaying sums for each power of two of the age.
 #[derive(Debug, Default)]
 pub(crate) struct ByAge(BTreeMap<u32, (Decay, Decay)>);
 
 impl ByAge {
-    pub(crate) fn add(&mut self, now: Tenths, half_life: Tenths, age: Tenths, happened: bool) {
-        let (times, cases) = self.0.entry(age.max(1).ilog2()).or_default();
-        times.add(now, half_life, happened as u8 as f64);
+    pub(crate) fn add(&mut self, now: Tenths, half_life: Tenths, age: Tenths, occurred: bool) {
+        let (occurrences, cases) = self.0.entry(age.max(1).ilog2()).or_default();
+        occurrences.add(now, half_life, occurred as u8 as f64);
         cases.add(now, half_life, 1.0);
     }
 
-    /// The age from which on it happens in this part of all cases, and so many times at least.
-    pub(crate) fn first(&self, now: Tenths, half_life: Tenths, part: f64, least: f64) -> Option<Tenths> {
-        let often = |(times, cases): &(Decay, Decay)| {
-            let times = times.read(now, half_life);
-            times >= least && times >= part * cases.read(now, half_life)
+    /// The lowest age bucket in which the event happens in at least this share (`min_share`) of all cases, and at least
+    /// `min_count` times. Returns the lower end of the bucket.
+    pub(crate) fn first(
+        &self,
+        now: Tenths,
+        half_life: Tenths,
+        min_share: f64,
+        min_count: f64,
+    ) -> Option<Tenths> {
+        let is_frequent = |(occurrences, cases): &(Decay, Decay)| {
+            let occurrences = occurrences.read(now, half_life);
+            occurrences >= min_count && occurrences >= min_share * cases.read(now, half_life)
         };
-        self.0.iter().find(|(_, sums)| often(sums)).map(|(age, _)| 1 << *age)
+        self.0.iter().find(|(_, sums)| is_frequent(sums)).map(|(age, _)| 1 << *age)
     }
 }
