--- a/crates/capacity/src/constants.rs
+++ b/crates/capacity/src/constants.rs
@@ -302,7 +302,7 @@
         "router ACCEPTED_MOST",
         64.0,
         "connections a turn",
-        ("crates/router/src/clients/crowd.rs", "const ACCEPTED_MOST: usize = 64;"),
+        ("crates/router/src/clients/crowd.rs", "const MAX_ACCEPTS: usize = 64;"),
         |a| {
             format!("{:.0} clients that come back take {:.0} turns", a.clients(), (a.clients() / 64.0).ceil())
         },
@@ -312,7 +312,7 @@
         "router PATIENCE, SILENT_LEAST",
         10.0,
         "s",
-        ("crates/router/src/clients.rs", "const PATIENCE: Tenths = 100_000;"),
+        ("crates/router/src/clients.rs", "const READ_TIMEOUT: Tenths = 100_000;"),
         |a| format!("at the limit all {:.0} clients are looked through for each that comes", a.clients()),
         "client timeout",
     ),
--- a/crates/capacity/src/rows/service.rs
+++ b/crates/capacity/src/rows/service.rs
@@ -4,7 +4,7 @@
 use crate::Role::{Database, RouterClients, RouterMembers};
 use crate::{Scaled, Size, Work};
 
-/// Descriptors that a router keeps for its own (`RESERVE` in `crates/router/src/limits.rs`).
+/// Descriptors that a router keeps for its own (`RESERVED_DESCRIPTORS` in `crates/router/src/limits.rs`).
 const RESERVE: f64 = 32.0;
 
 const CLIENTS: &str = "crates/router (clients.rs), src/decide.rs";
--- a/crates/capacity/src/tests.rs
+++ b/crates/capacity/src/tests.rs
@@ -628,11 +628,14 @@
 
 /// What needs are worked out with beside them.
 #[rstest]
-#[case::reserve("crates/router/src/limits.rs", "const RESERVE: usize = 32;")]
+#[case::reserve("crates/router/src/limits.rs", "const RESERVED_DESCRIPTORS: usize = 32;")]
 #[case::clients("crates/router/src/limits.rs", "const CLIENTS_PART: f64 = 0.45;")]
-#[case::staying("crates/router/src/limits.rs", "const STAYING_COST: usize = 2_048;")]
-#[case::newcomers("crates/router/src/limits.rs", "const NEWCOMERS: usize = DEPLOYED_MOST / 12;")]
-#[case::deployed("crates/router/src/limits.rs", "const DEPLOYED_MOST: usize = 1_024;")]
+#[case::staying("crates/router/src/limits.rs", "const BYTES_PER_CLIENT: usize = 2_048;")]
+#[case::newcomers(
+    "crates/router/src/limits.rs",
+    "const RESERVED_FOR_NEW_CLIENTS: usize = MAX_DEPLOYED_DESCRIPTORS / 12;"
+)]
+#[case::deployed("crates/router/src/limits.rs", "const MAX_DEPLOYED_DESCRIPTORS: usize = 1_024;")]
 #[case::silence("crates/router/src/watch.rs", "const MAX_SILENCE: Tenths = 30_000;")]
 #[case::pause("src/decide.rs", "const PAUSE: Tenths = 1_000;")]
 #[case::period("crates/membership/src/plan.rs", "period: 5_000,")]
--- a/crates/lab/src/loopback/members.rs
+++ b/crates/lab/src/loopback/members.rs
@@ -132,7 +132,7 @@
             pgwire::ready(&mut out);
             return conn.wire.send(&out);
         }
-        let said = pgwire::said(statement).ok();
+        let said = pgwire::parse_metadata(statement).ok();
         let number = said.as_ref().and_then(|s| u64::from_str_radix(s.id, 16).ok());
         let fresh = std::mem::replace(&mut conn.fresh, false);
         let known = number.and_then(|n| Some((n, self.tries.get(n)?)));
--- a/crates/pgwire/src/read.rs
+++ b/crates/pgwire/src/read.rs
@@ -78,7 +78,7 @@
 }
 
 /// The next message of a node. An invalid message is rejected by its header, before the rest has arrived.
-pub fn answer(bytes: &[u8]) -> Result<Option<Message<'_>>, Unreadable> {
+pub fn node_message(bytes: &[u8]) -> Result<Option<Message<'_>>, Unreadable> {
     if let Some(kind) = bytes.first().filter(|kind| !b"RKvSNATDCEZ".contains(kind)) {
         return Err(Unreadable::Kind(*kind));
     }
@@ -96,7 +96,7 @@
 }
 
 /// True for the description of a row of exactly one column.
-pub fn describes_one(body: &[u8]) -> bool {
+pub fn describes_one_column(body: &[u8]) -> bool {
     body.strip_prefix(&[0, 1]).and_then(text).is_some_and(|(_, rest)| rest.len() == 18)
 }
 
--- a/crates/pgwire/src/statement.rs
+++ b/crates/pgwire/src/statement.rs
@@ -4,7 +4,7 @@
 
 /// The metadata of a statement, borrowed from its text.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Said<'a> {
+pub struct StatementMetadata<'a> {
     pub id: &'a str,
     pub group: &'a str,
     pub customer: Option<&'a str>,
@@ -54,7 +54,7 @@
 }
 
 /// Parses the comment; the error names what is missing.
-pub fn said(statement: &[u8]) -> Result<Said<'_>, &'static str> {
+pub fn parse_metadata(statement: &[u8]) -> Result<StatementMetadata<'_>, &'static str> {
     let whole = std::str::from_utf8(statement).map_err(|_| "the statement is not UTF-8")?;
     let (literal, comment, _) = scan(statement);
     let comment = comment.ok_or("the statement has no comment")?;
@@ -87,5 +87,15 @@
     let id = id.filter(|i| !i.is_empty()).ok_or("the comment has no id")?;
     let group = group.ok_or("the comment has no c")?;
     let (wait, wait_at) = wait.ok_or("the comment has no d")?;
-    Ok(Said { id, group, customer, set, after, repeat, key: literal.map(|l| &whole[l]), wait, wait_at })
+    Ok(StatementMetadata {
+        id,
+        group,
+        customer,
+        set,
+        after,
+        repeat,
+        key: literal.map(|l| &whole[l]),
+        wait,
+        wait_at,
+    })
 }
--- a/crates/pgwire/src/tests.rs
+++ b/crates/pgwire/src/tests.rs
@@ -52,7 +52,7 @@
 
 #[rstest]
 fn statement_metadata_is_parsed_with_positions() {
-    let said = said(QUERY.as_bytes()).expect("readable");
+    let said = parse_metadata(QUERY.as_bytes()).expect("readable");
     assert_eq!((said.id, said.group, said.customer, said.set), ("i1", "look", Some("acme"), Some("2")));
     assert_eq!((said.after, said.repeat, said.key, said.wait), (Some("12"), true, Some("k1"), "480"));
     assert_eq!(&QUERY[said.wait_at], "480");
@@ -63,7 +63,7 @@
 #[case::literal_before("INSERT INTO r VALUES ('/*', 'z') /* id=i,c=g,d= 7 */", Some("/*"))]
 #[case::two_comments("/* id=a,c=b,d=1 */ SELECT 'k' /* id=i,c=g,d=7 */", Some("k"))]
 fn only_last_comment_outside_literals_is_parsed(#[case] statement: &str, #[case] key: Option<&str>) {
-    let found = said(statement.as_bytes()).ok();
+    let found = parse_metadata(statement.as_bytes()).ok();
     assert_eq!(found.as_ref().map(|s| (s.id, s.wait)), key.map(|_| ("i", "7")));
     assert_eq!(found.and_then(|s| s.key), key);
 }
@@ -74,7 +74,7 @@
 #[case::equals_signs("/*id=i,d=7,t=a=b=,c==x*/", ("a=b=", "=x", "7"))]
 #[case::no_values("/*ping, id=i,t=a,,d=7,c=x, */", ("a", "x", "7"))]
 fn value_with_commas_extends_to_the_next_name(#[case] statement: &str, #[case] want: (&str, &str, &str)) {
-    let found = said(statement.as_bytes()).expect("readable");
+    let found = parse_metadata(statement.as_bytes()).expect("readable");
     assert_eq!((found.customer.unwrap_or_default(), found.group, found.wait), want);
     assert_eq!(&statement[found.wait_at], found.wait);
 }
@@ -93,9 +93,9 @@
 #[rstest]
 fn truncated_or_invalid_statement_is_rejected() {
     for end in 0..QUERY.len() {
-        assert!(said(&QUERY.as_bytes()[..end]).is_err(), "cut at {end}");
+        assert!(parse_metadata(&QUERY.as_bytes()[..end]).is_err(), "cut at {end}");
     }
-    assert!(said(&[0xff, 0xfe, b'/', b'*', b'*', b'/']).is_err());
+    assert!(parse_metadata(&[0xff, 0xfe, b'/', b'*', b'*', b'/']).is_err());
 }
 
 #[rstest]
@@ -132,8 +132,8 @@
 #[case::column_beyond_its_row(b"D\x00\x00\x00\x0b\x00\x01\x00\x00\x00\x09", Unreadable::Row)]
 #[case::null(b"D\x00\x00\x00\x0b\x00\x01\xff\xff\xff\xff", Unreadable::Row)]
 fn invalid_node_message_is_rejected_by_its_header(#[case] head: &[u8], #[case] why: Unreadable) {
-    assert_eq!(answer(head), Err(why));
-    let cut: Vec<_> = (0..head.len()).map(|end| answer(&head[..end])).collect();
+    assert_eq!(node_message(head), Err(why));
+    let cut: Vec<_> = (0..head.len()).map(|end| node_message(&head[..end])).collect();
     assert!(cut.iter().all(|found| *found == Ok(None) || *found == Err(why)), "{cut:?}");
 }
 
@@ -143,9 +143,9 @@
     let body = [&[0, 1][..], &(value.len() as u32).to_be_bytes(), &value].concat();
     let whole = [&b"D"[..], &(body.len() as u32 + 4).to_be_bytes(), &body].concat();
     for end in [0, 1, 5, 10, 11, whole.len() - 1] {
-        assert_eq!(answer(&whole[..end]), Ok(None), "cut at {end}");
+        assert_eq!(node_message(&whole[..end]), Ok(None), "cut at {end}");
     }
-    let found = answer(&whole).expect("readable").expect("whole");
+    let found = node_message(&whole).expect("readable").expect("whole");
     assert_eq!(one_column(found.body), Some(&value[..]));
 }
 
@@ -155,5 +155,5 @@
 #[case::truncated(b"\x00\x01v\x00\x00\x00\x00\x00\x00", false)]
 #[case::unterminated_name(b"\x00\x01vvvvvv", false)]
 fn row_description_must_have_one_column(#[case] body: &[u8], #[case] one: bool) {
-    assert_eq!(describes_one(body), one);
+    assert_eq!(describes_one_column(body), one);
 }
--- a/crates/router/src/arrival.rs
+++ b/crates/router/src/arrival.rs
@@ -23,13 +23,13 @@
 }
 
 /// The time since the last bytes arrived; 0 if it is unknown or below `MIN_AGE`.
-pub fn waited(stream: &TcpStream) -> Tenths {
+pub fn time_since_last_receive(stream: &TcpStream) -> Tenths {
     let age = info(stream).map_or(0, |info| Tenths::from(info.tcpi_last_data_recv) * 10);
     if age >= MIN_AGE { age } else { 0 }
 }
 
 /// True if, by the kernel's ticks, the last bytes arrived no earlier than the last ones were sent.
-pub fn came_after_sent(stream: &TcpStream) -> bool {
+pub fn last_received_after_last_sent(stream: &TcpStream) -> bool {
     info(stream).is_some_and(|info| info.tcpi_last_data_recv <= info.tcpi_last_data_sent)
 }
 
--- a/crates/router/src/arrival/tests.rs
+++ b/crates/router/src/arrival/tests.rs
@@ -13,7 +13,7 @@
     let (stream, _) = listener.accept().expect("a client");
     let mut found = 0;
     while found == 0 && sent.elapsed() < Duration::from_secs(10) {
-        found = waited(&stream);
+        found = time_since_last_receive(&stream);
     }
     // The kernel may count one tick more than the elapsed time.
     let most = (sent.elapsed().as_micros() / 100) as Tenths + MIN_AGE;
--- a/crates/router/src/catch_up.rs
+++ b/crates/router/src/catch_up.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Reads all input that may forbid a write. A client's own connection is checked at each write (`see_leaving`).
+    /// Reads all input that may forbid a write. A client's own connection is checked at each write (`drop_disconnected_client`).
     fn read_pending_input(&mut self) {
         self.last_poll = self.now;
         self.read_watches();
--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -6,7 +6,7 @@
 mod unsent;
 
 use crate::Program;
-use crate::arrival::{MIN_AGE, waited};
+use crate::arrival::{MIN_AGE, time_since_last_receive};
 use crate::deadlines::Due;
 use crate::invariants::Violation;
 use crate::keys::{ClientKey, CommandKey};
@@ -30,7 +30,7 @@
 /// How long a client may take from connecting to its first complete query, and for any message that it has begun; to
 /// read its answers; to close after the router has shut down its side.
 const MESSAGE_TIMEOUT: Tenths = 25_000;
-const PATIENCE: Tenths = 100_000;
+const READ_TIMEOUT: Tenths = 100_000;
 const CLOSE_TIMEOUT: Tenths = 10_000;
 /// Reads and messages that one client may use up in one round of the event loop.
 const MAX_STEPS_PER_ROUND: u32 = 32;
@@ -283,7 +283,9 @@
                     client.retry.reset();
                     client.input.extend_from_slice(&self.scratch[..read]);
                     client.read += read as u64;
-                    client.arrivals.push_back((client.read, self.now - waited(&client.stream)));
+                    client
+                        .arrivals
+                        .push_back((client.read, self.now - time_since_last_receive(&client.stream)));
                     self.clients.buffered += read;
                     self.limit_buffered_input();
                 }
@@ -575,7 +577,7 @@
                 }
                 Err(e) if is_transient(&e) => {
                     if client.unsent < before || self.deadlines.time(Due::Client(key)).is_none() {
-                        self.deadlines.set(Due::Client(key), self.now + PATIENCE);
+                        self.deadlines.set(Due::Client(key), self.now + READ_TIMEOUT);
                     }
                     return self.retry_client(key);
                 }
@@ -630,7 +632,7 @@
     /// Drops the command's client if it has disconnected; called before a command is written. Danger: after a stall,
     /// the event of a node that is ready may be handled before that of a client that left meanwhile, and the command
     /// would begin long after its client left.
-    pub fn see_leaving(&mut self, command: CommandKey) {
+    pub fn drop_disconnected_client(&mut self, command: CommandKey) {
         let Some(key) = self.commands.client(command) else { return };
         if self.clients.table.get(key).is_some_and(|c| is_disconnected(&c.stream)) {
             self.drop_client(key, ClientClose::Left);
--- a/crates/router/src/clients/crowd.rs
+++ b/crates/router/src/clients/crowd.rs
@@ -6,9 +6,9 @@
 use crate::leaving::{has_pending_client, may_have_unread_bytes};
 
 /// A client that has sent no command for this long since it connected may be closed to make room for others.
-const SILENT_LEAST: Tenths = 1_000;
+const MIN_SILENCE: Tenths = 1_000;
 /// Clients accepted in one call.
-const ACCEPTED_MOST: usize = 64;
+const MAX_ACCEPTS: usize = 64;
 pub(super) const ACCEPT_RETRY_INTERVAL: Tenths = 1_000;
 /// Additional polls of the listener after an event without a client (`POLLS_AFTER_EVENT`) and after an accepted client
 /// (`POLLS_AFTER_CLIENT`), and the interval between two of them (`ACCEPT_POLL_INTERVAL`).
@@ -26,12 +26,13 @@
             Stage::Ending => false,
             Stage::ShutDown => true,
             _ if c.served => c.is_idle(),
-            _ => c.command.is_none() && c.idle_since + SILENT_LEAST <= now,
+            _ => c.command.is_none() && c.idle_since + MIN_SILENCE <= now,
         });
         let mut idle: Vec<(ClientKey, &Client)> = idle.collect();
         idle.sort_by_key(|(_, c)| (c.served && c.stage != Stage::ShutDown, c.idle_since));
-        let free =
-            idle.iter().find(|(_, c)| c.idle_since + PATIENCE <= now || unacknowledged_bytes(&c.stream) == 0);
+        let free = idle
+            .iter()
+            .find(|(_, c)| c.idle_since + READ_TIMEOUT <= now || unacknowledged_bytes(&c.stream) == 0);
         free.or(idle.first().filter(|_| must)).map(|(key, _)| *key)
     }
 }
@@ -48,7 +49,7 @@
         let listener = listener.clone();
         self.clients.at_capacity = false;
         self.deadlines.clear(Due::Accept);
-        for _ in 0..ACCEPTED_MOST {
+        for _ in 0..MAX_ACCEPTS {
             // One client above the limit shows that more are waiting: none is closed for a client that does not come.
             if self.at_limit() && !self.make_room_for_client() {
                 return self.accept_later();
@@ -125,7 +126,7 @@
     /// Accepts the clients that are waiting now, which may include cancel requests. Danger: at the connection limit, an
     /// attempt to accept when no client waits would close an existing client.
     pub fn accept_waiting(&mut self) {
-        for _ in 0..BACKLOG as usize / ACCEPTED_MOST {
+        for _ in 0..BACKLOG as usize / MAX_ACCEPTS {
             let waits = self.clients.listener.as_ref().is_some_and(|(l, _)| has_pending_client(l));
             if !waits || self.clients.at_capacity {
                 return;
@@ -136,7 +137,7 @@
 
     /// Accepts all established connections, up to the listen backlog.
     pub(super) fn accept_all(&mut self) {
-        for _ in 0..BACKLOG as usize / ACCEPTED_MOST {
+        for _ in 0..BACKLOG as usize / MAX_ACCEPTS {
             self.accept();
         }
     }
@@ -166,7 +167,7 @@
         }
         let quiet = table
             .iter()
-            .filter(|(_, c)| sent_query(c) && c.is_idle() && c.idle_since + SILENT_LEAST <= self.now);
+            .filter(|(_, c)| sent_query(c) && c.is_idle() && c.idle_since + MIN_SILENCE <= self.now);
         if let Some(key) = quiet.min_by_key(|(_, c)| (c.served, c.idle_since)).map(|(key, _)| key) {
             self.counters.quiet += 1;
             self.end_if_idle(key);
--- a/crates/router/src/commands.rs
+++ b/crates/router/src/commands.rs
@@ -41,7 +41,7 @@
 }
 
 /// A result from a node: a finished dispatch or probe, or a role reported on connect.
-pub enum News {
+pub enum NodeResult {
     Dispatch {
         key: CommandKey,
         dispatch: u32,
@@ -69,13 +69,15 @@
     },
 }
 
-impl News {
+impl NodeResult {
     /// The member, if it reports itself as a replica, and when the request was begun.
     fn reported_replica(&self) -> Option<(&Id, Tenths)> {
         let (node, asked, told) = match self {
-            News::Role { node, asked, primary } => (node, asked, [Some(*primary), None]),
-            News::Dispatch { node, asked, note, report, .. }
-            | News::Probe { node, asked, note, report, .. } => (node, asked, [note.primary, report.primary]),
+            NodeResult::Role { node, asked, primary } => (node, asked, [Some(*primary), None]),
+            NodeResult::Dispatch { node, asked, note, report, .. }
+            | NodeResult::Probe { node, asked, note, report, .. } => {
+                (node, asked, [note.primary, report.primary])
+            }
         };
         told.contains(&Some(false)).then_some((node, *asked))
     }
@@ -182,7 +184,7 @@
         statement: &[u8],
         arrived: Tenths,
     ) -> Result<CommandKey, Rejection> {
-        let said = pgwire::said(statement).map_err(|why| ("42601", why.to_owned()))?;
+        let said = pgwire::parse_metadata(statement).map_err(|why| ("42601", why.to_owned()))?;
         let wait = parse_number(said.wait, "d")?;
         let set = match said.set {
             Some(set) => {
@@ -311,20 +313,20 @@
     pub fn pass_results(&mut self) {
         // Danger: with a time read before these bytes, members would seem to have a clock that is ahead.
         self.read_clock();
-        for (node, asked) in self.news.iter().filter_map(News::reported_replica) {
+        for (node, asked) in self.results.iter().filter_map(NodeResult::reported_replica) {
             self.commands.router.heard_replica(self.now, node, asked);
         }
-        while let Some(news) = self.news.pop_front() {
+        while let Some(news) = self.results.pop_front() {
             match news {
-                News::Role { node, asked, primary } => {
+                NodeResult::Role { node, asked, primary } => {
                     self.commands.router.role_told(self.now, &node, asked, primary);
                 }
-                News::Probe { node, ending, asked, note, report } => {
+                NodeResult::Probe { node, ending, asked, note, report } => {
                     self.counters.probes.add(ending);
                     let end = ProbeEnd { ending, took: self.now - asked, primary: note.primary, report };
                     self.commands.router.probe_ended(self.now, &node, end);
                 }
-                News::Dispatch { key, dispatch, node, ending, asked, idled, note, report, answer } => {
+                NodeResult::Dispatch { key, dispatch, node, ending, asked, idled, note, report, answer } => {
                     let id = self.commands.id(key);
                     let effective_ending = self.commands.effective_ending(&id, dispatch, ending, note);
                     if effective_ending != ending {
--- a/crates/router/src/fleet/configuration.rs
+++ b/crates/router/src/fleet/configuration.rs
@@ -148,7 +148,7 @@
         let count = settings.len();
         // Until a version is published, only the file's own settings apply.
         if !settings.is_empty() {
-            self.take_settings(settings)?;
+            self.apply_settings(settings)?;
         }
         log!("configuration: version {version} is in force, {count} names");
         self.configuration.in_force = Some(version);
--- a/crates/router/src/invariants.rs
+++ b/crates/router/src/invariants.rs
@@ -105,7 +105,7 @@
     }
 
     /// Records a member of the list and whether it is draining or removed.
-    pub fn listed(&mut self, now: Tenths, node: &Id, is_draining: bool) {
+    pub fn update_member(&mut self, now: Tenths, node: &Id, is_draining: bool) {
         if is_draining {
             self.draining.entry(node.clone()).or_insert(now);
         } else {
@@ -114,7 +114,7 @@
     }
 
     /// Removes a member that is no longer known.
-    pub fn forgotten(&mut self, node: &Id) {
+    pub fn remove_member(&mut self, node: &Id) {
         self.draining.remove(node);
     }
 
--- a/crates/router/src/invariants/tests.rs
+++ b/crates/router/src/invariants/tests.rs
@@ -57,8 +57,8 @@
     #[case] expected: &[Violation],
 ) {
     let (mut invariants, node) = (invariants(), Id::from("a"));
-    invariants.listed(NOW, &node, true);
-    invariants.listed(NOW, &node, drains);
+    invariants.update_member(NOW, &node, true);
+    invariants.update_member(NOW, &node, drains);
     let mut history = invariants.start_history("look", NOW + 20_000);
     let begun = AttemptStart { limit_at: NOW + limit, has_client, ..attempt(0, &node) };
     assert_eq!(invariants.check_attempt(NOW + later, &mut history, &begun), expected);
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -1,7 +1,7 @@
 //! Derives all internal limits from the configured ones: connections of clients and to nodes, and buffered input.
 
 /// Descriptors reserved for the listener, two watches, signals, the event loop and future needs.
-const RESERVE: usize = 32;
+const RESERVED_DESCRIPTORS: usize = 32;
 /// The share of connections that belongs to clients. The rest is enough for one node connection per open command, and
 /// for probes and idle connections.
 const CLIENTS_PART: f64 = 0.45;
@@ -12,12 +12,12 @@
 const IDLE_CLOSE_PART: f64 = 0.75 / 3.0;
 /// The largest descriptor limit that the deployment configures. A router with a larger limit serves clients that stay
 /// connected: they may hold the whole client share, except for a twelfth of this limit, which is kept for new clients.
-const DEPLOYED_MOST: usize = 1_024;
-const NEWCOMERS: usize = DEPLOYED_MOST / 12;
+const MAX_DEPLOYED_DESCRIPTORS: usize = 1_024;
+const RESERVED_FOR_NEW_CLIENTS: usize = MAX_DEPLOYED_DESCRIPTORS / 12;
 /// The share of the memory limit for clients that stay connected, and the bytes that one of them takes: 0.8 KiB were
 /// measured (`docs/measured/clients.md`), and queries may be longer.
 const STAYING_PART: f64 = 0.125;
-const STAYING_COST: usize = 2_048;
+const BYTES_PER_CLIENT: usize = 2_048;
 /// The share of the memory limit for client input that is not consumed yet. Danger: memory over half of the limit is
 /// charged for, and answers, member lists and the module's tables need memory as well.
 const BUFFERED_PART: f64 = 0.125;
@@ -42,17 +42,17 @@
 }
 
 fn staying_clients(sockets: usize, memory: usize, clients: usize) -> usize {
-    let deployed = part(sockets.min(DEPLOYED_MOST), IDLE_CLOSE_PART);
-    if sockets <= DEPLOYED_MOST {
+    let deployed = part(sockets.min(MAX_DEPLOYED_DESCRIPTORS), IDLE_CLOSE_PART);
+    if sockets <= MAX_DEPLOYED_DESCRIPTORS {
         return deployed;
     }
-    let by_memory = part(memory, STAYING_PART) / STAYING_COST;
-    clients.saturating_sub(NEWCOMERS).min(by_memory).max(deployed)
+    let by_memory = part(memory, STAYING_PART) / BYTES_PER_CLIENT;
+    clients.saturating_sub(RESERVED_FOR_NEW_CLIENTS).min(by_memory).max(deployed)
 }
 
 impl Limits {
     pub fn new(sockets: usize, memory: usize) -> Limits {
-        let room = sockets.saturating_sub(RESERVE).max(4);
+        let room = sockets.saturating_sub(RESERVED_DESCRIPTORS).max(4);
         let clients = part(room, CLIENTS_PART);
         let (nodes, spare) = (room - clients, part(room, SPARE_PART));
         Limits {
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -25,7 +25,7 @@
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction};
 use capture::Capture;
 use clients::Clients;
-use commands::{Commands, News};
+use commands::{Commands, NodeResult};
 use counters::Counters;
 use deadlines::{Deadlines, Due};
 use ending::Cause;
@@ -108,7 +108,7 @@
     configuration: Configuration,
     limits: Limits,
     /// Results that have not been passed to the module yet.
-    news: VecDeque<News>,
+    results: VecDeque<NodeResult>,
     scratch: Box<[u8]>,
     /// Set by SIGTERM: the time from which the process may be killed.
     stopping: Option<Tenths>,
@@ -185,7 +185,7 @@
             fleet,
             configuration,
             limits: Limits::new(start.sockets, start.memory),
-            news: VecDeque::new(),
+            results: VecDeque::new(),
             scratch: vec![0; 64 * 1024].into(),
             stopping: None,
             longest_client_timeout: longest_client_timeout(told),
@@ -319,7 +319,7 @@
                 "reload: the settings come from the control machines; those of the file apply only until a control machine is reached"
             );
         } else if start.told != self.told {
-            match self.take_settings(start.told) {
+            match self.apply_settings(start.told) {
                 Ok(()) => log!("reload: the settings have changed and are in force"),
                 Err(why) => return log!("reload: the configuration stays as it is: {why}"),
             }
@@ -335,7 +335,7 @@
 
     /// Applies new settings from now on, all of them or none; called between two rounds of the event loop. The error is
     /// one line that names what was expected. Open commands keep the settings with which they arrived.
-    pub fn take_settings(&mut self, told: Told) -> Result<(), String> {
+    pub fn apply_settings(&mut self, told: Told) -> Result<(), String> {
         vetchkeel_settings::check(&told)?;
         let refused = |why| format!("expected settings that a router can serve under: {why}");
         self.commands.reconfigure(&told).map_err(refused)?;
@@ -369,7 +369,7 @@
     /// How long the event loop may sleep; None without a limit.
     fn poll_timeout(&self) -> Option<Duration> {
         let unfinished = self.nodes.has_writable() || self.clients.has_unsent();
-        if !self.news.is_empty() || self.clients.has_deferred() || unfinished {
+        if !self.results.is_empty() || self.clients.has_deferred() || unfinished {
             return Some(Duration::ZERO);
         }
         let wait = (self.deadlines.first()? - self.clock.now()).max(0);
--- a/crates/router/src/nodes.rs
+++ b/crates/router/src/nodes.rs
@@ -7,7 +7,7 @@
 mod reading;
 mod writing;
 
-use crate::commands::News;
+use crate::commands::NodeResult;
 use crate::deadlines::Due;
 use crate::ending::{Cause, Failure, Reached, ending, probe_ending};
 use crate::keys::{CommandKey, ConnKey, Statement, Work};
@@ -439,7 +439,7 @@
         };
         let asked = job.since;
         let news = match job.work {
-            Work::Dispatch(key, dispatch) => News::Dispatch {
+            Work::Dispatch(key, dispatch) => NodeResult::Dispatch {
                 key,
                 dispatch,
                 node,
@@ -455,10 +455,10 @@
                 if matches!(outcome, Ending::ConnectFailed | Ending::TimedOut | Ending::Reset) {
                     self.close_idle_conns(&node);
                 }
-                News::Probe { node, ending: outcome, asked, note, report }
+                NodeResult::Probe { node, ending: outcome, asked, note, report }
             }
         };
-        self.news.push_back(news);
+        self.results.push_back(news);
     }
 
     /// Cancels a dispatch that is in flight. Unless `written` is set, only one that is not completely written.
@@ -513,7 +513,7 @@
 
     /// Removes a member. Statements that are in flight there may finish.
     pub fn forget_node(&mut self, node: &Id) {
-        self.invariants.forgotten(node);
+        self.invariants.remove_member(node);
         self.close_idle_conns(node);
         self.nodes.members.remove(node);
     }
--- a/crates/router/src/nodes/answer.rs
+++ b/crates/router/src/nodes/answer.rs
@@ -30,7 +30,7 @@
         match kind {
             b'T' if !self.described && self.code.is_none() => {
                 self.described = true;
-                self.garbled |= !pgwire::describes_one(body);
+                self.garbled |= !pgwire::describes_one_column(body);
                 self.raw.extend_from_slice(raw_message);
             }
             b'D' if self.described && self.rows == 0 => {
--- a/crates/router/src/nodes/job.rs
+++ b/crates/router/src/nodes/job.rs
@@ -3,7 +3,7 @@
 use super::answer::Answer;
 use super::{Conn, Stage};
 use crate::Clock;
-use crate::arrival::came_after_sent;
+use crate::arrival::last_received_after_last_sent;
 use crate::ending::Reached;
 use crate::keys::{Statement, Work};
 use crate::leaving::{Unread, unread};
@@ -112,8 +112,9 @@
             }
         }
         let held_up = clock.now() - self.checked_at > MAX_CHECK_TO_WRITTEN;
-        let ambiguous =
-            held_up && unread(stream).is_ok_and(|unread| unread == Unread::Bytes) && !came_after_sent(stream);
+        let ambiguous = held_up
+            && unread(stream).is_ok_and(|unread| unread == Unread::Bytes)
+            && !last_received_after_last_sent(stream);
         Ok(if ambiguous { Progress::Ambiguous } else { Progress::Complete })
     }
 
--- a/crates/router/src/nodes/reading.rs
+++ b/crates/router/src/nodes/reading.rs
@@ -2,7 +2,7 @@
 
 use super::{ANSWER_STALL_LIMIT, MAX_RECEIVED_BYTES, Stage, answer};
 use crate::Program;
-use crate::commands::News;
+use crate::commands::NodeResult;
 use crate::deadlines::Due;
 use crate::ending::{Cause, Failure, Reached};
 use crate::keys::ConnKey;
@@ -60,7 +60,7 @@
         let mut at = 0;
         let mut done = None;
         while done.is_none() {
-            let message = match pgwire::answer(&conn.input[at..]) {
+            let message = match pgwire::node_message(&conn.input[at..]) {
                 Ok(Some(message)) => message,
                 Ok(None) => break,
                 Err(_) => {
@@ -95,7 +95,7 @@
                     b'S' => {
                         if let Some(primary) = answer::role(message.body) {
                             let (node, asked) = (conn.node.clone(), conn.idle_since);
-                            self.news.push_back(News::Role { node, asked, primary });
+                            self.results.push_back(NodeResult::Role { node, asked, primary });
                         }
                         None
                     }
--- a/crates/router/src/nodes/writing.rs
+++ b/crates/router/src/nodes/writing.rs
@@ -39,7 +39,7 @@
         let now = self.now;
         let work = self.nodes.conns.get(key).and_then(|c| c.job.as_ref()).map(|j| j.work);
         if let Some(Work::Dispatch(command, _)) = work {
-            self.see_leaving(command);
+            self.drop_disconnected_client(command);
         }
         let Some(conn) = self.nodes.conns.get_mut(key) else { return };
         let Some(job) = &mut conn.job else { return };
--- a/crates/router/src/watch.rs
+++ b/crates/router/src/watch.rs
@@ -385,7 +385,7 @@
             let gone = row.entry.phase == Phase::Removed;
             // A member that is gone was draining before, or has no work left.
             if !gone {
-                self.invariants.listed(self.now, &row.entry.node, row.entry.phase == Phase::Draining);
+                self.invariants.update_member(self.now, &row.entry.node, row.entry.phase == Phase::Draining);
             }
             self.update_member(&row.entry.node, row.address, row.entry.started, gone);
         }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,7 +4,7 @@
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 use vetchkeel::Told;
-use vetchkeel_pgwire::said;
+use vetchkeel_pgwire::parse_metadata;
 
 /// Lists whose entries clients name.
 const NAMED: [&str; 2] = ["request_classes", "projects"];
@@ -37,7 +37,7 @@
             ));
         }
         let statement = format!("/*id=i,d=1,c={name},t={name}*/");
-        let read = said(statement.as_bytes()).map(|s| (s.group, s.customer));
+        let read = parse_metadata(statement.as_bytes()).map(|s| (s.group, s.customer));
         if read != Ok((name, Some(name))) {
             let expected = "a name that reads the same in a statement's comment";
             return Err(format!("expected {expected} for each of '{list}', found {name:?} at {at}"));
--- a/crates/slopes/src/router/stage.rs
+++ b/crates/slopes/src/router/stage.rs
@@ -393,7 +393,7 @@
     fn client(&mut self, key: usize, conn: &mut Conn) {
         let Who::Client { answered } = &mut conn.who else { return };
         let mut used = 0;
-        while let Ok(Some(message)) = pg::answer(&conn.input[used..]) {
+        while let Ok(Some(message)) = pg::node_message(&conn.input[used..]) {
             match message.kind {
                 b'D' => {
                     *answered = true;
