--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,7 +4,7 @@
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 use vetchkeel::Told;
-use vetchkeel_pgwire::said;
+use vetchkeel_pgwire::parse_metadata;
 
 /// Lists whose entries clients refer to by name.
 const CLIENT_NAMED_LISTS: [&str; 2] = ["request_classes", "projects"];
@@ -38,7 +38,7 @@
             ));
         }
         let statement = format!("/*id=i,d=1,c={name},t={name}*/");
-        let parsed = said(statement.as_bytes()).map(|s| (s.group, s.customer));
+        let parsed = parse_metadata(statement.as_bytes()).map(|s| (s.group, s.customer));
         if parsed != Ok((name, Some(name))) {
             let expected = "a name that reads the same in a statement's comment";
             return Err(format!("expected {expected} for each of '{list}', found {name:?} at {index}"));
