--- a/crates/capacity/src/constants.rs
+++ b/crates/capacity/src/constants.rs
@@ -387,10 +387,10 @@
         "client connections held, and the memory told",
     ),
     told(
-        "router LINES_A_SECOND",
+        "router LINES_PER_SECOND",
         5.0,
         "lines a place",
-        ("crates/log/src/lib.rs", "const LINES_A_SECOND: u32 = 5;"),
+        ("crates/log/src/lib.rs", "const LINES_PER_SECOND: u32 = 5;"),
         |a| format!("a lost zone's {:.0} members are five lines and a count", a.members_a_zone()),
         "nothing: counters tell the rest",
     ),
--- a/crates/control/src/program/host.rs
+++ b/crates/control/src/program/host.rs
@@ -53,7 +53,7 @@
 /// The check at the source: what a router itself would check. The error is one line that says what was expected.
 pub fn check(document: &Document) -> Result<(), String> {
     let told = document.clone().into_map();
-    settings::check(&told)?;
+    settings::check_client_names(&told)?;
     let refused = |why| format!("expected settings that a router can serve under: {why}");
     Router::start(told, 0, 0).map(drop).map_err(refused)
 }
@@ -156,7 +156,7 @@
         let value: serde_json::Value =
             serde_json::from_str(&text).map_err(|e| format!("{path}: expected JSON: {e}"))?;
         let object = value.as_object().ok_or_else(|| format!("{path}: expected an object of settings"))?;
-        Document::from(settings::flattened(object)).map_err(|bad| format!("{path}: {bad}"))
+        Document::from(settings::flatten_settings(object)).map_err(|bad| format!("{path}: {bad}"))
     }
 
     fn publish(&mut self, now: Tenths) {
--- a/crates/discovery/src/sheet.rs
+++ b/crates/discovery/src/sheet.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 use std::net::SocketAddr;
-use vetchkeel::{Entry, Id, Phase, Tenths};
+use vetchkeel::{Id, MemberEntry, Phase, Tenths};
 
 /// A full list or a change, with the rows that could be parsed.
 #[derive(Clone, Debug)]
@@ -18,7 +18,7 @@
 /// One parsed row of the list.
 #[derive(Clone, Debug)]
 pub struct Row {
-    pub entry: Entry,
+    pub entry: MemberEntry,
     /// `None` for a removed member that has no address any more.
     pub address: Option<SocketAddr>,
 }
@@ -56,7 +56,7 @@
         return Err(format!("entry {id}: expected an address, found {}", value["addr"]));
     }
     let text = |name: &str| Id::from(value[name].as_str().unwrap_or(""));
-    let entry = Entry {
+    let entry = MemberEntry {
         node: Id::from(id),
         zone: text("zone"),
         machine: text("kind"),
--- a/crates/lab/src/decider.rs
+++ b/crates/lab/src/decider.rs
@@ -4,7 +4,9 @@
 use crate::setup::{Decides, Setup};
 use rand::RngExt;
 use std::collections::{BTreeMap, VecDeque};
-use vetchkeel::{Command, Decision, DispatchEnd, Ending, Entry, Id, Phase, ProbeEnd, Router, Tenths, Told};
+use vetchkeel::{
+    Command, Decision, DispatchEnd, Ending, Id, MemberEntry, Phase, ProbeEnd, Router, SettingValues, Tenths,
+};
 use vetchkeel_emulated::{Dice, dice};
 
 /// A router's decisions, whoever makes them.
@@ -14,7 +16,7 @@
 }
 
 impl Decider {
-    pub fn start(setup: &Setup, told: Told, seed: u64, now: Tenths) -> Result<Decider, String> {
+    pub fn start(setup: &Setup, told: SettingValues, seed: u64, now: Tenths) -> Result<Decider, String> {
         match setup.decides {
             Decides::Module => Router::start(told, seed, now).map(|r| Decider::Module(Box::new(r))),
             decides => Ok(Decider::Baseline(Box::new(Baseline::new(setup, decides, seed)))),
@@ -55,7 +57,7 @@
         }
     }
 
-    pub fn members_changed(&mut self, now: Tenths, whole: bool, entries: &[Entry]) {
+    pub fn members_changed(&mut self, now: Tenths, whole: bool, entries: &[MemberEntry]) {
         match self {
             Decider::Module(router) => router.members_changed(now, whole, entries),
             Decider::Baseline(baseline) => baseline.listed(whole, entries),
@@ -91,7 +93,7 @@
 pub struct Baseline {
     decides: Decides,
     kinds: BTreeMap<String, (bool, bool)>,
-    members: BTreeMap<Id, Entry>,
+    members: BTreeMap<Id, MemberEntry>,
     open: BTreeMap<Id, Held>,
     deadlines: BTreeMap<(Tenths, Id), ()>,
     ready: VecDeque<Decision>,
@@ -118,12 +120,12 @@
         }
     }
 
-    fn listed(&mut self, whole: bool, entries: &[Entry]) {
+    fn listed(&mut self, whole: bool, entries: &[MemberEntry]) {
         if whole {
             self.members.clear();
         }
         if std::mem::take(&mut self.asks) {
-            self.ready.push_back(Decision::WatchList);
+            self.ready.push_back(Decision::WatchMembers);
         }
         for entry in entries {
             if entry.phase == Phase::Up {
@@ -137,7 +139,7 @@
     fn arrived(&mut self, now: Tenths, command: Command) -> Result<(), String> {
         let &(write, mutating) =
             self.kinds.get(&command.command_group).ok_or("command of a group not in the settings")?;
-        let of_set: Vec<&Entry> = self.members.values().filter(|e| e.set == command.set).collect();
+        let of_set: Vec<&MemberEntry> = self.members.values().filter(|e| e.set == command.set).collect();
         let primary = of_set.iter().find(|e| e.primary).copied();
         let node = match self.decides {
             _ if of_set.is_empty() => None,
@@ -152,7 +154,7 @@
         };
         let ends = now + command.time_left - 20;
         let Some(node) = node.map(|e| e.node.clone()) else {
-            self.ready.push_back(Decision::Throttle { command: command.id, hold_off: 0 });
+            self.ready.push_back(Decision::Throttle { command: command.id, retry_after: 0 });
             return Ok(());
         };
         let limit = (ends - now).max(1);
@@ -168,9 +170,9 @@
         let untouched =
             matches!(end.ending, Ending::Full | Ending::Miss | Ending::ConnectFailed | Ending::NeverSent);
         match end.ending {
-            _ if end.over => {}
+            _ if end.command_complete => {}
             _ if untouched || held.replayable => {
-                self.ready.push_back(Decision::Throttle { command: id, hold_off: 0 });
+                self.ready.push_back(Decision::Throttle { command: id, retry_after: 0 });
             }
             _ => self.ready.push_back(Decision::Fail { command: id }),
         }
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -12,7 +12,7 @@
 use crate::told::told;
 use std::collections::BTreeMap;
 use table::{Conn, Flight, Host, Pools, Probe, Stage, Try};
-use vetchkeel::{Command, Decision, Ending, Entry, Id, Phase, Tenths};
+use vetchkeel::{Command, Decision, Ending, Id, MemberEntry, Phase, Tenths};
 use vetchkeel_audit::{Auditor, Fate, Final, Taken};
 use vetchkeel_capture::{self as capture, Recorder};
 use vetchkeel_emulated::{
@@ -272,8 +272,8 @@
     }
 
     /// A try has ended for its client.
-    fn tried(&mut self, wish: Wish, outcome: Outcome, hold_off: Micros) {
-        match wish.next(self.now, outcome, hold_off, &self.setup.clients) {
+    fn tried(&mut self, wish: Wish, outcome: Outcome, retry_after: Micros) {
+        match wish.next(self.now, outcome, retry_after, &self.setup.clients) {
             Next::TryAgain(at) => self.agenda.set(at, Event::Again(Box::new(wish))),
             Next::End(outcome) => self.tally.ended(wish.asked, self.now, wish.group, wish.set, outcome),
         }
@@ -309,7 +309,7 @@
     }
 
     /// A final answer of a router.
-    fn answer(&mut self, number: u64, how: Final, hold_off: Micros) {
+    fn answer(&mut self, number: u64, how: Final, retry_after: Micros) {
         let Some(tried) = self.tries.get_mut(number).filter(|t| !t.ended) else { return };
         tried.ended = true;
         let wish = tried.wish;
@@ -320,7 +320,7 @@
             Final::Throttled => Outcome::Throttled,
             Final::Failed => Outcome::Failed,
         };
-        self.tried(wish, outcome, hold_off);
+        self.tried(wish, outcome, retry_after);
     }
 
     fn give_up(&mut self, number: u64) {
@@ -397,10 +397,10 @@
 
     fn list_told(&mut self, router: usize, sheet: &Sheet) {
         let ahead = self.members.clock_ahead(router);
-        let entries: Vec<Entry> = sheet
+        let entries: Vec<MemberEntry> = sheet
             .rows
             .iter()
-            .map(|row| Entry {
+            .map(|row| MemberEntry {
                 node: self.names[row.node].clone(),
                 zone: Id::from(self.setup.plan.zones[self.members.zone_of(row.node)].as_str()),
                 machine: Id::from("machine"),
@@ -448,13 +448,15 @@
                     self.dispatch(router, number, node, limit * 100, micros(until));
                 }
             }
-            Decision::Throttle { command, hold_off } => {
-                number(&command).into_iter().for_each(|n| self.answer(n, Final::Throttled, hold_off * 100));
+            Decision::Throttle { command, retry_after } => {
+                number(&command)
+                    .into_iter()
+                    .for_each(|n| self.answer(n, Final::Throttled, retry_after * 100));
             }
             Decision::Fail { command } => {
                 number(&command).into_iter().for_each(|n| self.answer(n, Final::Failed, 0));
             }
-            Decision::CallOff { command, dispatch, written } => {
+            Decision::CancelDispatch { command, dispatch, written } => {
                 let goes = |f: &Flight| f.open && (written || f.stage != Stage::Written);
                 let flight = number(&command)
                     .and_then(|n| self.tries.get(n)?.flights.get(dispatch as usize).copied())
@@ -464,13 +466,13 @@
             Decision::Probe { node } => {
                 member_number(&node).into_iter().for_each(|n| self.send_probe(router, n))
             }
-            Decision::LetGo { node } => {
+            Decision::CloseIdle { node } => {
                 let idle = member_number(&node).map(|n| self.pools.take_all(router, n)).unwrap_or_default();
                 idle.into_iter().for_each(|(node, conn)| self.close(node, conn));
             }
             // Members are numbered for good here.
-            Decision::Forget { .. } => {}
-            Decision::WatchList => {
+            Decision::ForgetMember { .. } => {}
+            Decision::WatchMembers => {
                 let sheet = self.members.ask_list(router);
                 let life = self.hosts[router].life;
                 let at = self.now + if sheet.is_some() { AGENT } else { SECOND };
--- a/crates/lab/src/sim/links.rs
+++ b/crates/lab/src/sim/links.rs
@@ -1,7 +1,7 @@
 //! Dispatches and probes on their way between routers and members, and the connections that carry them.
 
 use super::*;
-use vetchkeel::{DispatchEnd, Note, ProbeEnd, Report};
+use vetchkeel::{AnswerNote, DispatchEnd, ProbeEnd, Report};
 
 impl Sim<'_> {
     fn way(&mut self, router: usize, node: usize) -> Option<Micros> {
@@ -101,10 +101,10 @@
         let (router, node, command, until) = (flight.router, flight.node, flight.command, flight.until);
         let dispatch = flight.dispatch;
         flight.work += self.setup.plan.connections.work;
-        let over = self.tries.get(command).is_none_or(|t| t.ended);
+        let command_complete = self.tries.get(command).is_none_or(|t| t.ended);
         let decider = self.hosts[router].decider.as_ref();
         let may = decider.is_some_and(|d| d.may_write(clock(self.now), &format!("{command:x}"), dispatch));
-        if over || !may || self.now > until {
+        if command_complete || !may || self.now > until {
             if let Some(flight) = self.flights.get_mut(n) {
                 flight.conn = None;
             }
@@ -211,22 +211,22 @@
         if ending == Ending::Answered {
             self.answer(command, Final::Answered, 0);
         }
-        let over = self.tries.get(command).is_none_or(|t| t.ended);
+        let command_complete = self.tries.get(command).is_none_or(|t| t.ended);
         // What members tell is told by their clocks; a router's may be ahead of them or behind.
         let ahead = self.members.clock_ahead(router);
-        let note = ended.map_or(Note::default(), |e| {
+        let note = ended.map_or(AnswerNote::default(), |e| {
             // Positions are told in whole milliseconds, rounded down, and commits up.
             let up = if e.verdict == Verdict::Answered && self.is_write(command) { 999 } else { 0 };
             let position =
                 if e.position > 0 { clock((e.position + up).div_euclid(1_000) * 1_000 - ahead) } else { 0 };
-            Note { primary: Some(e.primary), position }
+            AnswerNote { primary: Some(e.primary), position }
         });
         let end = DispatchEnd {
             dispatch,
             ending,
             took: took / 100,
             idled: idled.map(|i| i / 100),
-            over,
+            command_complete,
             note,
             report: Report::default(),
         };
--- a/crates/lab/src/told.rs
+++ b/crates/lab/src/told.rs
@@ -1,7 +1,7 @@
 //! The settings a router starts with, as the platform would tell them.
 
 use crate::setup::Setup;
-use vetchkeel::Told;
+use vetchkeel::SettingValues;
 use vetchkeel_emulated::{Access, Checks, Effect, ListMode, Micros};
 
 fn ms(time: Micros) -> String {
@@ -9,9 +9,9 @@
 }
 
 /// Names to values, as the decision module reads them.
-pub fn told(setup: &Setup, router: usize) -> Told {
+pub fn told(setup: &Setup, router: usize) -> SettingValues {
     let (plan, permits) = (&setup.plan, &setup.permits);
-    let mut told = Told::new();
+    let mut told = SettingValues::new();
     let mut tell = |name: &str, value: String| {
         told.insert(name.to_owned(), value);
     };
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// The limit for each log statement. Enough to see what happens; no service depends on it.
-pub const LINES_A_SECOND: u32 = 5;
+pub const LINES_PER_SECOND: u32 = 5;
 /// The size of a write that a writable pipe accepts atomically (`PIPE_BUF`). Longer lines are truncated.
 const MAX_LINE_BYTES: usize = 4_096;
 /// The maximum number of `poll` calls when signals interrupt them.
@@ -106,10 +106,10 @@
     std::panic::set_hook(Box::new(|panic| write_with_time(format_args!("{panic}"))));
 }
 
-/// Logs a line, limited to `LINES_A_SECOND` for each log statement.
+/// Logs a line, limited to `LINES_PER_SECOND` for each log statement.
 #[macro_export]
 macro_rules! log {
-    ($($part:tt)*) => { $crate::log_up_to!($crate::LINES_A_SECOND, $($part)*) };
+    ($($part:tt)*) => { $crate::log_up_to!($crate::LINES_PER_SECOND, $($part)*) };
 }
 
 /// Logs a line, limited to `$limit` lines a second for this log statement.
--- a/crates/log/src/tests.rs
+++ b/crates/log/src/tests.rs
@@ -3,7 +3,7 @@
 
 #[rstest]
 fn lines_beyond_the_limit_are_suppressed_and_counted() {
-    let limiter = RateLimiter::new(LINES_A_SECOND);
+    let limiter = RateLimiter::new(LINES_PER_SECOND);
     let first: Vec<Option<u32>> = (0..8).map(|_| limiter.admit_in(3)).collect();
     assert_eq!(first, [Some(0), Some(0), Some(0), Some(0), Some(0), None, None, None]);
     assert_eq!((limiter.admit_in(4), limiter.admit_in(4)), (Some(3), Some(0)));
--- a/crates/router/src/commands.rs
+++ b/crates/router/src/commands.rs
@@ -10,8 +10,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use vetchkeel::{
-    Command, DataNeed, Decision, DispatchEnd, Ending, Entry, Event, Id, Note, ProbeEnd, Report, Router,
-    Tenths, Told, Written,
+    AnswerNote, Command, DataNeed, Decision, DispatchEnd, Ending, Event, Id, MemberEntry, ProbeEnd, Report,
+    Router, SettingValues, Tenths, Written,
 };
 use vetchkeel_log::{log, log_trace, log_up_to};
 use vetchkeel_pgwire as pgwire;
@@ -50,7 +50,7 @@
         /// When the dispatch was begun: everything in its response was sent after this time.
         asked: Tenths,
         idled: Option<Tenths>,
-        note: Note,
+        note: AnswerNote,
         report: Report,
         answer: Vec<u8>,
     },
@@ -64,7 +64,7 @@
         node: Id,
         ending: Ending,
         asked: Tenths,
-        note: Note,
+        note: AnswerNote,
         report: Report,
     },
 }
@@ -95,7 +95,7 @@
 type Rejection = (&'static str, String);
 
 impl Commands {
-    pub fn start(told: &Told, seed: u64, now: Tenths) -> Result<Commands, String> {
+    pub fn start(told: &SettingValues, seed: u64, now: Tenths) -> Result<Commands, String> {
         let (table, by_id) = (SlotMap::with_key(), BTreeMap::new());
         let router = Router::start(told.clone(), seed, now)?;
         let (groups, customers, sessions) = (BTreeSet::new(), BTreeSet::new(), false);
@@ -105,14 +105,14 @@
     }
 
     /// Applies new settings to commands that arrive from now on. On error nothing changes.
-    pub fn reconfigure(&mut self, told: &Told) -> Result<(), String> {
+    pub fn reconfigure(&mut self, told: &SettingValues) -> Result<(), String> {
         self.router.reconfigure(told.clone())?;
         self.apply_settings(told);
         Ok(())
     }
 
-    fn apply_settings(&mut self, told: &Told) {
-        let names = |list| vetchkeel_settings::names(told, list).cloned().collect();
+    fn apply_settings(&mut self, told: &SettingValues) {
+        let names = |list| vetchkeel_settings::list_names(told, list).cloned().collect();
         (self.groups, self.customers) = (names("request_classes"), names("projects"));
         let reads = told.get("family_info.class_read");
         self.sessions = reads.is_some_and(|r| r.split(',').any(|r| r == "session"));
@@ -156,7 +156,7 @@
     }
 
     /// The outcome of an attempt for its command: an answer whose data may be too old becomes `TooOld`.
-    fn effective_ending(&self, id: &Id, dispatch: u32, ending: Ending, note: Note) -> Ending {
+    fn effective_ending(&self, id: &Id, dispatch: u32, ending: Ending, note: AnswerNote) -> Ending {
         let old = ending == Ending::Answered && !self.router.may_serve(id, dispatch, note);
         if old { Ending::TooOld } else { ending }
     }
@@ -298,7 +298,7 @@
         }
     }
 
-    pub fn members_changed(&mut self, whole: bool, entries: &[Entry]) {
+    pub fn members_changed(&mut self, whole: bool, entries: &[MemberEntry]) {
         self.commands.router.members_changed(self.now, whole, entries);
     }
 
@@ -348,8 +348,8 @@
                         let end = Outcome::Answered(answer.len());
                         self.capture.end_record(self.now, &entry.begun, entry.dispatches, end);
                     }
-                    let over = entry.client.is_none();
-                    let end = DispatchEnd { dispatch, ending, took, idled, over, note, report };
+                    let command_complete = entry.client.is_none();
+                    let end = DispatchEnd { dispatch, ending, took, idled, command_complete, note, report };
                     self.commands.router.dispatch_ended(self.now, &entry.id, end);
                     self.forget(key);
                     if let Some(client) = client {
@@ -365,7 +365,7 @@
     /// it if the margin is small.
     fn log_data_age(&mut self, id: &Id, dispatch: u32, node: &Id) {
         let Some(age) = self.commands.router.data_age(self.now, id, dispatch) else { return };
-        let spare = age.spare();
+        let spare = age.margin();
         let ms = |tenths: Tenths| tenths as f64 / 10.0;
         if spare < LOW_FRESHNESS_MARGIN {
             self.counters.freshness.little_to_spare += 1;
@@ -414,20 +414,20 @@
             Event::State { node, from, to, reason } => {
                 log_up_to!(STATE_LOG_LINES, "node {node}: {from:?} to {to:?}: {reason:?}");
             }
-            Event::OldRole { node, age } => {
+            Event::StaleRoleClaim { node, age } => {
                 log!(
                     "node {node}: ignored a primary role from an answer requested {} ms ago: too old",
                     age / 10
                 );
             }
-            Event::Clock { offset, node } => {
+            Event::ClockOffset { offset, node } => {
                 self.counters.freshness.clock_moved += 1;
                 let ahead = offset as f64 / 10.0;
                 log!(
                     "estimated the members' clock to be {ahead} ms ahead of the local clock, from a report of {node}"
                 );
             }
-            Event::ReportFromBefore { node, age } => {
+            Event::StaleReport { node, age } => {
                 self.counters.freshness.reports_from_before += 1;
                 log!(
                     "node {node}: its report of {} ms ago predates its failure: it is still considered failed",
@@ -450,8 +450,8 @@
                 let work = Work::Dispatch(key, number);
                 self.begin_work(&node, work, statement, self.now + limit.max(0), until);
             }
-            Decision::Throttle { command, hold_off } => {
-                let detail = (hold_off > 0).then(|| (hold_off / 10).max(1).to_string());
+            Decision::Throttle { command, retry_after } => {
+                let detail = (retry_after > 0).then(|| (retry_after / 10).max(1).to_string());
                 let mut answer = Vec::new();
                 pgwire::error(
                     &mut answer,
@@ -471,17 +471,17 @@
                     self.counters.failed += 1;
                 }
             }
-            Decision::CallOff { command, dispatch, written } => {
+            Decision::CancelDispatch { command, dispatch, written } => {
                 if let Some(&key) = self.commands.by_id.get(&command) {
                     self.call_off(key, dispatch, written);
                 }
             }
             Decision::Probe { node } => self.probe(&node),
-            Decision::LetGo { node } => self.close_idle_conns(&node),
+            Decision::CloseIdle { node } => self.close_idle_conns(&node),
             // Danger: a member that was listed again in the same round would lose its new address.
-            Decision::Forget { node } if self.commands.router.knows(&node) => {}
-            Decision::Forget { node } => self.forget_node(&node),
-            Decision::WatchList => self.open_watch(),
+            Decision::ForgetMember { node } if self.commands.router.knows(&node) => {}
+            Decision::ForgetMember { node } => self.forget_node(&node),
+            Decision::WatchMembers => self.open_watch(),
         }
     }
 
--- a/crates/router/src/fleet/configuration.rs
+++ b/crates/router/src/fleet/configuration.rs
@@ -12,7 +12,7 @@
 use host::{ApplyResult, Host, Status, Update};
 use std::path::Path;
 use std::time::Duration;
-use vetchkeel::Told;
+use vetchkeel::SettingValues;
 use vetchkeel_configuration::{Name, Version};
 use vetchkeel_link::Waker;
 use vetchkeel_log::log;
@@ -144,7 +144,7 @@
         self.configuration.thread = Some(thread);
     }
 
-    fn apply_version(&mut self, version: Version, settings: Told) -> Result<(), String> {
+    fn apply_version(&mut self, version: Version, settings: SettingValues) -> Result<(), String> {
         let count = settings.len();
         // Until a version is published, only the file's own settings apply.
         if !settings.is_empty() {
--- a/crates/router/src/fleet/configuration/host.rs
+++ b/crates/router/src/fleet/configuration/host.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 use std::path::PathBuf;
 use std::time::Duration;
-use vetchkeel::{Tenths, Told};
+use vetchkeel::{SettingValues, Tenths};
 use vetchkeel_configuration::{Decision, Document, Name, Notice, Subscriber, Version, whole};
 use vetchkeel_control::{Came, Carrier, found, keep};
 use vetchkeel_link::Waker;
@@ -21,7 +21,7 @@
 /// An update from the thread to the loop.
 pub enum Update {
     /// A version to apply between two turns. The loop replies with an [`ApplyResult`].
-    Apply(Version, Told),
+    Apply(Version, SettingValues),
     /// Clients may be served from now on.
     Serve,
     Status(Status),
--- a/crates/router/src/invariants.rs
+++ b/crates/router/src/invariants.rs
@@ -3,7 +3,7 @@
 
 use crate::reasons::Tally;
 use std::collections::BTreeMap;
-use vetchkeel::{Ending, Id, Tenths, Told};
+use vetchkeel::{Ending, Id, SettingValues, Tenths};
 
 /// Tolerances from the operators' documentation: between reading the clock and a write (`CLOCK_SLACK`), for the time
 /// limit told to a member (`LIMIT_SLACK`), and for a late answer (`MAX_LATENESS`).
@@ -74,13 +74,13 @@
 }
 
 impl Invariants {
-    pub fn new(told: &Told) -> Invariants {
+    pub fn new(told: &SettingValues) -> Invariants {
         let mut invariants = Invariants::default();
         invariants.reconfigure(told);
         invariants
     }
 
-    pub fn reconfigure(&mut self, told: &Told) {
+    pub fn reconfigure(&mut self, told: &SettingValues) {
         let text = |name: &str| told.get(name).map(String::as_str);
         let tenths = |name: &str, or: f64| {
             (text(name).and_then(|v| v.parse::<f64>().ok()).unwrap_or(or) * 10.0) as Tenths
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -44,7 +44,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use transient::is_local_failure;
-use vetchkeel::{Tenths, Told};
+use vetchkeel::{SettingValues, Tenths};
 use vetchkeel_log::log;
 use watch::Watch;
 
@@ -115,16 +115,16 @@
     /// The longest client timeout in the settings.
     longest_client_timeout: Tenths,
     /// The settings in force.
-    told: Told,
+    told: SettingValues,
     /// Configuration values that take effect at a start only.
     startup_only: BTreeMap<&'static str, serde_json::Value>,
 }
 
-fn tenths(told: &Told, name: &str, or: f64) -> Tenths {
+fn tenths(told: &SettingValues, name: &str, or: f64) -> Tenths {
     (told.get(name).and_then(|v| v.parse().ok()).unwrap_or(or) * 10.0) as Tenths
 }
 
-fn longest_client_timeout(told: &Told) -> Tenths {
+fn longest_client_timeout(told: &SettingValues) -> Tenths {
     let names = (0..).map(|i| format!("request_classes.{i}.hard_limit_ms"));
     names.take_while(|n| told.contains_key(n)).map(|n| tenths(told, &n, 0.0)).max().unwrap_or(0)
 }
@@ -335,8 +335,8 @@
 
     /// Applies new settings from now on, all of them or none; called between two rounds of the event loop. The error is
     /// one line that names what was expected. Open commands keep the settings with which they arrived.
-    pub fn take_settings(&mut self, told: Told) -> Result<(), String> {
-        vetchkeel_settings::check(&told)?;
+    pub fn take_settings(&mut self, told: SettingValues) -> Result<(), String> {
+        vetchkeel_settings::check_client_names(&told)?;
         let refused = |why| format!("expected settings that a router can serve under: {why}");
         self.commands.reconfigure(&told).map_err(refused)?;
         self.nodes.reconfigure(&told);
--- a/crates/router/src/nodes.rs
+++ b/crates/router/src/nodes.rs
@@ -25,7 +25,7 @@
 use std::io::{self, ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
-use vetchkeel::{Ending, Id, Tenths, Told};
+use vetchkeel::{Ending, Id, SettingValues, Tenths};
 use vetchkeel_log::log;
 use vetchkeel_pgwire as pgwire;
 
@@ -89,7 +89,7 @@
 }
 
 impl Nodes {
-    pub fn new(settings: &Told) -> Nodes {
+    pub fn new(settings: &SettingValues) -> Nodes {
         let (members, conns, writable) = (BTreeMap::new(), SlotMap::with_key(), Vec::new());
         let (dial_limit, configured_idle_limit, idle_limit) = (0, 0, Tenths::MAX);
         let probe = Rc::new(Statement { wait_at: 0..0, text: Vec::new() });
@@ -110,7 +110,7 @@
 
     /// Applies new settings to work that begins from now on. A pooled connection that has exceeded the new idle limit is
     /// closed when it is next considered for reuse.
-    pub fn reconfigure(&mut self, settings: &Told) {
+    pub fn reconfigure(&mut self, settings: &SettingValues) {
         let text = |name: &str| settings.get(name).map(String::as_str).unwrap_or_default();
         let probe = if text("report.via") == "probe" { "SHOW load" } else { "SELECT 1" };
         let statement = probe.as_bytes().to_vec();
--- a/crates/router/src/nodes/answer.rs
+++ b/crates/router/src/nodes/answer.rs
@@ -2,7 +2,7 @@
 
 use crate::ending::{Cause, Failure};
 use std::ops::Range;
-use vetchkeel::{Note, Report, Tenths};
+use vetchkeel::{AnswerNote, Report, Tenths};
 use vetchkeel_pgwire as pgwire;
 
 /// What the member has answered so far.
@@ -19,7 +19,7 @@
     pub(super) complete: bool,
     pub(super) code: Option<[u8; 5]>,
     pub(super) garbled: bool,
-    pub(super) note: Note,
+    pub(super) note: AnswerNote,
     pub(super) report: Report,
 }
 
@@ -107,9 +107,13 @@
 }
 
 /// Discards the role and position that a malformed answer reports.
-pub(super) fn trusted(result: &Result<(), Failure>, note: Note, report: Report) -> (Note, Report) {
+pub(super) fn trusted(
+    result: &Result<(), Failure>,
+    note: AnswerNote,
+    report: Report,
+) -> (AnswerNote, Report) {
     match result {
-        Err(Failure { cause: Cause::Garbled, .. }) => (Note::default(), Report::default()),
+        Err(Failure { cause: Cause::Garbled, .. }) => (AnswerNote::default(), Report::default()),
         _ => (note, report),
     }
 }
--- a/crates/router/src/nodes/answer/tests.rs
+++ b/crates/router/src/nodes/answer/tests.rs
@@ -15,7 +15,7 @@
     #[case] primary: Option<bool>,
 ) {
     let result = result.map_err(|cause| Failure { reached: Reached::Written, cause });
-    let note = Note { primary: Some(true), position: NOW };
+    let note = AnswerNote { primary: Some(true), position: NOW };
     let report = Report { primary: Some(true), position: Some(NOW) };
     let (note, report) = trusted(&result, note, report);
     assert_eq!((note.position, note.primary), (applied, primary));
--- a/crates/router/src/startup.rs
+++ b/crates/router/src/startup.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use vetchkeel::Told;
+use vetchkeel::SettingValues;
 use vetchkeel_discovery::{Sheet, sheet_of};
 
 pub struct Start {
@@ -15,7 +15,7 @@
     pub sockets: usize,
     /// Memory limit in bytes.
     pub memory: usize,
-    pub told: Told,
+    pub told: SettingValues,
     /// The member list that this router had most recently.
     pub known: Option<Sheet>,
     /// Configuration fields, as in the file, that take effect at a start only.
@@ -40,8 +40,8 @@
         found.parse().map_err(|_| format!("expected an address and port for '{name}', found '{found}'"))
     };
     let settings = config["settings"].as_object().ok_or("expected an object under 'settings'")?;
-    let told = vetchkeel_settings::flattened(settings);
-    vetchkeel_settings::check(&told)?;
+    let told = vetchkeel_settings::flatten_settings(settings);
+    vetchkeel_settings::check_client_names(&told)?;
     let seed = match &config["seed"] {
         Value::String(s) => {
             u64::from_str_radix(s, 16).map_err(|_| format!("expected a hex 'seed', found '{s}'"))?
--- a/crates/router/src/watch.rs
+++ b/crates/router/src/watch.rs
@@ -10,7 +10,7 @@
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
-use vetchkeel::{Entry, Phase, Tenths};
+use vetchkeel::{MemberEntry, Phase, Tenths};
 use vetchkeel_discovery::{Sheet, Watched, ask, sheet};
 use vetchkeel_log::log;
 
@@ -389,7 +389,7 @@
             }
             self.update_member(&row.entry.node, row.address, row.entry.started, gone);
         }
-        let entries: Vec<Entry> = sheet.rows.into_iter().map(|r| r.entry).collect();
+        let entries: Vec<MemberEntry> = sheet.rows.into_iter().map(|r| r.entry).collect();
         self.members_changed(sheet.whole, &entries);
     }
 }
--- a/crates/scale/src/simulated/agents.rs
+++ b/crates/scale/src/simulated/agents.rs
@@ -8,7 +8,7 @@
 use crate::tally::Duty;
 use crate::{SECOND, Tenths};
 use std::rc::Rc;
-use vetchkeel::{Entry, Phase};
+use vetchkeel::{MemberEntry, Phase};
 use vetchkeel_discovery::Sheet;
 use vetchkeel_membership::Name;
 
@@ -133,7 +133,7 @@
         let now = self.now;
         let Some(hollow) = &mut self.routers[router] else { return };
         hollow.watch.told(sheet);
-        let entries: Vec<Entry> = sheet.rows.iter().map(|row| row.entry.clone()).collect();
+        let entries: Vec<MemberEntry> = sheet.rows.iter().map(|row| row.entry.clone()).collect();
         self.costs.of(Role::Module, || hollow.list_told(now, sheet.whole, &entries));
         if let Some(judgements) = &mut hollow.judgements {
             for entry in entries.iter().filter(|entry| entry.phase == Phase::Up && entry.started > 0) {
--- a/crates/scale/src/simulated/control.rs
+++ b/crates/scale/src/simulated/control.rs
@@ -393,7 +393,7 @@
         let subscriber = &mut side.subscriber;
         let number = document.get(MARK).and_then(|mark| mark.parse().ok()).unwrap_or(0);
         let good = self.costs.of(Role::Configuration, || {
-            let mut told: vetchkeel::Told = document.clone().into_map();
+            let mut told: vetchkeel::SettingValues = document.clone().into_map();
             told.insert("me".into(), router.to_string());
             told.insert("balancers".into(), routers.to_string());
             let read = vetchkeel::Router::start(told, 0, now).map(|_| ());
--- a/crates/scale/src/simulated/hollow.rs
+++ b/crates/scale/src/simulated/hollow.rs
@@ -8,7 +8,7 @@
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
-use vetchkeel::{Decision, Entry};
+use vetchkeel::{Decision, MemberEntry};
 use vetchkeel_membership::{Instance, Membership, Name, Plan, Start};
 use vetchkeel_shared::counts::Counts;
 use vetchkeel_shared::judgements::{Judgements, Part, Rules};
@@ -89,7 +89,7 @@
         })
     }
 
-    pub(super) fn list_told(&mut self, now: Tenths, whole: bool, entries: &[Entry]) {
+    pub(super) fn list_told(&mut self, now: Tenths, whole: bool, entries: &[MemberEntry]) {
         match &mut self.table {
             Table::Module(module) => module.members_changed(now, whole, entries),
             Table::Bare { fails, .. } => *fails = 0,
@@ -113,7 +113,7 @@
         match &mut self.table {
             Table::Module(module) => {
                 while let Some(decision) = module.next_decision(now) {
-                    wants |= decision == Decision::WatchList;
+                    wants |= decision == Decision::WatchMembers;
                 }
             }
             Table::Bare { ask_at, .. } => {
--- a/crates/scale/src/told.rs
+++ b/crates/scale/src/told.rs
@@ -1,9 +1,9 @@
 //! Settings of a router without clients, as the platform would tell them: one command group of each kind.
 
 use serde_json::{Map, Value, json};
-use vetchkeel::Told;
+use vetchkeel::SettingValues;
 
-pub(crate) fn told(router: usize, routers: usize) -> Told {
+pub(crate) fn told(router: usize, routers: usize) -> SettingValues {
     let pairs = [
         ("me", router.to_string()),
         ("balancers", routers.to_string()),
@@ -28,7 +28,7 @@
 }
 
 /// The same as JSON: lists as lists, everything else as its text.
-pub(crate) fn settings(told: &Told) -> Value {
+pub(crate) fn settings(told: &SettingValues) -> Value {
     let value = |text: &str| -> Value {
         if text.contains(',') { text.split(',').map(str::to_owned).collect() } else { json!(text) }
     };
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,35 +3,35 @@
 
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
-use vetchkeel::Told;
+use vetchkeel::SettingValues;
 use vetchkeel_pgwire::said;
 
 /// Lists whose entries clients refer to by name.
 const CLIENT_NAMED_LISTS: [&str; 2] = ["request_classes", "projects"];
 
 /// The settings of a JSON object as flat names and values.
-pub fn flattened(settings: &Map<String, Value>) -> Told {
-    let mut values = Told::new();
+pub fn flatten_settings(settings: &Map<String, Value>) -> SettingValues {
+    let mut values = SettingValues::new();
     settings.iter().for_each(|(name, value)| flatten(name, value, &mut values));
     values
 }
 
 /// Checks that the names in the lists that clients refer to are distinct and can be read from a statement's comment.
 /// The error is one line that states what was expected.
-pub fn check(values: &Told) -> Result<(), String> {
+pub fn check_client_names(values: &SettingValues) -> Result<(), String> {
     CLIENT_NAMED_LISTS.into_iter().try_for_each(|list| check_names(list, values))
 }
 
 /// The names of the command groups or customers in this list.
-pub fn names<'a>(values: &'a Told, list: &str) -> impl Iterator<Item = &'a String> {
+pub fn list_names<'a>(values: &'a SettingValues, list: &str) -> impl Iterator<Item = &'a String> {
     (0..).map_while(move |i| values.get(&format!("{list}.{i}.name")))
 }
 
 /// Checks that each entry of a list has a distinct name that clients can write in a statement's comment. Otherwise a
 /// command would get the effect, deadline or share of another entry.
-fn check_names(list: &str, values: &Told) -> Result<(), String> {
+fn check_names(list: &str, values: &SettingValues) -> Result<(), String> {
     let mut indexes = BTreeMap::new();
-    for (index, name) in names(values, list).enumerate() {
+    for (index, name) in list_names(values, list).enumerate() {
         if let Some(first) = indexes.insert(name, index) {
             return Err(format!(
                 "expected another name for each of '{list}', found {name:?} at {first} and {index}"
@@ -51,7 +51,7 @@
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
 
-fn flatten(name: &str, value: &Value, values: &mut Told) {
+fn flatten(name: &str, value: &Value, values: &mut SettingValues) {
     match value {
         Value::Null => {}
         Value::Object(fields) => fields.iter().for_each(|(n, v)| flatten(&format!("{name}.{n}"), v, values)),
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use rstest::rstest;
 
-fn flattened_json(text: &str) -> Told {
-    flattened(serde_json::from_str::<Value>(text).expect("JSON").as_object().expect("an object"))
+fn flattened_json(text: &str) -> SettingValues {
+    flatten_settings(serde_json::from_str::<Value>(text).expect("JSON").as_object().expect("an object"))
 }
 
 #[rstest]
@@ -30,6 +30,6 @@
 #[case::duplicate(r#"{"request_classes":[{"name":"a"},{"name":"a"}]}"#, "found \"a\" at 0 and 1")]
 #[case::unreadable_in_a_comment(r#"{"projects":[{"name":"a*/"}]}"#, "'projects', found \"a*/\" at 0")]
 fn ambiguous_names_are_rejected(#[case] text: &str, #[case] found: &str) {
-    let why = check(&flattened_json(text)).expect_err("rejected");
+    let why = check_client_names(&flattened_json(text)).expect_err("rejected");
     assert!(why.starts_with("expected ") && why.contains(found), "{why}");
 }
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -5,13 +5,14 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::str::{FromStr, Split};
 use vetchkeel::{
-    Command, Decision, DispatchEnd, Ending, Entry, Id, Note, Phase, ProbeEnd, Report, Router, Tenths, Told,
+    AnswerNote, Command, Decision, DispatchEnd, Ending, Id, MemberEntry, Phase, ProbeEnd, Report, Router,
+    SettingValues, Tenths,
 };
 
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Instance>,
-    member_lists: BTreeMap<u32, Vec<Entry>>,
+    member_lists: BTreeMap<u32, Vec<MemberEntry>>,
     line: usize,
 }
 
@@ -167,7 +168,7 @@
     ) -> Result<Option<String>, String> {
         if keyword == "begin" {
             let seed: u64 = fields.number("the seed")?;
-            let mut settings = Told::new();
+            let mut settings = SettingValues::new();
             for pair in fields.parts.by_ref().filter(|p| !p.is_empty() && *p != "-") {
                 let (name, value) =
                     pair.split_once('=').ok_or_else(|| format!("expected name=value, found '{pair}'"))?;
@@ -254,7 +255,7 @@
                 let id = fields.text("the command's id")?;
                 let dispatch: u32 = fields.number("the dispatch")?;
                 let took = fields.tenths("the delay")?.unwrap_or(0);
-                let over = fields.flag("whether the command is over")?;
+                let command_complete = fields.flag("whether the command is over")?;
                 fields.text("the node")?;
                 let note: i64 = fields
                     .optional("the note")?
@@ -266,11 +267,11 @@
                 // Positions are sent in whole milliseconds after `position_origin`, which is itself rounded down.
                 let position = if note >= 4 { *position_origin + (note / 4) * 10 } else { 0 };
                 let primary = [None, Some(true), Some(false), None][(note % 4).unsigned_abs() as usize];
-                let note = Note { primary, position };
+                let note = AnswerNote { primary, position };
                 router.dispatch_ended(
                     now,
                     id,
-                    DispatchEnd { dispatch, ending, took, idled: None, over, note, report },
+                    DispatchEnd { dispatch, ending, took, idled: None, command_complete, note, report },
                 );
             }
             "probe_done" => {
@@ -319,7 +320,7 @@
     text.or_else(|| cause.downcast_ref::<&str>().map(|t| (*t).to_owned())).unwrap_or_else(|| "panic".into())
 }
 
-fn parse_row(line: &str) -> Result<Entry, String> {
+fn parse_row(line: &str) -> Result<MemberEntry, String> {
     let mut fields = Fields { parts: line.split('\t') };
     let keyword = fields.text("a row")?;
     if keyword != "row" {
@@ -339,7 +340,7 @@
     fields.text("the scale")?;
     let started = fields.tenths("the start time")?.unwrap_or(0);
     let primary = fields.optional("the writer")?.is_some_and(|w| w.parse::<f64>().is_ok_and(|w| w > 0.0));
-    Ok(Entry { node, zone, machine, set, phase, started, primary })
+    Ok(MemberEntry { node, zone, machine, set, phase, started, primary })
 }
 
 fn parse_ending(text: &str) -> Result<Ending, String> {
@@ -380,20 +381,20 @@
         Decision::Dispatch { command, node, limit, .. } => {
             writeln!(reply, "place\t{instance_id}\t{command}\t{node}\t{:.1}", *limit as f64 / 10.0)
         }
-        Decision::Throttle { command, hold_off } => {
-            writeln!(reply, "refuse\t{instance_id}\t{command}\t{:.1}", *hold_off as f64 / 10.0)
+        Decision::Throttle { command, retry_after } => {
+            writeln!(reply, "refuse\t{instance_id}\t{command}\t{:.1}", *retry_after as f64 / 10.0)
         }
         Decision::Fail { command } => writeln!(reply, "end_failed\t{instance_id}\t{command}"),
         // On this wire a dispatch is written as soon as it is decided, so there is nothing to cancel before that.
-        Decision::CallOff { written: false, .. } => Ok(()),
+        Decision::CancelDispatch { written: false, .. } => Ok(()),
         // No state is kept here for each member.
-        Decision::Forget { .. } => Ok(()),
-        Decision::CallOff { command, dispatch, .. } => {
+        Decision::ForgetMember { .. } => Ok(()),
+        Decision::CancelDispatch { command, dispatch, .. } => {
             writeln!(reply, "withdraw\t{instance_id}\t{command}\t{dispatch}")
         }
         Decision::Probe { node } => writeln!(reply, "health_check\t{instance_id}\t{node}"),
-        Decision::LetGo { node } => writeln!(reply, "close_idle\t{instance_id}\t{node}"),
-        Decision::WatchList => writeln!(reply, "track\t{instance_id}\t1"),
+        Decision::CloseIdle { node } => writeln!(reply, "close_idle\t{instance_id}\t{node}"),
+        Decision::WatchMembers => writeln!(reply, "track\t{instance_id}\t1"),
     };
     written.expect("writing to a string");
 }
--- a/crates/slopes/src/list.rs
+++ b/crates/slopes/src/list.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
-use vetchkeel::Entry;
+use vetchkeel::MemberEntry;
 use vetchkeel_discovery::{Sheet, Watched};
 
 /// Members of one set, the primary first.
@@ -69,7 +69,7 @@
     vetchkeel_discovery::sheet(value)
 }
 
-pub fn entries(sheet: Sheet) -> Vec<Entry> {
+pub fn entries(sheet: Sheet) -> Vec<MemberEntry> {
     sheet.rows.into_iter().map(|row| row.entry).collect()
 }
 
--- a/crates/slopes/src/module.rs
+++ b/crates/slopes/src/module.rs
@@ -5,7 +5,7 @@
 use crate::{allocated, processor};
 use serde_json::Value;
 use std::hint::black_box;
-use vetchkeel::{Entry, Router, Tenths, Told};
+use vetchkeel::{MemberEntry, Router, SettingValues, Tenths};
 
 /// Members listed: up to the size that decides the design.
 pub const MEMBERS: [usize; 5] = [50, 500, 1_225, 2_450, 4_900];
@@ -76,12 +76,12 @@
     }
 }
 
-fn tell(router: &mut Router, now: Tenths, whole: bool, entries: &[Entry]) {
+fn tell(router: &mut Router, now: Tenths, whole: bool, entries: &[MemberEntry]) {
     router.members_changed(now, whole, entries);
     decide_all(router, now);
 }
 
-fn one_entry(value: &Value) -> Result<Vec<Entry>, String> {
+fn one_entry(value: &Value) -> Result<Vec<MemberEntry>, String> {
     Ok(list::entries(vetchkeel_discovery::sheet_of(value)?))
 }
 
@@ -90,7 +90,7 @@
     let told = list::told(members, &places);
     let read =
         processor::spent(|| (0..READS).for_each(|_| drop(black_box(list::read(&told))))) / READS as f64;
-    let settings: Told = settings().into_iter().collect();
+    let settings: SettingValues = settings().into_iter().collect();
     let mut router = Router::start(settings, u64::from(run) + 1, 10_000)?;
     decide_all(&mut router, 10_000);
     let before = allocated::held();
--- a/src/decay.rs
+++ b/src/decay.rs
@@ -5,12 +5,12 @@
 
 /// A sum whose parts decay exponentially with age.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Decay {
+pub(crate) struct DecayingSum {
     sum: f64,
     updated_at: Tenths,
 }
 
-impl Decay {
+impl DecayingSum {
     /// The sum at `now`: each part is halved for every `half_life` since it was added.
     pub(crate) fn read(&self, now: Tenths, half_life: Tenths) -> f64 {
         self.sum * (-((now - self.updated_at).max(0) as f64) / half_life.max(1) as f64).exp2()
@@ -36,12 +36,12 @@
 
 /// A mean whose parts decay exponentially with age.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Mean {
-    sum: Decay,
-    weight: Decay,
+pub(crate) struct DecayingMean {
+    sum: DecayingSum,
+    weight: DecayingSum,
 }
 
-impl Mean {
+impl DecayingMean {
     /// The mean at `now`, with `prior` as a prior that weighs as much as two fresh parts.
     pub(crate) fn read(&self, now: Tenths, half_life: Tenths, prior: f64) -> f64 {
         (self.sum.read(now, half_life) + 2.0 * prior) / (self.weight.read(now, half_life) + 2.0)
@@ -55,9 +55,9 @@
 
 /// How often an event happens, by age: one bucket of decaying sums for each power of two of the age.
 #[derive(Debug, Default)]
-pub(crate) struct ByAge(BTreeMap<u32, (Decay, Decay)>);
+pub(crate) struct FrequencyByAge(BTreeMap<u32, (DecayingSum, DecayingSum)>);
 
-impl ByAge {
+impl FrequencyByAge {
     pub(crate) fn add(&mut self, now: Tenths, half_life: Tenths, age: Tenths, occurred: bool) {
         let (occurrences, cases) = self.0.entry(age.max(1).ilog2()).or_default();
         occurrences.add(now, half_life, occurred as u8 as f64);
@@ -66,14 +66,14 @@
 
     /// The lowest age bucket in which the event happens in at least this share (`min_share`) of all cases, and at least
     /// `min_count` times. Returns the lower end of the bucket.
-    pub(crate) fn first(
+    pub(crate) fn first_frequent(
         &self,
         now: Tenths,
         half_life: Tenths,
         min_share: f64,
         min_count: f64,
     ) -> Option<Tenths> {
-        let is_frequent = |(occurrences, cases): &(Decay, Decay)| {
+        let is_frequent = |(occurrences, cases): &(DecayingSum, DecayingSum)| {
             let occurrences = occurrences.read(now, half_life);
             occurrences >= min_count && occurrences >= min_share * cases.read(now, half_life)
         };
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -4,12 +4,12 @@
 //! After each event the host calls `next_decision(now)` until it returns `None`, and calls it again at
 //! `wake_at()` or after the next event. The reasons for the policy are in `docs/design.md`.
 
-use crate::decay::{ByAge, Decay, Mean};
+use crate::decay::{DecayingMean, DecayingSum, FrequencyByAge};
 use crate::interface::*;
-use crate::member_clock::{Evidence, MemberClock};
-use crate::roles::Standing;
+use crate::member_clock::{MemberClock, OffsetEvidence};
+use crate::roles::ClaimStanding;
 use crate::state::*;
-use crate::told::{command_groups, is, numbers, pick, shares, tenths};
+use crate::told::{check_numbers, command_groups, customer_shares, setting_is, setting_or, tenths_from_ms};
 use evidence::RoleClaim;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -98,23 +98,23 @@
 #[derive(Default)]
 pub struct Router {
     /// The settings in force.
-    told: Told,
+    settings: SettingValues,
     groups: CommandGroups,
     /// Places of the command groups, by benefit per work, highest first; groups that only open commands still
     /// use stand in front.
     order: Vec<usize>,
     /// Each customer's share of the traffic, with a decaying count of its recent commands.
-    shares: BTreeMap<String, (f64, Decay)>,
+    shares: BTreeMap<String, (f64, DecayingSum)>,
     /// Decaying count of the recent commands of all customers.
-    all_traffic: Decay,
-    rng: Chance,
+    all_traffic: DecayingSum,
+    rng: RandomSource,
     /// The known members, by slot; `nodes` finds a slot by member id and `vacant` holds the unused ones.
     members: Vec<Member>,
     nodes: BTreeMap<Id, Node>,
     vacant: Vec<Node>,
     sets: BTreeMap<i64, MemberSet>,
     /// Open commands by key; `by_id` finds a key by command id.
-    open: BTreeMap<u64, Open>,
+    open: BTreeMap<u64, OpenCommand>,
     by_id: BTreeMap<Id, u64>,
     next_key: u64,
     /// Tasks by the time at which they are due.
@@ -126,14 +126,14 @@
     /// Members whose idle connections are released if connections are scarce.
     used: BTreeSet<Node>,
     /// Decaying count of signs that members accept few connections; above 1, idle connections are released.
-    scarce: Decay,
+    scarce: DecayingSum,
     sessions: Sessions,
     clock: MemberClock,
     /// The clock offset in the last `Event::Clock`.
     reported_offset: Tenths,
     events: Vec<Event>,
     /// How often sends on kept connections fail at once, by idle time.
-    breaks_by_idle_time: ByAge,
+    breaks_by_idle_time: FrequencyByAge,
     /// Failed requests for the member list in a row.
     list_fails: u32,
     /// Whether members check the age of their data themselves (`family_info.server_checks`).
@@ -142,9 +142,9 @@
     /// smallest window over all routers.
     least: f64,
     /// Decaying sum of the work of answered dispatches. A command counts with its response target as work.
-    done_work: Decay,
+    done_work: DecayingSum,
     /// Decaying sum of the work of commands that arrived for paced sets.
-    asked_work: Decay,
+    asked_work: DecayingSum,
     /// Pace: the work admitted in relation to the work requested. Below 1, commands wait for `allowance`.
     pace: f64,
     /// Work that the pace admits at present.
@@ -152,12 +152,12 @@
     paced_at: Tenths,
     began: Tenths,
     /// Mean ratio of latency to response target over all answers, capped at 1.
-    slow: Mean,
+    slow: DecayingMean,
     /// Share of the dispatches after an error that were answered.
-    cured: Mean,
+    cured: DecayingMean,
     /// Decaying sums of the work of all reads that a replica may serve, and of the long ones among them.
-    read_work: Decay,
-    long_work: Decay,
+    read_work: DecayingSum,
+    long_work: DecayingSum,
     /// Smallest cap of a work credit: three times the shortest response target in use.
     cheap: Tenths,
     /// The shortest response target of the command groups that wait for a primary.
@@ -172,9 +172,10 @@
 
 impl Router {
     /// Starts a router with these settings; `seed` determines all its random choices.
-    pub fn start(settings: Told, seed: u64, now: Tenths) -> Result<Router, String> {
-        let watch = (!is(&settings, "membership_mode", "automatic")).then_some((now, Task::Watch));
-        let mut router = Router { rng: Chance::from(seed), pace: PACE_MAX, ..Router::default() };
+    pub fn start(settings: SettingValues, seed: u64, now: Tenths) -> Result<Router, String> {
+        let watch =
+            (!setting_is(&settings, "membership_mode", "automatic")).then_some((now, Task::WatchMembers));
+        let mut router = Router { rng: RandomSource::from(seed), pace: PACE_MAX, ..Router::default() };
         (router.paced_at, router.began) = (now, now);
         router.agenda.extend(watch);
         router.reconfigure(settings)?;
@@ -184,29 +185,32 @@
     /// Declares that the host's time is the members' own time, as in a simulator, so no wall-clock offset has
     /// to be estimated.
     pub fn shares_clock(&mut self) {
-        self.clock.is_theirs();
+        self.clock.use_exact_time();
     }
 
     /// Puts new settings into force as a whole; on an error the old settings stay. Danger: a command that
     /// arrived as replayable must keep that property until it ends, so an open command keeps its group as it
     /// was at arrival.
-    pub fn reconfigure(&mut self, settings: Told) -> Result<(), String> {
+    pub fn reconfigure(&mut self, settings: SettingValues) -> Result<(), String> {
         // Defaults where the settings say nothing are the cautious ones: primary only, and never sent twice.
         let mut groups = command_groups(&settings, Access::Write, Effect::Mutating)?;
-        let (routers, tick) =
-            (pick(&settings, "balancers", 1.0)?, tenths(pick(&settings, "tick_ms", 1.0)?).max(1));
-        let mut shares = numbers(&settings).and_then(|()| shares(&settings))?;
-        let recent_count = |name: &String| self.shares.get(name).map_or(Decay::default(), |share| share.1);
+        let (routers, tick) = (
+            setting_or(&settings, "balancers", 1.0)?,
+            tenths_from_ms(setting_or(&settings, "tick_ms", 1.0)?).max(1),
+        );
+        let mut shares = check_numbers(&settings).and_then(|()| customer_shares(&settings))?;
+        let recent_count =
+            |name: &String| self.shares.get(name).map_or(DecayingSum::default(), |share| share.1);
         shares.iter_mut().for_each(|(name, share)| share.1 = recent_count(name));
-        (self.told, self.tick, self.shares) = (settings, tick, shares);
+        (self.settings, self.tick, self.shares) = (settings, tick, shares);
         // Danger: without benefit for late answers, a client's retry is served for nothing and displaces
         // first tries. Throttled clients are then kept away for the longest time that clients honour.
-        let max_hold_off = tenths(self.number_setting("permissions.max_retry_after_ms", 0.0));
+        let max_hold_off = tenths_from_ms(self.number_setting("permissions.max_retry_after_ms", 0.0));
         for (_, group) in groups.iter_mut().filter(|_| self.allows("permissions.retry_after")) {
-            group.hold_off =
+            group.retry_after =
                 if group.late_share > 0.0 { group.target } else { max_hold_off.max(group.target) };
         }
-        let mut places_in_use: BTreeSet<usize> = self.open.values().map(|c| c.kind).collect();
+        let mut places_in_use: BTreeSet<usize> = self.open.values().map(|c| c.group_slot).collect();
         self.groups.replace(groups, &places_in_use);
         let in_use = || self.groups.in_use(&places_in_use);
         let waiting_for_primary = in_use().filter(|g| matches!(g.access, Access::Write | Access::Fresh));
@@ -216,45 +220,47 @@
         self.cheap = in_use().map(|g| g.target).min().unwrap_or(0) * 3;
         // Groups that only open commands still use go first, so that the pacing order of the current groups
         // is unchanged.
-        let mut order: Vec<usize> = self.groups.named.values().copied().collect();
+        let mut order: Vec<usize> = self.groups.slots_by_name.values().copied().collect();
         places_in_use.retain(|place| !order.contains(place));
-        let density = |i: usize| self.groups.places[i].benefit / self.groups.places[i].target as f64;
+        let density = |i: usize| self.groups.slots[i].benefit / self.groups.slots[i].target as f64;
         order.sort_by(|a, b| density(*b).total_cmp(&density(*a)).then(a.cmp(b)));
         self.order = places_in_use.into_iter().chain(order).collect();
         self.primary_min_in_flight = (PRIMARY_MIN_IN_FLIGHT / routers).round();
         self.least = (WINDOW_LEAST * WINDOW_INITIAL / routers).min(WINDOW_LEAST);
-        self.node_checks = ["refuse", "wait"].iter().any(|c| is(&self.told, "family_info.server_checks", c));
+        self.node_checks =
+            ["refuse", "wait"].iter().any(|c| setting_is(&self.settings, "family_info.server_checks", c));
         self.dirty.extend(self.sets.keys());
         Ok(())
     }
 
     fn number_setting(&self, name: &str, default: f64) -> f64 {
-        pick(&self.told, name, default).unwrap_or(default)
+        setting_or(&self.settings, name, default).unwrap_or(default)
     }
 
     fn allows(&self, name: &str) -> bool {
-        is(&self.told, name, "true")
+        setting_is(&self.settings, name, "true")
     }
 
     // ---- events from the host: they update the state and decide nothing ----
 
     /// A client's command has arrived. An error means that its command group is unknown.
     pub fn command_arrived(&mut self, now: Tenths, command: Command) -> Result<(), String> {
-        let kind = *self.groups.named.get(&command.command_group).ok_or("no such command group")?;
-        let group = &self.groups.places[kind];
+        let group_slot =
+            *self.groups.slots_by_name.get(&command.command_group).ok_or("no such command group")?;
+        let group = &self.groups.slots[group_slot];
         let (timeout, target) = (now + command.time_left, now + group.target);
         // If a late answer has no benefit, the command ends at its response target.
-        let ends = if group.late_share > 0.0 { timeout } else { timeout.min(target) } - 2 * self.tick;
-        let remembered = is(&self.told, "family_info.token_mode", "remembered");
-        let needs = match (group.access, command.token_age) {
+        let deadline = if group.late_share > 0.0 { timeout } else { timeout.min(target) } - 2 * self.tick;
+        let remembered = setting_is(&self.settings, "family_info.token_mode", "remembered");
+        let required_position = match (group.access, command.token_age) {
             (Access::Session, _) if remembered => {
-                self.sessions.written(&command.session, self.clock.now(now) - SESSION_KEPT)
+                self.sessions.last_write(&command.session, self.clock.now(now) - SESSION_KEPT)
             }
             (Access::Session, Some(0)) => 0,
             (Access::Session, Some(age)) => now + 1 - age,
             // Danger: an unknown write time counts as a write just now, at the latest time that the members'
             // clock may show.
-            (Access::Session, None) => now + 1 + self.clock.ahead(now).1,
+            (Access::Session, None) => now + 1 + self.clock.offset_and_bound(now).1,
             _ => now + 1,
         };
         let work = group.target as f64;
@@ -262,7 +268,7 @@
         paced.then(|| self.asked_work.add(now, SLOW_HALF, work));
         if !matches!(group.access, Access::Write | Access::Fresh) {
             self.read_work.add(now, SHARE_HALF, work);
-            self.long_work.add(now, SHARE_HALF, if self.outlasts(kind) { work } else { 0.0 });
+            self.long_work.add(now, SHARE_HALF, if self.outlasts(group_slot) { work } else { 0.0 });
         }
         let over_share = command.customer.as_ref().is_some_and(|c| self.beyond_share(now, c));
         let rank = 2 * over_share as u8 + command.repeat as u8;
@@ -272,11 +278,23 @@
         let (id, set, session) = (command.id, command.set, command.session);
         // Danger: without this, a client waits its whole timeout for a set with no reachable member. If
         // nothing has been written by half of its time, it is throttled while it can still retry.
-        let patience = now + command.time_left / 2 - 2 * self.tick;
-        self.open
-            .insert(key, Open { id, kind, set, rank, ends, patience, needs, session, ..Open::default() });
+        let wait_until = now + command.time_left / 2 - 2 * self.tick;
+        self.open.insert(
+            key,
+            OpenCommand {
+                id,
+                group_slot,
+                set,
+                rank,
+                deadline,
+                wait_until,
+                required_position,
+                session,
+                ..OpenCommand::default()
+            },
+        );
         self.settle_at(now, key);
-        self.agenda.insert((ends, Task::GiveUp(key)));
+        self.agenda.insert((deadline, Task::GiveUp(key)));
         Ok(())
     }
 
@@ -287,51 +305,53 @@
 
     /// A dispatch has ended.
     pub fn dispatch_ended(&mut self, now: Tenths, id: &str, end: DispatchEnd) {
-        let DispatchEnd { dispatch, ending, took, idled, over, note, report } = end;
+        let DispatchEnd { dispatch, ending, took, idled, command_complete, note, report } = end;
         let Some(&key) = self.by_id.get(id) else { return };
         if ending == Ending::NotDialled {
-            return self.dispatch_not_dialled(now, key, dispatch, over);
+            return self.dispatch_not_dialled(now, key, dispatch, command_complete);
         }
-        let out = self.open.get_mut(&key).and_then(|cmd| cmd.out.remove(&dispatch));
+        let out = self.open.get_mut(&key).and_then(|cmd| cmd.in_flight.remove(&dispatch));
         let Some((node, sent)) = out else { return };
         let asked = now - took;
         let answered = ending == Ending::Answered;
         let write =
-            self.open.get(&key).is_some_and(|cmd| self.groups.places[cmd.kind].access == Access::Write);
+            self.open.get(&key).is_some_and(|cmd| self.groups.slots[cmd.group_slot].access == Access::Write);
         let note = self.past(now, asked, node, note, write && answered);
         let Some(cmd) = self.open.get_mut(&key) else { return };
         let may_have_run = matches!(
             ending,
             Ending::Error | Ending::TimedOut | Ending::Reset | Ending::CalledOff | Ending::TooOld
         );
-        cmd.maybe_ran = cmd.maybe_ran.or(may_have_run.then_some((node, sent)));
+        cmd.may_have_run = cmd.may_have_run.or(may_have_run.then_some((node, sent)));
         let broke_at_once = ending == Ending::Reset && took <= AT_ONCE;
         idled.into_iter().for_each(|age| self.breaks_by_idle_time.add(now, SHARE_HALF, age, broke_at_once));
-        cmd.broken_round |= matches!(ending, Ending::ConnectFailed | Ending::Reset | Ending::TimedOut);
+        cmd.round_broken |= matches!(ending, Ending::ConnectFailed | Ending::Reset | Ending::TimedOut);
         if let (true, true, Some(session)) = (write, answered, cmd.session.clone()) {
             // Danger: if the position of a commit lies in the future by a wrong clock, it has been discarded,
             // and the session would lose its write. It counts as committed now instead.
             let known = note.position > 0;
-            let commit = if known { note.position } else { now + self.clock.ahead(now).1 };
+            let commit = if known { note.position } else { now + self.clock.offset_and_bound(now).1 };
             self.record_session_write(now, session, commit + 1);
         }
         let Some(cmd) = self.open.get_mut(&key) else { return };
         // Danger: commands that fail at every member take turns from others. Whether a dispatch after an
         // error is answered tells failing commands from failing members; only in the second case is one more
         // dispatch worthwhile.
-        let (erred_before, erred) = (cmd.erred, ending == Ending::Error);
+        let (erred_before, erred) = (cmd.had_error, ending == Ending::Error);
         (erred_before && (answered || erred)).then(|| self.cured.add(now, USUAL_HALF, answered as u8 as f64));
         let written = !matches!(ending, Ending::ConnectFailed | Ending::NeverSent);
-        cmd.patience = if written { cmd.ends } else { cmd.patience };
-        cmd.hopeless |= erred && (erred_before || self.cured.read(now, USUAL_HALF, 0.5) < MIN_RETRY_SUCCESS);
-        cmd.erred |= erred;
+        cmd.wait_until = if written { cmd.deadline } else { cmd.wait_until };
+        cmd.retry_futile |=
+            erred && (erred_before || self.cured.read(now, USUAL_HALF, 0.5) < MIN_RETRY_SUCCESS);
+        cmd.had_error |= erred;
         let set_id = cmd.set;
         self.dirty.insert(set_id);
         self.used.insert(node);
-        let group = &mut self.groups.places[cmd.kind];
-        let (kind, target, ratio) = (cmd.kind, group.target as f64, took as f64 / group.target as f64);
+        let group = &mut self.groups.slots[cmd.group_slot];
+        let (group_slot, target, ratio) =
+            (cmd.group_slot, group.target as f64, took as f64 / group.target as f64);
         answered.then(|| group.latency.add(now, USUAL_HALF, took as f64));
-        match (over, cmd.closed) {
+        match (command_complete, cmd.closed) {
             (true, _) => self.close(key),
             (_, true) => self.forget(key),
             _ => self.settle_at(now, key),
@@ -340,50 +360,52 @@
         if let (true, Some(set)) = (shows_load, self.sets.get_mut(&set_id)) {
             let capped_ratio = if answered { ratio.min(1.0) } else { 1.0 };
             self.slow.add(now, SLOW_HALF, capped_ratio);
-            set.slow.add(now, SET_HALF, capped_ratio);
+            set.slowness.add(now, SET_HALF, capped_ratio);
         }
-        let usual_latency = self.usual(now, kind);
+        let usual_latency = self.usual(now, group_slot);
         self.learn_report(now, asked, node, report);
         self.reset_dial_pause(node);
         let m = &mut self.members[node];
-        m.out.remove(&(key, dispatch));
+        m.in_flight.remove(&(key, dispatch));
         m.written_as_primary.remove(&(key, dispatch));
         // The position in the note of an answered write is the write's commit, not the member's applied
         // position.
         let member_position = if write && answered { 0 } else { note.position };
-        self.learn_position(now, asked, node, Note { position: member_position, ..note });
+        self.learn_position(now, asked, node, AnswerNote { position: member_position, ..note });
         let m = &mut self.members[node];
         let behind = self.clock.now(now) - member_position;
-        (m.behind, m.behind_at) = if member_position > 0 { (behind, now) } else { (m.behind, m.behind_at) };
+        (m.lag, m.lag_at) = if member_position > 0 { (behind, now) } else { (m.lag, m.lag_at) };
         let responded = matches!(ending, Ending::Answered | Ending::Miss | Ending::Error | Ending::Full);
-        (m.heard, m.unheard) = if responded { (now, 0) } else { (m.heard, m.unheard) };
-        m.met |= responded && ending != Ending::Error;
+        (m.last_message_at, m.lost_dispatches) =
+            if responded { (now, 0) } else { (m.last_message_at, m.lost_dispatches) };
+        m.known_to_exist |= responded && ending != Ending::Error;
         if let Some(primary) = note.primary {
-            m.noted_at = now;
+            m.role_received_at = now;
             self.learn_role(now, node, RoleClaim { primary, asked });
         }
         let can_probe = self.allows("permissions.may_probe");
         let refused_quickly =
-            can_probe && 2 * took < tenths(self.number_setting("permissions.dial_timeout_ms", 0.0));
+            can_probe && 2 * took < tenths_from_ms(self.number_setting("permissions.dial_timeout_ms", 0.0));
         let m = &mut self.members[node];
         // Danger: after a reset, the member may have died and come back cold before the list shows it (or it
         // is not listed), or only the connection broke and the member is well. A probe distinguishes the two.
         let (reset, cause_unclear) = (ending == Ending::Reset, can_probe && m.state != State::TransportError);
-        (m.broke, m.died) = (m.broke || (reset && cause_unclear), m.died || (reset && !cause_unclear));
+        (m.connection_broke, m.died) =
+            (m.connection_broke || (reset && cause_unclear), m.died || (reset && !cause_unclear));
         match ending {
             Ending::Answered => {
-                self.scarce.add(now, USUAL_HALF, m.refused.min(1) as f64);
-                (m.fails, m.refused, m.broke) = (0, 0, false);
-                m.turned_away = if sent > m.turned_away { 0 } else { m.turned_away };
+                self.scarce.add(now, USUAL_HALF, m.refused_connections.min(1) as f64);
+                (m.failures, m.refused_connections, m.connection_broke) = (0, 0, false);
+                m.rejected_at = if sent > m.rejected_at { 0 } else { m.rejected_at };
                 self.done_work.add(now, USUAL_HALF, target);
                 self.mark_recovered(now, node);
             }
             // A miss without a position: the member counts as far behind until a report gives its position.
-            Ending::Miss if !write && note.position == 0 => (m.behind, m.behind_at) = (Tenths::MAX / 2, now),
+            Ending::Miss if !write && note.position == 0 => (m.lag, m.lag_at) = (Tenths::MAX / 2, now),
             // Danger: without this, every waiting command in turn is sent to a full member at once.
-            Ending::Full => (m.window, m.turned_away) = ((m.window / 2.0).max(self.least), now),
+            Ending::Full => (m.window, m.rejected_at) = ((m.window / 2.0).max(self.least), now),
             Ending::ConnectFailed if refused_quickly => self.record_refusal(now, node),
-            Ending::Reset if cause_unclear => _ = self.agenda.insert((now, Task::Ask(node))),
+            Ending::Reset if cause_unclear => _ = self.agenda.insert((now, Task::Probe(node))),
             Ending::ConnectFailed | Ending::Reset => self.break_member(now, node),
             _ => {}
         }
@@ -391,15 +413,15 @@
         // Danger: many routers with one dispatch in flight each overload a small member. A window below one
         // therefore becomes a pause between dispatches.
         let window_pause = (usual_latency * (1.0 / m.window.min(1.0) - 1.0)) as Tenths;
-        m.shy_until = m.shy_until.max(now + window_pause);
+        m.paused_until = m.paused_until.max(now + window_pause);
         // For reads at a primary, their share of such a window becomes a longer pause.
         let read_pause = (usual_latency * (1.0 / (m.window * PRIMARY_READ_SHARE).min(1.0) - 1.0)) as Tenths;
-        m.spare_at = m.spare_at.max(now + read_pause);
+        m.reads_paused_until = m.reads_paused_until.max(now + read_pause);
         let judged = answered || matches!(ending, Ending::TimedOut | Ending::CalledOff);
         if judged && ratio > CROWDED_RATIO {
             let shrink = WINDOW_SHRINK_FACTOR * (ratio.min(1.0) - CROWDED_RATIO);
             m.window = f64::max(m.window - shrink * m.window.min(1.0), self.least);
-        } else if answered && m.out.len() as f64 + 1.0 >= m.window * 0.6 {
+        } else if answered && m.in_flight.len() as f64 + 1.0 >= m.window * 0.6 {
             m.window += (CROWDED_RATIO - ratio) / m.window.max(1.0).sqrt() * m.window.min(1.0).sqrt();
         }
     }
@@ -418,33 +440,33 @@
         primary.into_iter().for_each(|primary| self.learn_role(now, node, RoleClaim { primary, asked }));
         let m = &mut self.members[node];
         m.probing = false;
-        m.met |= ending == Ending::Answered;
+        m.known_to_exist |= ending == Ending::Answered;
         if self.keep_broken_on_old_report(now, asked, node, report) {
             return;
         }
         let m = &mut self.members[node];
-        if ending != Ending::Answered && m.fails == 0 && m.state != State::TransportError {
+        if ending != Ending::Answered && m.failures == 0 && m.state != State::TransportError {
             // One lost probe proves nothing: the member is probed once more.
-            m.fails = 1;
-            self.agenda.insert((now, Task::Ask(node)));
+            m.failures = 1;
+            self.agenda.insert((now, Task::Probe(node)));
             return;
         }
         if ending != Ending::Answered {
-            m.died |= m.refused > 0 || m.broke;
+            m.died |= m.refused_connections > 0 || m.connection_broke;
             return self.break_member(now, node);
         }
         m.checked_at = now;
         // Danger: a member that refuses connections but answers a probe works and has no connection left.
         // Without this, the scarcity is noticed only at the next answered dispatch, and idle connections are
         // kept open for seconds.
-        let is_refusing = m.refused > 0 && m.state != State::TransportError;
+        let is_refusing = m.refused_connections > 0 && m.state != State::TransportError;
         if is_refusing && self.scarce.read(now, USUAL_HALF) <= 1.0 {
             self.scarce.add(now, USUAL_HALF, 1.0);
             self.used.extend(self.nodes.values());
         }
         let m = &mut self.members[node];
         if m.state != State::TransportError {
-            (m.fails, m.broke) = (0, false);
+            (m.failures, m.connection_broke) = (0, false);
             return;
         }
         self.mark_recovered(now, node);
@@ -454,40 +476,41 @@
     }
 
     /// The member list has changed. With `is_full_list`, members that are not in `entries` are removed.
-    pub fn members_changed(&mut self, now: Tenths, is_full_list: bool, entries: &[Entry]) {
+    pub fn members_changed(&mut self, now: Tenths, is_full_list: bool, entries: &[MemberEntry]) {
         self.list_fails = 0;
-        let (removal_binds, met) = (!self.allows("rules.soft_removal"), self.members.is_empty());
+        let (removal_binds, known_to_exist) = (!self.allows("rules.soft_removal"), self.members.is_empty());
         let listed_ids: BTreeSet<&Id> = entries.iter().filter(|_| is_full_list).map(|e| &e.node).collect();
         for m in self.members.iter_mut().filter(|m| is_full_list && !listed_ids.contains(&m.id)) {
-            (m.gone, m.shut) = (true, m.shut || removal_binds);
+            (m.delisted, m.excluded) = (true, m.excluded || removal_binds);
             self.dirty.insert(m.set);
         }
         for e in entries {
             let (known_node, count) = (self.nodes.get(&e.node).copied(), self.members.len());
             let is_new = known_node.is_none();
             if is_new && e.phase == Phase::Removed {
-                self.ready.push_back(Decision::Forget { node: e.node.clone() });
+                self.ready.push_back(Decision::ForgetMember { node: e.node.clone() });
                 continue;
             }
             let node = known_node.or_else(|| self.vacant.pop()).unwrap_or(count);
             if is_new {
-                let (id, zone, set, heard) = (e.node.clone(), e.zone.clone(), e.set, now);
+                let (id, zone, set, last_message_at) = (e.node.clone(), e.zone.clone(), e.set, now);
                 self.members.resize_with(count.max(node + 1), Member::default);
-                self.members[node] = Member { id, zone, set, heard, met, ..Member::default() };
+                self.members[node] =
+                    Member { id, zone, set, last_message_at, known_to_exist, ..Member::default() };
                 self.nodes.insert(e.node.clone(), node);
                 self.sets.entry(e.set).or_default().nodes.push(node);
             }
             let m = &mut self.members[node];
             self.dirty.insert(m.set);
-            (m.listed_primary, m.gone) = (e.primary, e.phase == Phase::Removed);
-            m.shut = match e.phase {
+            (m.listed_primary, m.delisted) = (e.primary, e.phase == Phase::Removed);
+            m.excluded = match e.phase {
                 Phase::Up => false,
                 Phase::Draining => true,
                 // A removal that is not binding leaves an earlier drain in force.
-                Phase::Removed => removal_binds || m.shut,
+                Phase::Removed => removal_binds || m.excluded,
             };
             if is_new || e.started > m.started {
-                if self.clock.now(m.heard) < e.started {
+                if self.clock.now(m.last_message_at) < e.started {
                     self.set_state(node, State::Unknown, StateReason::Restarted);
                 }
                 self.restarted(now, e.started, node);
@@ -496,11 +519,11 @@
                 // (the smallest window per router is then below `WINDOW_LEAST`), a member is probed only
                 // after a restart.
                 let may_herd = is_new && self.least < WINDOW_LEAST;
-                (!may_herd).then(|| self.agenda.insert((now, Task::Ask(node))));
+                (!may_herd).then(|| self.agenda.insert((now, Task::Probe(node))));
             }
         }
         self.forget_removed_members();
-        let me: usize = pick(&self.told, "me", 0).unwrap_or(0);
+        let me: usize = setting_or(&self.settings, "me", 0).unwrap_or(0);
         // Danger: lists have thousands of rows, of which few change at a time. The work is limited to the
         // sets that changed.
         for set_id in &self.dirty {
@@ -508,7 +531,7 @@
             set.nodes.sort_by(|a, b| self.members[*a].id.cmp(&self.members[*b].id));
             let count = set.nodes.len();
             for (i, &node) in set.nodes.iter().enumerate() {
-                self.members[node].tie = (i + count - me % count) % count;
+                self.members[node].tie_break = (i + count - me % count) % count;
             }
         }
     }
@@ -518,20 +541,21 @@
     /// without end, so their state must not accumulate.
     fn forget_removed_members(&mut self) {
         let removal_is_soft = self.allows("rules.soft_removal");
-        let nodes_in_use = |c: &Open| c.out.values().chain(&c.maybe_ran).map(|o| o.0).collect::<Vec<Node>>();
+        let nodes_in_use =
+            |c: &OpenCommand| c.in_flight.values().chain(&c.may_have_run).map(|o| o.0).collect::<Vec<Node>>();
         let nodes_in_use: BTreeSet<Node> = self.open.values().flat_map(nodes_in_use).collect();
         for (node, m) in
-            self.members.iter_mut().enumerate().filter(|(n, m)| m.gone && !nodes_in_use.contains(n))
+            self.members.iter_mut().enumerate().filter(|(n, m)| m.delisted && !nodes_in_use.contains(n))
         {
             let works = removal_is_soft && m.state != State::TransportError;
             if !works && self.nodes.remove(&m.id).is_some() {
-                self.ready.push_back(Decision::Forget { node: m.id.clone() });
+                self.ready.push_back(Decision::ForgetMember { node: m.id.clone() });
                 self.sets.get_mut(&m.set).into_iter().for_each(|set| set.nodes.retain(|n| *n != node));
                 self.dirty.insert(m.set);
                 // Danger: connections of an unused slot would be released under no id.
                 self.used.remove(&node);
                 self.vacant.push(node);
-                *m = Member { shut: true, ..Member::default() };
+                *m = Member { excluded: true, ..Member::default() };
             }
         }
     }
@@ -539,7 +563,7 @@
     /// How long a connection may idle before reuse, if known. Danger: devices on the path may drop idle
     /// connections silently, and a command sent on such a connection may have run.
     pub fn idle_most(&self, now: Tenths) -> Option<Tenths> {
-        self.breaks_by_idle_time.first(now, SHARE_HALF, STALE_BREAK_SHARE, STALE_MIN_BREAKS)
+        self.breaks_by_idle_time.first_frequent(now, SHARE_HALF, STALE_BREAK_SHARE, STALE_MIN_BREAKS)
     }
 
     /// Whether a member of this id is known.
@@ -552,7 +576,7 @@
         // Danger: a change of the list is binding 6 s after it is made, even if the list cannot be read.
         let wait = self.rng.jittered((PAUSE << self.list_fails.min(6)).min(SECOND / 2));
         self.list_fails += 1;
-        self.agenda.insert((now + wait, Task::Watch));
+        self.agenda.insert((now + wait, Task::WatchMembers));
     }
 
     /// Counts a command of this customer. True if the customer's part of this router's recent traffic exceeds
@@ -571,21 +595,21 @@
         cmd.closed = true;
         self.dirty.insert(cmd.set);
         if let Some(set) = self.sets.get_mut(&cmd.set) {
-            set.waiting.get_mut(cmd.kind).map(|queue| queue.remove(&(cmd.rank, Reverse(key))));
-            set.scout = set.scout.filter(|s| *s != key);
+            set.waiting.get_mut(cmd.group_slot).map(|queue| queue.remove(&(cmd.rank, Reverse(key))));
+            set.searching_write = set.searching_write.filter(|s| *s != key);
         }
         // Dispatches whose answer has no receiver any more are cancelled, so that members drop queued work.
         // Danger: a dispatch still waiting for its connection would otherwise start long after its client
         // left. Taking that back needs no permission.
-        for &dispatch in cmd.out.keys() {
-            self.ready.push_back(Decision::CallOff { command: cmd.id.clone(), dispatch, written });
+        for &dispatch in cmd.in_flight.keys() {
+            self.ready.push_back(Decision::CancelDispatch { command: cmd.id.clone(), dispatch, written });
         }
         self.forget(key);
     }
 
     /// Drops the record of a command that is closed and has no dispatch in flight.
     fn forget(&mut self, key: u64) {
-        if self.open.get(&key).is_some_and(|c| c.closed && c.out.is_empty()) {
+        if self.open.get(&key).is_some_and(|c| c.closed && c.in_flight.is_empty()) {
             self.open.remove(&key).map(|c| self.by_id.remove(&c.id));
         }
     }
@@ -608,9 +632,9 @@
                     Task::Settle(key) => self.settle(now, key),
                     Task::GiveUp(key) => self.give_up(now, key, GaveUp::Deadline),
                     Task::Overdue(key, dispatch) => self.overdue(now, key, dispatch),
-                    Task::Look(set) => _ = self.dirty.insert(set),
-                    Task::Ask(node) => self.probe(now, node),
-                    Task::Watch => self.ready.push_back(Decision::WatchList),
+                    Task::ServeSet(set) => _ = self.dirty.insert(set),
+                    Task::Probe(node) => self.probe(now, node),
+                    Task::WatchMembers => self.ready.push_back(Decision::WatchMembers),
                 }
             } else if let Some(set) = self.dirty.pop_first() {
                 self.serve(now, set);
@@ -619,7 +643,7 @@
                 // Danger: while members accept few connections, those that idle at one router are missing at
                 // others.
                 if self.scarce.read(now, USUAL_HALF) > 1.0 {
-                    return Some(Decision::LetGo { node: self.members[node].id.clone() });
+                    return Some(Decision::CloseIdle { node: self.members[node].id.clone() });
                 }
             }
         }
@@ -627,21 +651,21 @@
 
     /// A command with no dispatch in flight is queued, or ended at once if it may not be sent again.
     fn settle(&mut self, now: Tenths, key: u64) {
-        let Some(cmd) = self.open.get(&key).filter(|c| !c.closed && c.out.is_empty()) else { return };
-        let may_not_repeat = cmd.maybe_ran.is_some_and(|(at, _)| self.repeatable_for(now, cmd, at) <= 0);
+        let Some(cmd) = self.open.get(&key).filter(|c| !c.closed && c.in_flight.is_empty()) else { return };
+        let may_not_repeat = cmd.may_have_run.is_some_and(|(at, _)| self.repeatable_for(now, cmd, at) <= 0);
         let wait_end = self.queue_deadline(now, cmd);
         let reasons = [
-            (now + self.tick >= cmd.ends, GaveUp::Deadline),
+            (now + self.tick >= cmd.deadline, GaveUp::Deadline),
             (may_not_repeat, GaveUp::MayHaveRun),
-            (cmd.hopeless, GaveUp::Errors),
-            (cmd.attempts() >= self.groups.places[cmd.kind].attempts, GaveUp::Attempts),
+            (cmd.retry_futile, GaveUp::Errors),
+            (cmd.attempts() >= self.groups.slots[cmd.group_slot].attempts, GaveUp::Attempts),
         ];
         if let Some((_, reason)) = reasons.into_iter().find(|(met, _)| *met) {
             return self.give_up(now, key, reason);
         }
         let set = self.sets.entry(cmd.set).or_default();
-        set.waiting.resize(self.groups.places.len(), BTreeSet::new());
-        let has_waited = !set.waiting[cmd.kind].insert((cmd.rank, Reverse(key)));
+        set.waiting.resize(self.groups.slots.len(), BTreeSet::new());
+        let has_waited = !set.waiting[cmd.group_slot].insert((cmd.rank, Reverse(key)));
         if has_waited && wait_end <= now {
             match self.worth_waiting_until(now, key) {
                 Some(at) => return self.settle_at(at.max(now + self.tick), key),
@@ -659,18 +683,18 @@
     /// to the queue is settled twice at the same time, it is given up before it is offered to a member.
     fn settle_at(&mut self, at: Tenths, key: u64) {
         let Some(cmd) = self.open.get_mut(&key) else { return };
-        self.agenda.remove(&(std::mem::replace(&mut cmd.settles, at), Task::Settle(key)));
+        self.agenda.remove(&(std::mem::replace(&mut cmd.next_check_at, at), Task::Settle(key)));
         self.agenda.insert((at, Task::Settle(key)));
     }
 
     /// Ends a command that is given up: throttled if a retry is harmless, otherwise failed.
     fn give_up(&mut self, now: Tenths, key: u64, reason: GaveUp) {
         let Some(cmd) = self.open.get(&key) else { return };
-        if cmd.closed || (!cmd.out.is_empty() && now < cmd.ends) {
+        if cmd.closed || (!cmd.in_flight.is_empty() && now < cmd.deadline) {
             return;
         }
-        let group = &self.groups.places[cmd.kind];
-        let throttle = Decision::Throttle { command: cmd.id.clone(), hold_off: group.hold_off };
+        let group = &self.groups.slots[cmd.group_slot];
+        let throttle = Decision::Throttle { command: cmd.id.clone(), retry_after: group.retry_after };
         let fail = Decision::Fail { command: cmd.id.clone() };
         let (command, attempts) = (cmd.id.clone(), cmd.attempts());
         self.ready.push_back(if self.is_harmless_to_repeat(cmd) { throttle } else { fail });
@@ -683,20 +707,20 @@
     fn serve(&mut self, now: Tenths, set_id: i64) {
         let mut any_left = false;
         for order_index in 0..self.order.len() {
-            let kind = self.order[order_index];
-            let head = |r: &Router| r.sets.get(&set_id)?.waiting.get(kind)?.first().copied();
+            let group_slot = self.order[order_index];
+            let head = |r: &Router| r.sets.get(&set_id)?.waiting.get(group_slot)?.first().copied();
             while let Some(queued) = head(self) {
                 let is_held_back = !self.in_pace(now, order_index) && self.is_paced(now, set_id);
                 if is_held_back || !self.offer(now, set_id, queued.1.0) {
                     any_left = true;
                     break;
                 }
-                self.sets.get_mut(&set_id).map(|set| set.waiting[kind].remove(&queued));
+                self.sets.get_mut(&set_id).map(|set| set.waiting[group_slot].remove(&queued));
             }
         }
-        if let Some(set) = self.sets.get_mut(&set_id).filter(|s| any_left && s.look_at <= now) {
-            set.look_at = now + PAUSE / 4;
-            self.agenda.insert((set.look_at, Task::Look(set_id)));
+        if let Some(set) = self.sets.get_mut(&set_id).filter(|s| any_left && s.next_offer_at <= now) {
+            set.next_offer_at = now + PAUSE / 4;
+            self.agenda.insert((set.next_offer_at, Task::ServeSet(set_id)));
         }
     }
 
@@ -705,7 +729,7 @@
     /// answers of its own, the router's overall latency ratio counts.
     fn is_paced(&self, now: Tenths, set_id: i64) -> bool {
         let overall = self.slow.read(now, SLOW_HALF, UNLOADED_LATENCY_RATIO);
-        self.sets.get(&set_id).is_none_or(|set| set.slow.read(now, SET_HALF, overall) > SET_PACING_RATIO)
+        self.sets.get(&set_id).is_none_or(|set| set.slowness.read(now, SET_HALF, overall) > SET_PACING_RATIO)
     }
 
     /// Updates the pace, and tells whether it admits the command group at this place of `order`. Danger: with
@@ -730,7 +754,7 @@
 
     /// Tries to dispatch a waiting command. True if it was sent.
     fn offer(&mut self, now: Tenths, set_id: i64, key: u64) -> bool {
-        let node = match self.groups.places[self.open[&key].kind].access {
+        let node = match self.groups.slots[self.open[&key].group_slot].access {
             Access::Write | Access::Fresh => match self.primary(set_id) {
                 Some(primary) => {
                     Some(primary).filter(|p| self.has_room(now, *p, 1.0, self.primary_min_in_flight))
@@ -751,8 +775,8 @@
     }
 
     /// The usual latency of a command group's answers.
-    fn usual(&self, now: Tenths, kind: usize) -> f64 {
-        let group = &self.groups.places[kind];
+    fn usual(&self, now: Tenths, group_slot: usize) -> f64 {
+        let group = &self.groups.slots[group_slot];
         group.latency.read(now, USUAL_HALF, group.target as f64 * UNLOADED_LATENCY_RATIO)
     }
 }
--- a/src/decide/dialling.rs
+++ b/src/decide/dialling.rs
@@ -14,15 +14,21 @@
 impl Router {
     /// Handles a dispatch whose connection could not be opened on this machine. It does not count as an
     /// attempt, as no member saw it.
-    pub(super) fn dispatch_not_dialled(&mut self, now: Tenths, key: u64, dispatch: u32, over: bool) {
+    pub(super) fn dispatch_not_dialled(
+        &mut self,
+        now: Tenths,
+        key: u64,
+        dispatch: u32,
+        command_complete: bool,
+    ) {
         let Some(cmd) = self.open.get_mut(&key) else { return };
-        let Some((node, _)) = cmd.out.remove(&dispatch) else { return };
-        cmd.given_back += 1;
+        let Some((node, _)) = cmd.in_flight.remove(&dispatch) else { return };
+        cmd.uncounted_dispatches += 1;
         cmd.tried.retain(|tried| *tried != node);
         let closed = cmd.closed;
-        self.members[node].out.remove(&(key, dispatch));
+        self.members[node].in_flight.remove(&(key, dispatch));
         self.pause_dialling(now, node);
-        match (over, closed) {
+        match (command_complete, closed) {
             (true, _) => self.close(key),
             (_, true) => self.forget(key),
             _ => self.settle_at(now, key),
@@ -33,27 +39,27 @@
     pub(super) fn probe_not_dialled(&mut self, now: Tenths, node: Node) {
         self.members[node].probing = false;
         let again = self.pause_dialling(now, node);
-        self.agenda.insert((again, Task::Ask(node)));
+        self.agenda.insert((again, Task::Probe(node)));
     }
 
     /// Danger: without a pause, commands that are offered again at once would dial in a loop while the
     /// machine has no resources.
     fn pause_dialling(&mut self, now: Tenths, node: Node) -> Tenths {
         let m = &mut self.members[node];
-        let until = now + self.rng.jittered(DIAL_PAUSE_MIN << m.local_errors.min(DIAL_PAUSE_MAX_DOUBLINGS));
-        (m.local_errors, m.dial_at) = (m.local_errors + 1, until);
+        let until = now + self.rng.jittered(DIAL_PAUSE_MIN << m.dial_failures.min(DIAL_PAUSE_MAX_DOUBLINGS));
+        (m.dial_failures, m.next_dial_at) = (m.dial_failures + 1, until);
         let (set, out_of_reach) =
-            (m.set, m.local_errors >= UNREACHABLE_AFTER && m.state != State::TransportError);
+            (m.set, m.dial_failures >= UNREACHABLE_AFTER && m.state != State::TransportError);
         if out_of_reach {
             self.break_member(now, node);
         }
         self.dirty.insert(set);
-        self.agenda.insert((until, Task::Look(set)));
+        self.agenda.insert((until, Task::ServeSet(set)));
         until
     }
 
     /// A connection to the member was opened: the next dispatch may dial without a pause.
     pub(super) fn reset_dial_pause(&mut self, node: Node) {
-        (self.members[node].local_errors, self.members[node].dial_at) = (0, 0);
+        (self.members[node].dial_failures, self.members[node].next_dial_at) = (0, 0);
     }
 }
--- a/src/decide/evidence.rs
+++ b/src/decide/evidence.rs
@@ -16,28 +16,35 @@
     /// The note of an answer, with a position that lies in the future set to 0. The position is also evidence
     /// for the clock offset: a commit is no earlier than the sending of its write, and any other position of
     /// a primary is dated by its progress.
-    pub(super) fn past(&mut self, now: Tenths, asked: Tenths, node: Node, note: Note, commit: bool) -> Note {
+    pub(super) fn past(
+        &mut self,
+        now: Tenths,
+        asked: Tenths,
+        node: Node,
+        note: AnswerNote,
+        commit: bool,
+    ) -> AnswerNote {
         if note.position <= 0 {
-            return Note { position: 0, ..note };
+            return AnswerNote { position: 0, ..note };
         }
         let m = &mut self.members[node];
         let since = match note.primary {
             Some(true) if commit => Some(asked),
-            Some(true) if !m.roles.may_be_replica() => m.answered_positions.tells(note.position, asked),
+            Some(true) if !m.roles.may_be_replica() => m.answered_positions.record(note.position, asked),
             _ => None,
         };
-        self.learn_clock(now, node, Evidence::told(note.position, since, now, 0));
-        let position = if self.clock.is_past(note.position, now) { note.position } else { 0 };
-        Note { position, ..note }
+        self.learn_clock(now, node, OffsetEvidence::from_position(note.position, since, now, 0));
+        let position = if self.clock.has_passed(note.position, now) { note.position } else { 0 };
+        AnswerNote { position, ..note }
     }
 
-    fn learn_clock(&mut self, now: Tenths, node: Node, evidence: Evidence) {
+    fn learn_clock(&mut self, now: Tenths, node: Node, evidence: OffsetEvidence) {
         self.clock.learn(now, evidence);
-        let (offset, _) = self.clock.ahead(now);
+        let (offset, _) = self.clock.offset_and_bound(now);
         // Slow drift of the bounds is not reported.
         if (offset - self.reported_offset).abs() >= CLOCK_EVENT_THRESHOLD {
             self.reported_offset = offset;
-            self.record_event(Event::Clock { offset, node: self.members[node].id.clone() });
+            self.record_event(Event::ClockOffset { offset, node: self.members[node].id.clone() });
         }
     }
 
@@ -47,14 +54,14 @@
         if let Some(position) = report.position.filter(|position| *position > 0) {
             let m = &mut self.members[node];
             let is_primary = report.primary == Some(true) && !m.roles.may_be_replica();
-            let since = is_primary.then(|| m.reported_positions.tells(position, asked)).flatten();
-            self.learn_clock(now, node, Evidence::told(position, since, now, REPORT_DELAY));
-            if self.clock.is_past(position, now) {
+            let since = is_primary.then(|| m.reported_positions.record(position, asked)).flatten();
+            self.learn_clock(now, node, OffsetEvidence::from_position(position, since, now, REPORT_DELAY));
+            if self.clock.has_passed(position, now) {
                 let m = &mut self.members[node];
                 m.checked_at = now;
-                (m.behind, m.behind_at) = (m.behind(now).min(self.clock.now(now) - position), now);
+                (m.lag, m.lag_at) = (m.estimated_lag(now).min(self.clock.now(now) - position), now);
                 if report.primary != Some(true) && position >= m.position {
-                    (m.position, m.position_heard) = (position, now);
+                    (m.position, m.position_received_at) = (position, now);
                     m.position_source = PositionSource::Report;
                 }
             }
@@ -65,13 +72,13 @@
     /// Takes in a position from the note of an answer. Danger: a replica need not have the position that it
     /// gave while it was the primary, and a member that reports less than before does not have the position
     /// recorded for it.
-    pub(super) fn learn_position(&mut self, now: Tenths, asked: Tenths, node: Node, note: Note) {
+    pub(super) fn learn_position(&mut self, now: Tenths, asked: Tenths, node: Node, note: AnswerNote) {
         let m = &mut self.members[node];
         if note.position <= 0 || note.primary == Some(true) {
             return;
         }
-        if note.position >= m.position || asked >= m.position_heard {
-            (m.position, m.position_heard) = (note.position, now);
+        if note.position >= m.position || asked >= m.position_received_at {
+            (m.position, m.position_received_at) = (note.position, now);
             m.position_source = PositionSource::Answer;
         }
     }
@@ -80,7 +87,7 @@
     /// note; the report's position dates it.
     pub(super) fn learn_reported_role(&mut self, now: Tenths, asked: Tenths, node: Node, report: Report) {
         let position = report.position.unwrap_or(0);
-        let newer = position > self.clock.now(self.members[node].noted_at);
+        let newer = position > self.clock.now(self.members[node].role_received_at);
         match report.primary {
             Some(true) => {
                 let asked = asked.min(self.earliest_report_time(now, asked, position));
@@ -100,7 +107,7 @@
     /// The earliest time, by this router's clock, at which a primary can have made a report: dated by its
     /// position if it has one.
     fn earliest_report_time(&self, now: Tenths, asked: Tenths, position: Tenths) -> Tenths {
-        if position > 0 { self.clock.earliest_here(now, position) } else { asked - REPORT_DELAY }
+        if position > 0 { self.clock.earliest_local_time(now, position) } else { asked - REPORT_DELAY }
     }
 
     /// Whether a broken member's report calls it a primary and dates from before it broke: the member answers
@@ -119,7 +126,7 @@
         if made > m.broken_at {
             return false;
         }
-        self.record_event(Event::ReportFromBefore { node: self.members[node].id.clone(), age: now - made });
+        self.record_event(Event::StaleReport { node: self.members[node].id.clone(), age: now - made });
         self.members[node].retry_at = now + self.rng.jittered(PAUSE);
         true
     }
@@ -144,9 +151,9 @@
     /// since as to a primary may read old data. The claim was made at `claimed_at` at the earliest.
     fn mark_possible_replica(&mut self, now: Tenths, claimed_at: Tenths, asked: Tenths, node: Node) {
         let m = &mut self.members[node];
-        m.roles.claims_replica(claimed_at, now);
-        m.answered_positions.ends();
-        m.reported_positions.ends();
+        m.roles.record_replica_claim(claimed_at, now);
+        m.answered_positions.reset();
+        m.reported_positions.reset();
         // Danger: on a kept connection the write often has the same time as the decision to send, so equal
         // times count too.
         let written_since: Vec<_> =
@@ -168,22 +175,24 @@
         // Danger: an answer that was long in transit describes the state before a handover. A claim that is
         // only likely the latest makes the member the primary for writes, which a replica rejects; reads go
         // by `is_current`.
-        let standing = self.members[node].roles.claims_primary(asked);
-        if standing == Standing::Old || self.has_newer_primary(node, asked) {
-            return self
-                .record_event(Event::OldRole { node: self.members[node].id.clone(), age: now - asked });
+        let standing = self.members[node].roles.record_primary_claim(asked);
+        if standing == ClaimStanding::Old || self.has_newer_primary(node, asked) {
+            return self.record_event(Event::StaleRoleClaim {
+                node: self.members[node].id.clone(),
+                age: now - asked,
+            });
         }
         // Danger: commands held during a handover all reach a cold new primary at once, on credit that has
         // accumulated unused at hundreds of routers. When a member becomes the primary, the part of its
         // credit that covers whole such commands is cancelled.
         if self.members[node].state != State::Healthy {
             let credit = self.cold_credit(now, &self.members[node]) % self.primary_min_target;
-            (self.members[node].credit, self.members[node].credit_at) = (credit, now);
+            (self.members[node].credit, self.members[node].credit_updated_at) = (credit, now);
         }
         let set_id = self.members[node].set;
         self.set_state(node, State::Healthy, StateReason::Role);
         let Some(set) = self.sets.get_mut(&set_id) else { return };
-        (set.broken_rounds, set.round_at) = (0, 0);
+        (set.broken_rounds, set.next_round_at) = (0, 0);
         // A set has one primary: any other member recorded as primary is a replica by now, or broken.
         let members = &self.members;
         let is_other_primary = |n: &Node| *n != node && members[*n].state == State::Healthy;
@@ -197,7 +206,7 @@
     fn has_newer_primary(&self, node: Node, asked: Tenths) -> bool {
         let is_newer_primary = |n: &Node| {
             let m = &self.members[*n];
-            *n != node && m.state == State::Healthy && m.roles.was_primary_after(asked)
+            *n != node && m.state == State::Healthy && m.roles.claimed_primary_after(asked)
         };
         self.sets.get(&self.members[node].set).is_some_and(|set| set.nodes.iter().any(is_newer_primary))
     }
@@ -208,7 +217,7 @@
         let to = match m.state {
             // It has claimed the primary role in answer to a later request and is likely still the primary.
             // If not, a write that ends as a miss shows it.
-            State::Healthy if m.roles.was_primary_after(asked) => State::Healthy,
+            State::Healthy if m.roles.claimed_primary_after(asked) => State::Healthy,
             State::TransportError => State::TransportError,
             _ => State::TopologyReject,
         };
--- a/src/decide/evidence/tests.rs
+++ b/src/decide/evidence/tests.rs
@@ -11,7 +11,7 @@
     r.learn_role(NOW + 10, 0, role_claim(false, NOW + 5));
     r.learn_role(NOW + 20, 0, role_claim(true, requested_at));
     assert_eq!(r.members[0].state, state);
-    let event_reported = r.take_events().iter().any(|event| matches!(event, Event::OldRole { .. }));
+    let event_reported = r.take_events().iter().any(|event| matches!(event, Event::StaleRoleClaim { .. }));
     assert_eq!(event_reported, state != State::Healthy);
 }
 
@@ -111,7 +111,7 @@
 fn unchanging_position_in_answers_does_not_move_the_clock() {
     let mut r = router(&[]);
     for at in (0..20).map(|n| NOW + n * 100) {
-        let note = Note { primary: Some(true), position: NOW - 50 };
+        let note = AnswerNote { primary: Some(true), position: NOW - 50 };
         r.past(at + 10, at, 0, note, false);
         assert_eq!(r.clock.latest(at + 10), Some(at + 10), "the clock is right");
     }
@@ -123,7 +123,7 @@
     let mut r = router(&[]);
     r.clock = MemberClock::default();
     for at in (0..5).map(|n| NOW + n * 2_000) {
-        let note = Note { primary: Some(true), position: at + 5 - SECOND };
+        let note = AnswerNote { primary: Some(true), position: at + 5 - SECOND };
         r.past(at + 10, at, 0, note, false);
     }
     let latest = r.clock.latest(NOW + SECOND).expect("confirmed") - NOW - SECOND;
@@ -147,7 +147,7 @@
 #[rstest]
 fn position_sent_as_primary_is_not_a_replica_position() {
     let mut r = router(&[]);
-    r.learn_position(NOW, NOW - 10, 0, Note { primary: Some(true), position: NOW });
+    r.learn_position(NOW, NOW - 10, 0, AnswerNote { primary: Some(true), position: NOW });
     r.learn_report(NOW, NOW - 10, 0, Report { primary: Some(true), position: Some(NOW) });
     assert_eq!(r.members[0].position, 0);
 }
@@ -157,7 +157,7 @@
 #[case::overtaken(NOW + 5, NOW)]
 fn lower_position_of_a_replica_replaces_a_higher_one(#[case] requested_at: Tenths, #[case] position: Tenths) {
     let mut r = router(&[]);
-    r.learn_position(NOW + 10, NOW, 1, Note { primary: Some(false), position: NOW });
-    r.learn_position(NOW + 30, requested_at, 1, Note { primary: Some(false), position: NOW - 500 });
+    r.learn_position(NOW + 10, NOW, 1, AnswerNote { primary: Some(false), position: NOW });
+    r.learn_position(NOW + 30, requested_at, 1, AnswerNote { primary: Some(false), position: NOW - 500 });
     assert_eq!(r.members[1].position, position);
 }
--- a/src/decide/freshness/tests.rs
+++ b/src/decide/freshness/tests.rs
@@ -6,12 +6,12 @@
 fn router_with_read(extra: &[(&str, &str)]) -> Router {
     let mut r = router(extra);
     add_open_command(&mut r, "bounded");
-    r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
+    r.open.get_mut(&0).unwrap().in_flight.insert(0, (1, NOW));
     r
 }
 
 fn is_served(r: &Router) -> bool {
-    r.may_serve("cmd", 0, Note::default())
+    r.may_serve("cmd", 0, AnswerNote::default())
 }
 
 #[rstest]
@@ -45,7 +45,7 @@
 fn commands_without_staleness_bound_are_always_served(#[case] kind: &str, #[case] extra: &[(&str, &str)]) {
     let mut r = router(extra);
     add_open_command(&mut r, kind);
-    r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
+    r.open.get_mut(&0).unwrap().in_flight.insert(0, (1, NOW));
     assert_eq!(r.attempt_written(NOW + 60 * SECOND, "cmd", 0), Written::Free);
     assert!(is_served(&r));
 }
@@ -61,7 +61,7 @@
     for kind in ["bounded", "session", "fresh"] {
         let mut r = router(&[]);
         add_open_command(&mut r, kind);
-        r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
+        r.open.get_mut(&0).unwrap().in_flight.insert(0, (1, NOW));
         r.learn_role(NOW - 2, 1, role_claim(true, NOW - 2));
         assert_eq!(r.attempt_written(NOW + 10, "cmd", 0), Written::ToPrimary);
         r.heard_replica(NOW + 20, "b", requested_at);
@@ -79,7 +79,7 @@
     let mut r = router_with_read(&[]);
     r.members[1].position = NOW;
     assert_eq!(r.attempt_written(NOW, "cmd", 0), Written::ToReplica { behind: 0 });
-    let note = Note { primary: Some(false), position };
+    let note = AnswerNote { primary: Some(false), position };
     assert_eq!(r.may_serve("cmd", 0, note), served);
 }
 
@@ -91,7 +91,7 @@
     let mut r = router_with_read(&[]);
     r.members[1].position = NOW - 2_800;
     assert_eq!(r.attempt_written(NOW, "cmd", 0), Written::ToReplica { behind: 2_800 });
-    r.clock.learn(NOW + 100, Evidence::of_any(NOW + 100 + correction, NOW + 100));
+    r.clock.learn(NOW + 100, OffsetEvidence::from_any_member(NOW + 100 + correction, NOW + 100));
     assert_eq!(is_served(&r), served);
 }
 
@@ -111,7 +111,7 @@
 #[rstest]
 fn primary_in_doubt_is_probed_while_reads_wait() {
     let mut r = router(&[]);
-    (1..3).for_each(|n| r.members[n].shut = true);
+    (1..3).for_each(|n| r.members[n].excluded = true);
     add_open_command(&mut r, "fresh");
     r.learn_role(NOW, 0, role_claim(true, NOW));
     r.heard_replica(NOW + 5, "a", NOW);
@@ -127,8 +127,8 @@
     let mut r = router(&[]);
     r.clock = clock;
     while r.next_decision(NOW).is_some() {}
-    r.members.iter_mut().for_each(|m| (m.probing, m.asked_at) = (false, NOW - PAUSE));
-    (1..3).for_each(|n| r.members[n].shut = true);
+    r.members.iter_mut().for_each(|m| (m.probing, m.probed_at) = (false, NOW - PAUSE));
+    (1..3).for_each(|n| r.members[n].excluded = true);
     add_open_command(&mut r, "bounded");
     r.learn_role(NOW, 0, role_claim(true, NOW));
     assert!(r.offer(NOW, 1, 0), "the primary serves it");
@@ -138,7 +138,7 @@
 
 fn confirmed() -> MemberClock {
     let mut clock = MemberClock::default();
-    clock.learn(NOW, Evidence::of_primary(NOW, NOW, NOW, 0));
+    clock.learn(NOW, OffsetEvidence::from_primary(NOW, NOW, NOW, 0));
     clock
 }
 
@@ -150,8 +150,8 @@
     let cmd = Command { id, command_group, customer, set: 1, time_left, token_age, session, repeat: false };
     r.command_arrived(NOW, cmd).unwrap();
     let key = r.by_id["w"];
-    r.open.get_mut(&key).unwrap().out.insert(0, (0, NOW));
-    let note = Note { primary: Some(true), position: NOW + 10 };
+    r.open.get_mut(&key).unwrap().in_flight.insert(0, (0, NOW));
+    let note = AnswerNote { primary: Some(true), position: NOW + 10 };
     r.dispatch_ended(NOW + 20, "w", DispatchEnd { note, ..dispatch_end(Ending::Answered, None) });
 }
 
@@ -167,8 +167,8 @@
     let mut r = router(&[("family_info.token_mode", mode)]);
     add_open_command(&mut r, "session");
     let read = r.open.get_mut(&0).unwrap();
-    (read.session, read.needs) = (Some(session.into()), NOW - 100);
-    read.out.insert(0, (1, NOW));
+    (read.session, read.required_position) = (Some(session.into()), NOW - 100);
+    read.in_flight.insert(0, (1, NOW));
     r.members[1].position = NOW - 50;
     session_writes(&mut r);
     assert_eq!(r.may_write(NOW + 30, "cmd", 0), may_write);
@@ -180,12 +180,12 @@
     let mut r = router(&[("family_info.token_mode", "remembered")]);
     add_open_command(&mut r, "session");
     let read = r.open.get_mut(&0).unwrap();
-    (read.session, read.needs) = (Some("s".into()), NOW - 100);
-    read.out.insert(0, (1, NOW));
+    (read.session, read.required_position) = (Some("s".into()), NOW - 100);
+    read.in_flight.insert(0, (1, NOW));
     r.members[1].position = NOW - 50;
     r.attempt_written(NOW + 5, "cmd", 0);
     session_writes(&mut r);
-    let note = Note { primary: Some(false), position: NOW - 50 };
+    let note = AnswerNote { primary: Some(false), position: NOW - 50 };
     assert!(r.may_serve("cmd", 0, note));
-    assert_eq!(r.data_age(NOW + 30, "cmd", 0).map(|age| age.spare()), Some(50));
+    assert_eq!(r.data_age(NOW + 30, "cmd", 0).map(|age| age.margin()), Some(50));
 }
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -8,9 +8,9 @@
     /// probes it keeps its state and only gets a growing pause.
     pub(super) fn record_refusal(&mut self, now: Tenths, node: Node) {
         let m = &mut self.members[node];
-        m.refused += 1;
-        m.shy_until = now + self.rng.jittered((PAUSE / 8) << m.refused.min(5));
-        m.refused.is_power_of_two().then(|| self.agenda.insert((now, Task::Ask(node))));
+        m.refused_connections += 1;
+        m.paused_until = now + self.rng.jittered((PAUSE / 8) << m.refused_connections.min(5));
+        m.refused_connections.is_power_of_two().then(|| self.agenda.insert((now, Task::Probe(node))));
     }
 
     /// Marks a member as broken. Danger: a failed dispatch must lower its member's state before the next
@@ -19,9 +19,9 @@
         let m = &mut self.members[node];
         // Danger: the list may name members that do not exist. A member that never answered is probed again
         // only after the longest backoff.
-        let doublings = if m.met { m.fails.saturating_sub(1).min(6) } else { 6 };
+        let doublings = if m.known_to_exist { m.failures.saturating_sub(1).min(6) } else { 6 };
         let retry_at = now + self.rng.jittered((PAUSE << doublings).min(BACKOFF_MAX));
-        (m.fails, m.retry_at, m.broken_at) = (m.fails + 1, retry_at, now);
+        (m.failures, m.retry_at, m.broken_at) = (m.failures + 1, retry_at, now);
         self.set_state(node, State::TransportError, StateReason::Broken);
     }
 
@@ -37,15 +37,17 @@
     /// A dispatch has been in flight for longer than usual: the member may have stopped answering.
     pub(super) fn overdue(&mut self, now: Tenths, key: u64, dispatch: u32) {
         let Some(cmd) = self.open.get(&key).filter(|c| !c.closed) else { return };
-        let Some(&(node, sent)) = cmd.out.get(&dispatch) else { return };
-        let (set_id, target) = (cmd.set, self.groups.places[cmd.kind].target);
-        let usual = (self.usual(now, cmd.kind) as Tenths).max(self.tick);
+        let Some(&(node, sent)) = cmd.in_flight.get(&dispatch) else { return };
+        let (set_id, target) = (cmd.set, self.groups.slots[cmd.group_slot].target);
+        let usual = (self.usual(now, cmd.group_slot) as Tenths).max(self.tick);
         let m = &self.members[node];
-        let overdue_count = m.unheard + m.out.values().filter(|at| **at + 2 * usual < now).count();
+        let overdue_count =
+            m.lost_dispatches + m.in_flight.values().filter(|at| **at + 2 * usual < now).count();
         // Danger: a member may accept work and answer nothing (hung, or cut off from the network). Other
         // overdue dispatches distinguish this from one heavy command or one lost answer; until there are
         // enough, the member is only probed.
-        let (is_silent, should_probe) = (m.heard < sent, m.checked_at < sent && now - sent > 4 * usual);
+        let (is_silent, should_probe) =
+            (m.last_message_at < sent, m.checked_at < sent && now - sent > 4 * usual);
         if is_silent && m.state != State::TransportError {
             if overdue_count >= 3 || (overdue_count >= 2 && now - sent > 7 * usual) {
                 self.break_member(now, node);
@@ -59,7 +61,7 @@
         // answers other dispatches or probes, counts as lost; this may also hit a heavy command.
         let m = &mut self.members[node];
         if now - sent > target.max(4 * usual) && (!is_silent || m.checked_at > sent) {
-            m.unheard += m.out.remove(&(key, dispatch)).is_some() as usize * is_silent as usize;
+            m.lost_dispatches += m.in_flight.remove(&(key, dispatch)).is_some() as usize * is_silent as usize;
             self.dirty.insert(set_id);
         }
         self.agenda.insert((now + 2 * usual, Task::Overdue(key, dispatch)));
--- a/src/decide/patience.rs
+++ b/src/decide/patience.rs
@@ -7,13 +7,13 @@
     /// Until when a command waits if nothing that would let it through is known to come. Danger: without
     /// this, a client waits its whole timeout for a set with no reachable member. If nothing has been written
     /// by half of its time, it is throttled while it can still retry.
-    pub(super) fn queue_deadline(&self, now: Tenths, cmd: &Open) -> Tenths {
-        cmd.patience.min(self.latest_useful_send(now, cmd))
+    pub(super) fn queue_deadline(&self, now: Tenths, cmd: &OpenCommand) -> Tenths {
+        cmd.wait_until.min(self.latest_useful_send(now, cmd))
     }
 
     /// Until when a dispatch is likely to be answered in time, by the usual latency.
-    fn latest_useful_send(&self, now: Tenths, cmd: &Open) -> Tenths {
-        cmd.ends - (self.usual(now, cmd.kind) * MIN_LATENCIES_LEFT) as Tenths
+    fn latest_useful_send(&self, now: Tenths, cmd: &OpenCommand) -> Tenths {
+        cmd.deadline - (self.usual(now, cmd.group_slot) * MIN_LATENCIES_LEFT) as Tenths
     }
 
     /// When to check again a command whose waiting time is over, if what it waits for will come in time;
@@ -41,23 +41,25 @@
         let cmd = &self.open[&key];
         let set = self.sets.get(&cmd.set)?;
         let is_replica_read =
-            matches!(self.groups.places[cmd.kind].access, Access::Bounded(_) | Access::Session);
+            matches!(self.groups.slots[cmd.group_slot].access, Access::Bounded(_) | Access::Session);
         let waits_alone = set.waiting.iter().map(BTreeSet::len).sum::<usize>() <= 1;
-        let in_time = now + (self.recent_latency(now, cmd.kind) * MIN_LATENCIES_LEFT) as Tenths <= cmd.ends;
+        let in_time =
+            now + (self.recent_latency(now, cmd.group_slot) * MIN_LATENCIES_LEFT) as Tenths <= cmd.deadline;
         let is_probed = |n: &&Node| self.probe_may_qualify(now, cmd, &self.members[**n]);
-        let probed_at = set.nodes.iter().find(is_probed).map(|n| self.members[*n].asked_at)?;
-        let until = cmd.patience.min(probed_at + CHECK_MOST);
+        let probed_at = set.nodes.iter().find(is_probed).map(|n| self.members[*n].probed_at)?;
+        let until = cmd.wait_until.min(probed_at + CHECK_MOST);
         (is_replica_read && waits_alone && in_time && now < until).then_some(until)
     }
 
     /// Expected latency of a command of this group, by the latency ratio of all answers of the last seconds.
-    fn recent_latency(&self, now: Tenths, kind: usize) -> f64 {
-        self.slow.read(now, SLOW_HALF, UNLOADED_LATENCY_RATIO) * self.groups.places[kind].target as f64
+    fn recent_latency(&self, now: Tenths, group_slot: usize) -> f64 {
+        self.slow.read(now, SLOW_HALF, UNLOADED_LATENCY_RATIO) * self.groups.slots[group_slot].target as f64
     }
 
     /// Whether a probe of this member is in flight whose answer may let the read through.
-    pub(super) fn probe_may_qualify(&self, now: Tenths, cmd: &Open, m: &Member) -> bool {
-        let works = m.met && !m.shut && !matches!(m.state, State::Healthy | State::TransportError);
+    pub(super) fn probe_may_qualify(&self, now: Tenths, cmd: &OpenCommand, m: &Member) -> bool {
+        let works =
+            m.known_to_exist && !m.excluded && !matches!(m.state, State::Healthy | State::TransportError);
         works && m.probing && self.fresh_for(now, cmd, m) <= 0
     }
 }
--- a/src/decide/patience/tests.rs
+++ b/src/decide/patience/tests.rs
@@ -8,11 +8,11 @@
     let mut r = router(&[]);
     add_open_command(&mut r, "bounded");
     let cmd = r.open.get_mut(&0).unwrap();
-    (cmd.ends, cmd.patience) = (NOW + 2_000, NOW + 1_000);
-    let kind = cmd.kind;
-    (0..100).for_each(|_| r.groups.places[kind].latency.add(NOW, USUAL_HALF, 1_500.0));
+    (cmd.deadline, cmd.wait_until) = (NOW + 2_000, NOW + 1_000);
+    let kind = cmd.group_slot;
+    (0..100).for_each(|_| r.groups.slots[kind].latency.add(NOW, USUAL_HALF, 1_500.0));
     let m = &mut r.members[1];
-    (m.met, m.position, m.probing, m.asked_at) = (true, NOW - 4_000, true, NOW);
+    (m.known_to_exist, m.position, m.probing, m.probed_at) = (true, NOW - 4_000, true, NOW);
     r.settle(NOW, 0);
     r
 }
@@ -25,11 +25,11 @@
 #[rstest]
 #[case::probe_in_flight(|_: &mut Router| (), true)]
 #[case::no_probe(|r: &mut Router| r.members[1].probing = false, false)]
-#[case::probe_overdue(|r: &mut Router| r.members[1].asked_at = NOW - CHECK_MOST, false)]
+#[case::probe_overdue(|r: &mut Router| r.members[1].probed_at = NOW - CHECK_MOST, false)]
 #[case::member_already_fresh(|r: &mut Router| r.members[1].position = NOW, false)]
 #[case::answers_slow(|r: &mut Router| (0..100).for_each(|_| r.slow.add(NOW, SLOW_HALF, 0.9)), false)]
 #[case::another_command_waits(|r: &mut Router| _ = r.sets.get_mut(&1).unwrap().waiting[0].insert((0, Reverse(9))), false)]
-#[case::half_the_timeout_passed(|r: &mut Router| r.open.get_mut(&0).unwrap().patience = NOW, false)]
+#[case::half_the_timeout_passed(|r: &mut Router| r.open.get_mut(&0).unwrap().wait_until = NOW, false)]
 fn read_waits_for_a_probe_only_if_it_can_help(#[case] disturb: impl Fn(&mut Router), #[case] kept: bool) {
     let mut r = read_with_probe_in_flight();
     disturb(&mut r);
@@ -42,11 +42,11 @@
     let mut r = router(&[("rules.start_capacity", "1"), ("rules.tip_multiple", "1.25")]);
     add_open_command(&mut r, "write");
     let cmd = r.open.get_mut(&0).unwrap();
-    (cmd.ends, cmd.patience) = (NOW + 6_000, NOW);
+    (cmd.deadline, cmd.wait_until) = (NOW + 6_000, NOW);
     r.learn_role(NOW, 0, RoleClaim { primary: true, asked: NOW });
-    let target = r.groups.places[r.open[&0].kind].target as f64;
+    let target = r.groups.slots[r.open[&0].group_slot].target as f64;
     let m = &mut r.members[0];
-    (m.started, m.start_known, m.credit, m.credit_at) = (NOW, NOW, credit * target, NOW);
+    (m.started, m.start_learned_at, m.credit, m.credit_updated_at) = (NOW, NOW, credit * target, NOW);
     let rate = target / PAUSE as f64 / COLD_PART / 1.25 * r.nodes.len() as f64;
     r.began = NOW - 100 * USUAL_HALF;
     r.done_work.add(NOW, USUAL_HALF, rate * USUAL_HALF as f64 * std::f64::consts::LOG2_E);
@@ -55,7 +55,7 @@
 }
 
 fn queue_ahead(r: &mut Router, count: u64) {
-    let kind = r.open[&0].kind;
+    let kind = r.open[&0].group_slot;
     (1..=count).for_each(|key| _ = r.sets.get_mut(&1).unwrap().waiting[kind].insert((0, Reverse(key))));
 }
 
@@ -85,14 +85,14 @@
 fn command_for_a_warm_primary_does_not_wait_longer() {
     let mut r = write_for_cold_primary(0.0);
     r.members[0].started = 0;
-    r.members[0].shy_until = NOW + SECOND;
+    r.members[0].paused_until = NOW + SECOND;
     assert!(!keeps_waiting(&mut r, NOW));
 }
 
 /// Other gates are not known to open in time, so the command does not wait for the credit.
 #[rstest]
-#[case::closed_window(|m: &mut Member| m.shy_until = NOW + SECOND)]
-#[case::no_connection(|m: &mut Member| m.dial_at = NOW + SECOND)]
+#[case::closed_window(|m: &mut Member| m.paused_until = NOW + SECOND)]
+#[case::no_connection(|m: &mut Member| m.next_dial_at = NOW + SECOND)]
 fn command_held_by_other_gates_does_not_wait_for_credit(
     #[case] close_gate: impl Fn(&mut Member),
     #[values(0.0, 3.0)] credit: f64,
--- a/src/decide/reads.rs
+++ b/src/decide/reads.rs
@@ -30,7 +30,7 @@
     pub(super) fn pick_reader(&mut self, now: Tenths, set_id: i64, key: u64) -> Option<Node> {
         // Danger: long reads stop a replica from applying commits. They all go to the first by id, so that
         // the others stay fresh.
-        let is_long = self.outlasts(self.open[&key].kind);
+        let is_long = self.outlasts(self.open[&key].group_slot);
         let candidates = self.find_read_candidates(now, set_id, key, is_long)?;
         self.probe_in_turn(now, &candidates);
         if let Some((.., node)) = candidates.best {
@@ -44,8 +44,8 @@
         // that is open to reads.
         let primary = self.primary(set_id)?;
         self.probe_for_clock(now, primary);
-        let has_spare_room =
-            self.members[primary].spare_at <= now && self.has_room(now, primary, PRIMARY_READ_SHARE, 0.0);
+        let has_spare_room = self.members[primary].reads_paused_until <= now
+            && self.has_room(now, primary, PRIMARY_READ_SHARE, 0.0);
         has_spare_room.then_some(primary)
     }
 
@@ -60,32 +60,33 @@
         let (cmd, set) = (&self.open[&key], self.sets.get(&set_id)?);
         // Danger: the list may contain names that are no members. A member listed later that never answered
         // is only probed, when its turn comes, while others work; no read waits for it.
-        let works =
-            |m: &Member| m.met && !m.shut && !matches!(m.state, State::Healthy | State::TransportError);
+        let works = |m: &Member| {
+            m.known_to_exist && !m.excluded && !matches!(m.state, State::Healthy | State::TransportError)
+        };
         let any_working = set.nodes.iter().any(|n| works(&self.members[*n]));
         let mut candidates = ReadCandidates { any_working, ..ReadCandidates::default() };
         for &node in &set.nodes {
             let m = &self.members[node];
             candidates.max_turn = candidates.max_turn.max(m.turn);
-            if m.shut || m.state == State::Healthy {
+            if m.excluded || m.state == State::Healthy {
                 continue;
             }
-            let is_unproven = any_working && !m.met;
+            let is_unproven = any_working && !m.known_to_exist;
             if m.state != State::TransportError && !is_unproven {
                 candidates.working += 1.0;
                 candidates.first_working = candidates.first_working.or(Some(node));
             }
-            let is_sooner = |other: &Option<Turn>| other.is_none_or(|o| (m.turn, m.tie) < (o.0, o.1));
+            let is_sooner = |other: &Option<Turn>| other.is_none_or(|o| (m.turn, m.tie_break) < (o.0, o.1));
             if m.state == State::TransportError || is_unproven || self.fresh_for(now, cmd, m) <= 0 {
                 let slot = if is_unproven { &mut candidates.first_probe } else { &mut candidates.probe };
                 if !m.probing && is_sooner(slot) && self.ask_due(now, m) {
-                    *slot = Some((m.turn, m.tie, node));
+                    *slot = Some((m.turn, m.tie_break, node));
                 }
                 continue;
             }
             let is_better = is_sooner(&candidates.best) && self.has_room(now, node, 1.0, 0.0);
             if is_better && self.lawful_for(now, key, node) > 0 {
-                candidates.best = Some((m.turn, m.tie, node));
+                candidates.best = Some((m.turn, m.tie_break, node));
             }
             if is_long {
                 break;
@@ -117,7 +118,7 @@
         } else {
             1.0 / (1.0 - candidates.working * long_share).max(1.0 / MAX_TURN_LAG)
         };
-        let crosses = !is(&self.told, "zone", &self.members[node].zone);
+        let crosses = !setting_is(&self.settings, "zone", &self.members[node].zone);
         let zone_cost = if crosses {
             self.number_setting("penalties.cross_zone", 0.0) * 100.0 * ZONE_CROSSING_COST
         } else {
@@ -132,11 +133,12 @@
     /// being probed, for half a usual latency at most.
     fn should_wait_for_probe(&self, now: Tenths, set_id: i64, key: u64, any_working: bool) -> bool {
         let cmd = &self.open[&key];
-        let wait = (self.usual(now, cmd.kind) / 2.0) as Tenths;
+        let wait = (self.usual(now, cmd.group_slot) / 2.0) as Tenths;
         let is_probed = |n: &Node| {
             let m = &self.members[*n];
-            let works = !matches!(m.state, State::Healthy | State::TransportError) && (m.met || !any_working);
-            works && m.probing && now < m.asked_at + wait && self.fresh_for(now, cmd, m) <= 0
+            let works = !matches!(m.state, State::Healthy | State::TransportError)
+                && (m.known_to_exist || !any_working);
+            works && m.probing && now < m.probed_at + wait && self.fresh_for(now, cmd, m) <= 0
         };
         self.sets[&set_id].nodes.iter().any(is_probed)
     }
@@ -146,16 +148,16 @@
     /// whose position advanced in between do.
     pub(super) fn probe_for_clock(&mut self, now: Tenths, primary: Node) {
         let m = &self.members[primary];
-        if !self.node_checks && !self.clock.is_confirmed() && m.asked_at + PAUSE <= now {
+        if !self.node_checks && !self.clock.is_confirmed() && m.probed_at + PAUSE <= now {
             self.probe(now, primary);
         }
     }
 
     /// Whether a read of this group may, at twice its latency without load, take longer than the smallest
     /// staleness bound.
-    pub(super) fn outlasts(&self, kind: usize) -> bool {
-        let expected_latency = self.groups.places[kind].target as f64 * UNLOADED_LATENCY_RATIO * 2.0;
-        self.groups.places[kind].access == Access::Any && expected_latency > self.tightest as f64
+    pub(super) fn outlasts(&self, group_slot: usize) -> bool {
+        let expected_latency = self.groups.slots[group_slot].target as f64 * UNLOADED_LATENCY_RATIO * 2.0;
+        self.groups.slots[group_slot].access == Access::Any && expected_latency > self.tightest as f64
     }
 
     /// Whether the member may be probed now. Danger: periodic probes of all members by all routers would
@@ -171,18 +173,19 @@
     /// commands would be refused until the longest backoff is over, 10 s after the members are back. While
     /// none of them works, each is probed again after two seconds.
     pub(super) fn rested(&self, now: Tenths, m: &Member) -> bool {
-        let works = |n: &Node| !self.members[*n].shut && self.members[*n].state != State::TransportError;
+        let works = |n: &Node| !self.members[*n].excluded && self.members[*n].state != State::TransportError;
         let none_works = |set: &MemberSet| !set.nodes.iter().any(works);
-        m.retry_at <= now || (m.asked_at + 2 * SECOND <= now && self.sets.get(&m.set).is_some_and(none_works))
+        m.retry_at <= now
+            || (m.probed_at + 2 * SECOND <= now && self.sets.get(&m.set).is_some_and(none_works))
     }
 
     /// Whether the member takes another dispatch: within `window_share` of its window, or with fewer than
     /// `min_in_flight` in flight. Danger: a primary that is slow but not crowded would be spared until it
     /// idles, although no other member can take its writes; hence `min_in_flight`.
     pub(super) fn has_room(&self, now: Tenths, node: Node, window_share: f64, min_in_flight: f64) -> bool {
-        let (m, out) = (&self.members[node], self.members[node].out.len() as f64);
-        m.dial_at <= now
-            && ((m.shy_until <= now && out < (m.window * window_share).max(1.0))
-                || (m.refused == 0 && out < min_in_flight))
+        let (m, out) = (&self.members[node], self.members[node].in_flight.len() as f64);
+        m.next_dial_at <= now
+            && ((m.paused_until <= now && out < (m.window * window_share).max(1.0))
+                || (m.refused_connections == 0 && out < min_in_flight))
     }
 }
--- a/src/decide/search.rs
+++ b/src/decide/search.rs
@@ -7,13 +7,13 @@
     /// role.
     pub(super) fn probe_for_role(&mut self, now: Tenths, node: Node) {
         let m = &self.members[node];
-        if m.state == State::Healthy && m.roles.may_be_replica() && m.asked_at + PAUSE <= now {
+        if m.state == State::Healthy && m.roles.may_be_replica() && m.probed_at + PAUSE <= now {
             self.probe(now, node);
         }
     }
 
     pub(super) fn primary(&self, set_id: i64) -> Option<Node> {
-        let healthy = |n: &&Node| self.members[**n].state == State::Healthy && !self.members[**n].shut;
+        let healthy = |n: &&Node| self.members[**n].state == State::Healthy && !self.members[**n].excluded;
         self.sets.get(&set_id)?.nodes.iter().find(healthy).copied()
     }
 
@@ -23,9 +23,9 @@
         let can_probe = self.allows("permissions.may_probe");
         let set = self.sets.get_mut(&set_id)?;
         let cmd = self.open.get_mut(&key)?;
-        let group = &self.groups.places[cmd.kind];
+        let group = &self.groups.slots[cmd.group_slot];
         let (write, max_attempts) = (group.access == Access::Write, group.attempts);
-        if !write || set.scout.is_some_and(|s| s != key) || set.round_at > now {
+        if !write || set.searching_write.is_some_and(|s| s != key) || set.next_round_at > now {
             return None;
         }
         let is_eligible = |m: &Member| match m.state {
@@ -33,18 +33,21 @@
             // new connections fail and a working primary stays out of reach, so the listed primary is tried
             // all the same.
             State::TransportError => (!can_probe || m.listed_primary) && m.retry_at <= now,
-            State::TopologyReject => !can_probe || m.noted_at + 5 * PAUSE < now,
+            State::TopologyReject => !can_probe || m.role_received_at + 5 * PAUSE < now,
             _ => true,
         };
         let untried = set.nodes.iter().map(|n| (&self.members[*n], *n)).filter(|(m, n)| {
-            !m.shut && is_eligible(m) && !cmd.tried.contains(n) && cmd.attempts() < max_attempts.div_ceil(2)
+            !m.excluded
+                && is_eligible(m)
+                && !cmd.tried.contains(n)
+                && cmd.attempts() < max_attempts.div_ceil(2)
         });
-        let ranked = untried.map(|(m, n)| (m.state, !m.listed_primary, !m.met, m.tie, n));
+        let ranked = untried.map(|(m, n)| (m.state, !m.listed_primary, !m.known_to_exist, m.tie_break, n));
         // A member that this machine cannot dial at present is waited for.
-        let (paused, dialable): (Vec<_>, Vec<_>) = ranked.partition(|r| self.members[r.4].dial_at > now);
+        let (paused, dialable): (Vec<_>, Vec<_>) = ranked.partition(|r| self.members[r.4].next_dial_at > now);
         if let Some((.., node)) = dialable.into_iter().min() {
             cmd.tried.push(node);
-            set.scout = Some(key);
+            set.searching_write = Some(key);
             return Some(node);
         }
         if !paused.is_empty() {
@@ -53,26 +56,29 @@
         // The round is over: after misses the fixed pause follows, after transport errors a backoff with
         // equal jitter.
         cmd.tried.clear();
-        set.scout = None;
-        let broken = std::mem::take(&mut cmd.broken_round);
+        set.searching_write = None;
+        let broken = std::mem::take(&mut cmd.round_broken);
         set.broken_rounds = if broken { set.broken_rounds + 1 } else { 0 };
         let base = (PAUSE << (set.broken_rounds.clamp(1, 7) - 1)).min(BACKOFF_MAX);
-        self.sets.get_mut(&set_id)?.round_at = now + if broken { self.rng.jittered(base) } else { PAUSE };
+        self.sets.get_mut(&set_id)?.next_round_at =
+            now + if broken { self.rng.jittered(base) } else { PAUSE };
         None
     }
 
     /// While no primary is known, probes the member whose last probe is the longest ago, one per pause.
     pub(super) fn seek(&mut self, now: Tenths, set_id: i64) {
-        let Some(set) = self.sets.get_mut(&set_id).filter(|s| s.seek_at <= now) else { return };
-        set.seek_at = now + PAUSE;
+        let Some(set) = self.sets.get_mut(&set_id).filter(|s| s.next_search_probe_at <= now) else { return };
+        set.next_search_probe_at = now + PAUSE;
         let eligible = self.sets[&set_id].nodes.iter().copied().filter(|n| {
             let m = &self.members[*n];
-            !m.shut && !m.probing && (m.state != State::TransportError || self.rested(now, m))
+            !m.excluded && !m.probing && (m.state != State::TransportError || self.rested(now, m))
         });
         // Danger: a member that never answers would be picked every time, so a probe without an answer counts
         // too.
-        let last_probe = |m: &Member| m.asked_at.max(m.checked_at);
-        if let Some(node) = eligible.min_by_key(|n| (last_probe(&self.members[*n]), self.members[*n].tie)) {
+        let last_probe = |m: &Member| m.probed_at.max(m.checked_at);
+        if let Some(node) =
+            eligible.min_by_key(|n| (last_probe(&self.members[*n]), self.members[*n].tie_break))
+        {
             self.probe(now, node);
         }
     }
@@ -80,8 +86,8 @@
     pub(super) fn probe(&mut self, now: Tenths, node: Node) {
         let allowed = self.allows("permissions.may_probe");
         let m = &mut self.members[node];
-        if allowed && !m.probing && !m.shut {
-            (m.probing, m.asked_at) = (true, now);
+        if allowed && !m.probing && !m.excluded {
+            (m.probing, m.probed_at) = (true, now);
             self.ready.push_back(Decision::Probe { node: m.id.clone() });
         } else if !allowed && m.state == State::TransportError {
             self.set_state(node, State::Unknown, StateReason::NotAsked);
--- a/src/decide/slow_start.rs
+++ b/src/decide/slow_start.rs
@@ -22,7 +22,7 @@
         let rate = self.cold_pace(now, warmth);
         let stored_share = 1.0 / cold_share(warmth) - 1.0;
         let cap = rate * 10.0 * self.number_setting("rules.fall_ms", 1000.0) * stored_share;
-        (m.credit + (now - m.credit_at) as f64 * rate).min(cap.max(self.cheap as f64))
+        (m.credit + (now - m.credit_updated_at) as f64 * rate).min(cap.max(self.cheap as f64))
     }
 
     /// How far a cold member has warmed up, from 0 up to 1; `None` for a warm one.
@@ -51,16 +51,16 @@
     pub(super) fn credit_available_at(&self, now: Tenths, key: u64, primary: Node) -> Option<Tenths> {
         let cmd = &self.open[&key];
         let waits_for_primary =
-            |kind: usize| matches!(self.groups.places[kind].access, Access::Write | Access::Fresh);
-        let m = Some(&self.members[primary]).filter(|_| waits_for_primary(cmd.kind))?;
+            |group_slot: usize| matches!(self.groups.slots[group_slot].access, Access::Write | Access::Fresh);
+        let m = Some(&self.members[primary]).filter(|_| waits_for_primary(cmd.group_slot))?;
         let rate = Some(self.cold_pace(now, self.warmth(now, m)?)).filter(|rate| *rate > 0.0)?;
         let queues = &self.sets.get(&cmd.set)?.waiting;
         let mut work = 0.0;
-        for kind in self.order.iter().copied().filter(|kind| waits_for_primary(*kind)) {
-            let target = self.groups.places[kind].target as f64;
+        for group_slot in self.order.iter().copied().filter(|group_slot| waits_for_primary(*group_slot)) {
+            let target = self.groups.slots[group_slot].target as f64;
             let own_place = (cmd.rank, Reverse(key));
-            let queue = queues.get(kind)?;
-            if kind == cmd.kind {
+            let queue = queues.get(group_slot)?;
+            if group_slot == cmd.group_slot {
                 work += target * (queue.range(..own_place).count() + 1) as f64;
                 break;
             }
@@ -73,7 +73,7 @@
     /// this router has known of the start. Danger: if this machine's clock may be ahead, a member that has
     /// just started would look warm.
     pub(super) fn uptime(&self, now: Tenths, m: &Member) -> Tenths {
-        let known_for = now - m.start_known;
+        let known_for = now - m.start_learned_at;
         let is_unrefuted = now - self.began > UNCONFIRMED_CLOCK_GRACE && !self.clock.is_contradicted();
         let is_trusted = self.clock.is_confirmed() || is_unrefuted;
         if is_trusted { known_for.max(self.clock.now(now) - m.started) } else { known_for }
@@ -86,7 +86,7 @@
         let credit = self.rng.below(self.cheap / 3) as f64;
         let window = (WINDOW_INITIAL / self.number_setting("balancers", 1.0)).max(WINDOW_LEAST);
         let m = &mut self.members[node];
-        (m.started, m.start_known, m.credit, m.credit_at) = (started, now, credit, now);
+        (m.started, m.start_learned_at, m.credit, m.credit_updated_at) = (started, now, credit, now);
         (m.died, m.window) = (false, window);
     }
 }
--- a/src/decide/slow_start/tests.rs
+++ b/src/decide/slow_start/tests.rs
@@ -20,7 +20,7 @@
     r.done_work.add(NOW, USUAL_HALF, ordinary * nodes * USUAL_HALF as f64 * std::f64::consts::LOG2_E);
     let started = NOW - (warmth * 20.0 * SECOND as f64) as Tenths;
     let m = &mut r.members[1];
-    (m.started, m.start_known, m.credit, m.credit_at) = (started, started, f64::MAX, NOW);
+    (m.started, m.start_learned_at, m.credit, m.credit_updated_at) = (started, started, f64::MAX, NOW);
     let held = r.cold_credit(NOW, &r.members[1]);
     let earned = r.cold_pace(NOW, warmth) * span as f64;
     let may = ordinary * (0.2 + 0.8 * warmth) * 2.0 * span as f64;
--- a/src/decide/tests.rs
+++ b/src/decide/tests.rs
@@ -7,8 +7,8 @@
 const ACCESSES: [&str; 5] = ["any", "bounded", "session", "fresh", "write"];
 
 /// Settings with one command group for each access; `extra` adds to them or overrides them.
-pub(super) fn settings(extra: &[(&str, &str)]) -> Told {
-    let mut settings = Told::new();
+pub(super) fn settings(extra: &[(&str, &str)]) -> SettingValues {
+    let mut settings = SettingValues::new();
     let mut set = |name: &str, value: &str| _ = settings.insert(name.to_owned(), value.to_owned());
     set("request_classes.count", "5");
     set("family_info.class_read", "any,bounded,session,fresh,write");
@@ -35,30 +35,40 @@
 /// primary has confirmed its clock.
 pub(super) fn router(extra: &[(&str, &str)]) -> Router {
     let mut router = Router::start(settings(extra), 7, NOW - SECOND).expect("complete settings");
-    router.clock.learn(NOW - SECOND, Evidence::of_primary(NOW - SECOND, NOW - SECOND, NOW - SECOND, 0));
-    let entries: Vec<Entry> = ["a", "b", "c"].iter().map(|id| entry(id, Phase::Up, 0)).collect();
+    router
+        .clock
+        .learn(NOW - SECOND, OffsetEvidence::from_primary(NOW - SECOND, NOW - SECOND, NOW - SECOND, 0));
+    let entries: Vec<MemberEntry> = ["a", "b", "c"].iter().map(|id| entry(id, Phase::Up, 0)).collect();
     router.members_changed(NOW - SECOND, true, &entries);
     router
 }
 
-pub(super) fn entry(id: &str, phase: Phase, started: Tenths) -> Entry {
+pub(super) fn entry(id: &str, phase: Phase, started: Tenths) -> MemberEntry {
     let primary = id == "a";
-    Entry { node: id.into(), zone: "z".into(), machine: "m".into(), set: 1, phase, started, primary }
+    MemberEntry { node: id.into(), zone: "z".into(), machine: "m".into(), set: 1, phase, started, primary }
 }
 
 /// Adds an open command with the given access under the key 0.
 pub(super) fn add_open_command(router: &mut Router, kind: &str) {
-    let kind = ACCESSES.iter().position(|k| *k == kind).expect("a known access");
-    let (ends, patience) = (NOW + 20_000, NOW + 20_000);
-    let cmd = Open { id: "cmd".into(), kind, set: 1, ends, patience, needs: NOW, ..Open::default() };
+    let group_slot = ACCESSES.iter().position(|k| *k == kind).expect("a known access");
+    let (deadline, wait_until) = (NOW + 20_000, NOW + 20_000);
+    let cmd = OpenCommand {
+        id: "cmd".into(),
+        group_slot,
+        set: 1,
+        deadline,
+        wait_until,
+        required_position: NOW,
+        ..OpenCommand::default()
+    };
     router.by_id.insert("cmd".into(), 0);
     router.open.insert(0, cmd);
 }
 
 pub(super) fn dispatch_end(ending: Ending, primary: Option<bool>) -> DispatchEnd {
-    let note = Note { primary, position: 0 };
+    let note = AnswerNote { primary, position: 0 };
     let (report, idled) = (Report::default(), None);
-    DispatchEnd { dispatch: 0, ending, took: 100, idled, over: false, note, report }
+    DispatchEnd { dispatch: 0, ending, took: 100, idled, command_complete: false, note, report }
 }
 
 pub(super) fn probe_end(ending: Ending, report: Report) -> ProbeEnd {
@@ -73,7 +83,7 @@
 #[case::started_recently(1)]
 #[case::started_long_ago(100)]
 fn rate_since_the_start_of_a_stream_covers_only_the_elapsed_time(#[case] elapsed_seconds: Tenths) {
-    let mut sum = Decay::default();
+    let mut sum = DecayingSum::default();
     (0..elapsed_seconds * 100).for_each(|i| sum.add(NOW + i * 100, 10 * SECOND, 100.0));
     let rate = sum.rate_since(NOW + elapsed_seconds * SECOND, 10 * SECOND, NOW);
     assert!((0.95..1.05).contains(&rate), "{rate}");
@@ -88,7 +98,7 @@
             r.members[1].credit
         })
         .collect();
-    assert!(credits.iter().all(|c| *c < r.groups.places[0].target as f64), "{credits:?}");
+    assert!(credits.iter().all(|c| *c < r.groups.slots[0].target as f64), "{credits:?}");
 }
 
 #[rstest]
@@ -104,7 +114,7 @@
 ) {
     let mut r = router(&[("rules.warm_after_ms", "1000000")]);
     let m = &mut r.members[1];
-    (m.state, m.started, m.credit, m.credit_at) = (state, started, 7_000.0, NOW);
+    (m.state, m.started, m.credit, m.credit_updated_at) = (state, started, 7_000.0, NOW);
     r.learn_role(NOW, 1, role_claim(primary, NOW));
     assert_eq!(r.cold_credit(NOW, &r.members[1]), 10.0 * commands_left);
 }
@@ -113,7 +123,7 @@
 #[case(0.0)]
 #[case(1.0)]
 fn decaying_sum_halves_after_each_half_life(#[case] half_lives: f64) {
-    let mut sum = Decay::default();
+    let mut sum = DecayingSum::default();
     sum.add(NOW, 100, 8.0);
     assert_eq!(sum.read(NOW + (100.0 * half_lives) as Tenths, 100), 8.0 / half_lives.exp2());
 }
@@ -131,7 +141,7 @@
 ) {
     let mut r = router(&[]);
     add_open_command(&mut r, "write");
-    r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
+    r.open.get_mut(&0).unwrap().in_flight.insert(0, (1, NOW));
     r.dispatch_ended(NOW, "cmd", dispatch_end(ending, role));
     assert_eq!(r.members[1].state, state);
 }
@@ -168,16 +178,16 @@
     let mut r = router(&[]);
     add_open_command(&mut r, "write");
     let cmd = r.open.get_mut(&0).unwrap();
-    (cmd.tried, cmd.broken_round) = (vec![0, 1, 2], broken);
+    (cmd.tried, cmd.round_broken) = (vec![0, 1, 2], broken);
     r.scout(NOW, 1, 0);
-    assert!((NOW + least..=NOW + most).contains(&r.sets[&1].round_at));
+    assert!((NOW + least..=NOW + most).contains(&r.sets[&1].next_round_at));
 }
 
 #[rstest]
 fn only_one_held_write_per_set_searches_for_the_primary() {
     let mut r = router(&[]);
     add_open_command(&mut r, "write");
-    r.sets.get_mut(&1).unwrap().scout = Some(9);
+    r.sets.get_mut(&1).unwrap().searching_write = Some(9);
     assert_eq!(r.scout(NOW, 1, 0), None);
 }
 
@@ -221,12 +231,12 @@
     #[case] needs: Tenths,
 ) {
     let mut r = router(&[("family_info.token_mode", mode)]);
-    r.sessions.write("s".into(), 77, 0, SESSIONS_LEAST);
+    r.sessions.record_write("s".into(), 77, 0, SESSIONS_LEAST);
     let (id, command_group, session) = ("x".into(), "session".into(), Some("s".into()));
     let (customer, time_left, token_age) = (None, 9_000, age);
     let cmd = Command { id, command_group, customer, set: 1, time_left, token_age, session, repeat: false };
     r.command_arrived(NOW, cmd).unwrap();
-    assert_eq!(r.open[&0].needs, needs);
+    assert_eq!(r.open[&0].required_position, needs);
 }
 
 #[rstest]
@@ -234,10 +244,10 @@
     let mut r = router(&[]);
     add_open_command(&mut r, "write");
     let cmd = r.open.get_mut(&0).unwrap();
-    (cmd.session, cmd.out) = (Some("s".into()), BTreeMap::from([(0, (0, NOW))]));
-    let note = Note { primary: Some(true), position: 500 };
+    (cmd.session, cmd.in_flight) = (Some("s".into()), BTreeMap::from([(0, (0, NOW))]));
+    let note = AnswerNote { primary: Some(true), position: 500 };
     r.dispatch_ended(NOW, "cmd", DispatchEnd { note, ..dispatch_end(Ending::Answered, None) });
-    assert_eq!(r.sessions.written(&Some("s".into()), 0), 501);
+    assert_eq!(r.sessions.last_write(&Some("s".into()), 0), 501);
 }
 
 #[rstest]
@@ -249,7 +259,7 @@
 ) {
     let mut r = router(&[]);
     add_open_command(&mut r, "write");
-    r.open.get_mut(&0).unwrap().maybe_ran = ran;
+    r.open.get_mut(&0).unwrap().may_have_run = ran;
     assert_eq!(r.lawful_for(NOW, 0, 1) > 0, allowed);
 }
 
@@ -267,9 +277,9 @@
 ) {
     let mut r = router(&[]);
     add_open_command(&mut r, "write");
-    r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
+    r.open.get_mut(&0).unwrap().in_flight.insert(0, (1, NOW));
     r.dispatch_ended(NOW, "cmd", dispatch_end(ending, None));
-    assert_eq!(r.open[&0].maybe_ran, ran);
+    assert_eq!(r.open[&0].may_have_run, ran);
 }
 
 #[rstest]
@@ -285,7 +295,7 @@
     let (a, b, c) = (class("semantics"), class("group"), class("window_ms"));
     let mut r = router(&[(&a, effect), (&b, group), (&c, "5000")]);
     add_open_command(&mut r, "write");
-    r.open.get_mut(&0).unwrap().maybe_ran = Some((0, NOW - age));
+    r.open.get_mut(&0).unwrap().may_have_run = Some((0, NOW - age));
     assert_eq!(r.lawful_for(NOW, 0, 1) > 0, allowed);
 }
 
@@ -303,7 +313,7 @@
     let (a, b, c) = (class("semantics"), class("group"), class("window_ms"));
     let mut r = router(&[(&a, "token"), (&b, "all"), (&c, "5000"), ("rules.drain_grace_ms", "500")]);
     add_open_command(&mut r, kind);
-    r.open.get_mut(&0).unwrap().maybe_ran = ran.map(|at| (0, at));
+    r.open.get_mut(&0).unwrap().may_have_run = ran.map(|at| (0, at));
     r.members[1].position = position;
     assert!(r.send(NOW, 0, 1));
     let until = |d: &Decision| if let Decision::Dispatch { until, .. } = d { Some(*until) } else { None };
@@ -318,9 +328,9 @@
     let mut r = router(&[]);
     add_open_command(&mut r, "write");
     let cmd = r.open.get_mut(&0).unwrap();
-    (cmd.patience, cmd.out) = (NOW + 10_000, BTreeMap::from([(0, (0, NOW))]));
+    (cmd.wait_until, cmd.in_flight) = (NOW + 10_000, BTreeMap::from([(0, (0, NOW))]));
     r.dispatch_ended(NOW, "cmd", dispatch_end(ending, None));
-    assert_eq!(r.open[&0].patience, patience);
+    assert_eq!(r.open[&0].wait_until, patience);
 }
 
 #[rstest]
@@ -330,7 +340,7 @@
     let mut r = router(&[]);
     add_open_command(&mut r, "write");
     r.settle(NOW - 1, 0);
-    r.open.get_mut(&0).unwrap().patience = patience;
+    r.open.get_mut(&0).unwrap().wait_until = patience;
     r.settle(NOW, 0);
     assert_eq!(r.ready.iter().filter(|d| matches!(d, Decision::Throttle { .. })).count(), throttles);
 }
@@ -343,7 +353,7 @@
     let (a, b, c) = (class("semantics"), class("group"), class("window_ms"));
     let mut r = router(&[(&a, "token"), (&b, "cell"), (&c, "5000")]);
     add_open_command(&mut r, "write");
-    r.open.get_mut(&0).unwrap().maybe_ran = Some((0, NOW - age));
+    r.open.get_mut(&0).unwrap().may_have_run = Some((0, NOW - age));
     r.settle(NOW, 0);
     assert_eq!(r.ready.iter().filter(|d| matches!(d, Decision::Fail { .. })).count(), failures);
 }
@@ -354,7 +364,7 @@
 fn waiting_command_is_given_up_when_a_timely_answer_is_unlikely(#[case] left: f64, #[case] waits: bool) {
     let mut r = router(&[]);
     add_open_command(&mut r, "any");
-    r.open.get_mut(&0).unwrap().ends = NOW + (r.usual(NOW, 0) * left) as Tenths;
+    r.open.get_mut(&0).unwrap().deadline = NOW + (r.usual(NOW, 0) * left) as Tenths;
     // The first call queues the command, the second decides whether it may go on waiting.
     (0..2).for_each(|_| r.settle(NOW, 0));
     assert_eq!(r.open.contains_key(&0), waits);
@@ -369,7 +379,7 @@
 ) {
     let mut r = router(&[]);
     add_open_command(&mut r, "write");
-    r.open.get_mut(&0).unwrap().maybe_ran = ran;
+    r.open.get_mut(&0).unwrap().may_have_run = ran;
     r.give_up(NOW, 0, GaveUp::Deadline);
     assert_eq!(matches!(r.ready[0], Decision::Throttle { .. }), safe_to_repeat);
 }
@@ -385,10 +395,10 @@
 ) {
     let mut r = router(&[("family_info.server_checks", "wait")]);
     add_open_command(&mut r, "session");
-    r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
-    let note = Note { primary: Some(false), position: NOW - behind };
+    r.open.get_mut(&0).unwrap().in_flight.insert(0, (1, NOW));
+    let note = AnswerNote { primary: Some(false), position: NOW - behind };
     r.dispatch_ended(NOW, "cmd", DispatchEnd { note, ..dispatch_end(Ending::Miss, None) });
-    r.open.get_mut(&0).unwrap().kind = 1;
+    r.open.get_mut(&0).unwrap().group_slot = 1;
     assert_eq!(r.fresh_for(NOW + later, &r.open[&0], &r.members[1]) > 0, fresh);
 }
 
@@ -402,7 +412,7 @@
         router(&[("permissions.retry_after", allowed), heeded, ("request_classes.0.late_value", late)]);
     add_open_command(&mut r, "any");
     r.give_up(NOW, 0, GaveUp::Deadline);
-    assert_eq!(r.ready[0], Decision::Throttle { command: "cmd".into(), hold_off: expected });
+    assert_eq!(r.ready[0], Decision::Throttle { command: "cmd".into(), retry_after: expected });
 }
 
 #[rstest]
@@ -465,7 +475,7 @@
     let mut r = router(&[("rules.soft_removal", soft)]);
     add_open_command(&mut r, "any");
     let cmd = r.open.get_mut(&0).unwrap();
-    (cmd.out, cmd.maybe_ran) = (out.map(|o| (0, o)).into_iter().collect(), ran);
+    (cmd.in_flight, cmd.may_have_run) = (out.map(|o| (0, o)).into_iter().collect(), ran);
     r.members_changed(NOW, false, &[entry("b", Phase::Removed, 0)]);
     assert_eq!((r.knows("b"), r.sets[&1].nodes.contains(&1)), (known, known));
 }
@@ -482,8 +492,10 @@
 ) {
     let mut r = router(&[]);
     r.members_changed(NOW, false, &[entry(id, phase, 0)]);
-    let reported =
-        r.ready.iter().filter_map(|d| if let Decision::Forget { node } = d { Some(&**node) } else { None });
+    let reported = r
+        .ready
+        .iter()
+        .filter_map(|d| if let Decision::ForgetMember { node } = d { Some(&**node) } else { None });
     assert_eq!(reported.collect::<Vec<&str>>(), forgotten);
 }
 
@@ -501,8 +513,8 @@
     #[case] rows: &[(&str, i64, Phase)],
     #[case] affected: &[i64],
 ) {
-    let entries = |rows: &[(&str, i64, Phase)]| -> Vec<Entry> {
-        rows.iter().map(|(id, set, phase)| Entry { set: *set, ..entry(id, *phase, 0) }).collect()
+    let entries = |rows: &[(&str, i64, Phase)]| -> Vec<MemberEntry> {
+        rows.iter().map(|(id, set, phase)| MemberEntry { set: *set, ..entry(id, *phase, 0) }).collect()
     };
     let mut r = router(&[]);
     r.members_changed(NOW, false, &entries(&[("d", 2, Phase::Up), ("e", 2, Phase::Up)]));
@@ -516,9 +528,9 @@
 #[case::member_left(&["b", "c"], &[1, 0])]
 fn tie_ranks_are_recomputed_on_membership_change(#[case] listed: &[&str], #[case] ties: &[usize]) {
     let mut r = router(&[("me", "3")]);
-    let entries: Vec<Entry> = listed.iter().map(|id| entry(id, Phase::Up, 0)).collect();
+    let entries: Vec<MemberEntry> = listed.iter().map(|id| entry(id, Phase::Up, 0)).collect();
     r.members_changed(NOW, true, &entries);
-    let tie = |id: &&str| r.members[r.nodes[*id]].tie;
+    let tie = |id: &&str| r.members[r.nodes[*id]].tie_break;
     assert_eq!(listed.iter().map(tie).collect::<Vec<usize>>(), ties);
 }
 
@@ -548,7 +560,7 @@
     let mut r = router(&[]);
     for ending in [vec![Ending::Reset; broken], vec![Ending::Answered; whole]].concat() {
         add_open_command(&mut r, "any");
-        r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
+        r.open.get_mut(&0).unwrap().in_flight.insert(0, (1, NOW));
         r.dispatch_ended(NOW, "cmd", DispatchEnd { took, idled: Some(3_000), ..dispatch_end(ending, None) });
     }
     assert_eq!(r.idle_most(now), idle_limit);
@@ -569,18 +581,18 @@
 #[case::forgotten(NOW - SESSION_KEPT - 5, NOW - SESSION_KEPT)]
 fn forgotten_session_counts_as_written_at_the_retention_limit(#[case] wrote: Tenths, #[case] needs: Tenths) {
     let mut r = router(&[("family_info.token_mode", "remembered")]);
-    (1..SESSIONS_LEAST).for_each(|i| r.sessions.write(format!("{i}"), 1, 0, SESSIONS_LEAST));
-    r.sessions.write("s".into(), wrote, 0, SESSIONS_LEAST);
+    (1..SESSIONS_LEAST).for_each(|i| r.sessions.record_write(format!("{i}"), 1, 0, SESSIONS_LEAST));
+    r.sessions.record_write("s".into(), wrote, 0, SESSIONS_LEAST);
     add_open_command(&mut r, "write");
     let cmd = r.open.get_mut(&0).unwrap();
-    (cmd.session, cmd.out) = (Some("t".into()), BTreeMap::from([(0, (0, NOW))]));
+    (cmd.session, cmd.in_flight) = (Some("t".into()), BTreeMap::from([(0, (0, NOW))]));
     r.dispatch_ended(NOW, "cmd", dispatch_end(Ending::Answered, None));
     assert!(r.sessions.count() <= 2, "{}", r.sessions.count());
     let (id, command_group, session) = ("x".into(), "session".into(), Some("s".into()));
     let (customer, time_left, token_age, repeat) = (None, 9_000, None, false);
     let cmd = Command { id, command_group, customer, set: 1, time_left, token_age, session, repeat };
     r.command_arrived(NOW, cmd).unwrap();
-    assert_eq!(r.open[&0].needs, needs);
+    assert_eq!(r.open[&0].required_position, needs);
 }
 
 /// The router's clock is behind the members' clock, so the position of a new commit appears to lie in the
@@ -593,22 +605,22 @@
     r.clock = MemberClock::default();
     add_open_command(&mut r, "write");
     let cmd = r.open.get_mut(&0).unwrap();
-    (cmd.session, cmd.out) = (Some("s".into()), BTreeMap::from([(0, (0, NOW - 100))]));
-    let note = Note { primary: Some(true), position: NOW - 20 + ahead };
+    (cmd.session, cmd.in_flight) = (Some("s".into()), BTreeMap::from([(0, (0, NOW - 100))]));
+    let note = AnswerNote { primary: Some(true), position: NOW - 20 + ahead };
     r.dispatch_ended(NOW, "cmd", DispatchEnd { note, ..dispatch_end(Ending::Answered, None) });
-    assert!(r.sessions.written(&Some("s".into()), 0) > NOW - 20 + ahead);
+    assert!(r.sessions.last_write(&Some("s".into()), 0) > NOW - 20 + ahead);
 }
 
 /// Without a token the session's last write may be as recent as the members' clock allows.
 #[rstest]
 fn missing_session_token_requires_the_latest_possible_member_time() {
     let mut r = router(&[("family_info.token_mode", "carried")]);
-    r.clock.learn(NOW, Evidence::of_any(NOW + SECOND, NOW));
+    r.clock.learn(NOW, OffsetEvidence::from_any_member(NOW + SECOND, NOW));
     let (id, command_group) = ("x".into(), "session".into());
     let (customer, time_left, token_age, session, repeat) = (None, 9_000, None, None, false);
     let cmd = Command { id, command_group, customer, set: 1, time_left, token_age, session, repeat };
     r.command_arrived(NOW, cmd).unwrap();
-    assert!(r.open[&0].needs > NOW + SECOND);
+    assert!(r.open[&0].required_position > NOW + SECOND);
 }
 
 #[rstest]
@@ -625,7 +637,7 @@
     let mut r = router(&[("rules.start_capacity", "0.2"), ("rules.warm_after_ms", "18000")]);
     add_open_command(&mut r, "any");
     let m = &mut r.members[1];
-    (m.started, m.credit, m.credit_at) = (started, credit, NOW - 100);
+    (m.started, m.credit, m.credit_updated_at) = (started, credit, NOW - 100);
     r.done_work.add(NOW, USUAL_HALF, usual);
     assert_eq!(r.lawful_for(NOW, 0, 1) > 0, allowed);
 }
@@ -652,11 +664,11 @@
 #[rstest]
 #[case::first_has_room(0, Some(1))]
 #[case::first_is_full(NOW + 1, None)]
-fn long_reads_use_only_the_first_replica(#[case] shy_until: Tenths, #[case] node: Option<Node>) {
+fn long_reads_use_only_the_first_replica(#[case] paused_until: Tenths, #[case] node: Option<Node>) {
     let mut r = router(&[("request_classes.0.aim_ms", "2000")]);
     add_open_command(&mut r, "any");
-    (r.members[0].state, r.members[0].shy_until) = (State::Healthy, NOW + 1);
-    (r.members[1].turn, r.members[1].shy_until) = (9.0, shy_until);
+    (r.members[0].state, r.members[0].paused_until) = (State::Healthy, NOW + 1);
+    (r.members[1].turn, r.members[1].paused_until) = (9.0, paused_until);
     assert_eq!(r.pick_reader(NOW, 1, 0), node);
 }
 
@@ -700,7 +712,7 @@
 ) {
     let mut r = router(&[]);
     add_open_command(&mut r, "bounded");
-    (r.members[0].state, r.members[2].shut) = (State::Healthy, true);
+    (r.members[0].state, r.members[2].excluded) = (State::Healthy, true);
     (r.members[1].position, r.members[1].checked_at) = (position, checked);
     assert_eq!(r.pick_reader(NOW, 1, 0), node);
 }
@@ -716,9 +728,9 @@
 ) {
     let mut r = router(&[]);
     add_open_command(&mut r, "bounded");
-    (r.members[0].state, r.members[2].shut) = (State::Healthy, true);
+    (r.members[0].state, r.members[2].excluded) = (State::Healthy, true);
     let m = &mut r.members[1];
-    (m.probing, m.asked_at, m.state) = (true, NOW - since, state);
+    (m.probing, m.probed_at, m.state) = (true, NOW - since, state);
     assert_eq!(r.pick_reader(NOW, 1, 0), node);
 }
 
@@ -729,7 +741,7 @@
     let mut r = router(&[]);
     add_open_command(&mut r, "any");
     r.members[0].state = State::Healthy;
-    (r.members[2].met, r.members[1].turn, r.members[2].turn) = (false, 1.0, turn);
+    (r.members[2].known_to_exist, r.members[1].turn, r.members[2].turn) = (false, 1.0, turn);
     assert_eq!((r.pick_reader(NOW, 1, 0), r.ready.len()), (Some(1), probes));
 }
 
@@ -738,7 +750,7 @@
 #[case::answered_before(true, PAUSE)]
 fn unproven_member_gets_the_longest_backoff(#[case] met: bool, #[case] least: Tenths) {
     let mut r = router(&[]);
-    (r.members[1].met, r.members[1].fails) = (met, 1);
+    (r.members[1].known_to_exist, r.members[1].failures) = (met, 1);
     r.probe_ended(NOW, "b", probe_end(Ending::TimedOut, Report::default()));
     assert!((NOW + least..NOW + 2 * least).contains(&r.members[1].retry_at));
 }
@@ -751,7 +763,7 @@
 fn some_member_is_probed_soon_while_none_works(#[case] met: bool, #[case] fails: u32) {
     let mut r = router(&[]);
     for node in 0..3 {
-        (r.members[node].met, r.members[node].fails) = (met, fails);
+        (r.members[node].known_to_exist, r.members[node].failures) = (met, fails);
         r.break_member(NOW, node);
     }
     add_open_command(&mut r, "any");
@@ -793,7 +805,7 @@
     let mut r = router(&[]);
     r.members.iter_mut().for_each(|m| m.state = others);
     let m = &mut r.members[1];
-    (m.state, m.retry_at, m.asked_at) = (State::TransportError, NOW + 5 * SECOND, asked_at);
+    (m.state, m.retry_at, m.probed_at) = (State::TransportError, NOW + 5 * SECOND, asked_at);
     assert_eq!(r.rested(NOW, &r.members[1]), rested);
 }
 
@@ -818,11 +830,11 @@
     r.agenda.clear();
     r.settle_at(NOW - 1, 0);
     let cmd = r.open.get_mut(&0).expect("open");
-    (cmd.patience, cmd.dispatches) = (NOW - 10, 1);
-    cmd.out.insert(0, (1, NOW - 100));
+    (cmd.wait_until, cmd.dispatches) = (NOW - 10, 1);
+    cmd.in_flight.insert(0, (1, NOW - 100));
     r.members[0].state = State::Healthy;
     r.dispatch_ended(NOW, "cmd", dispatch_end(Ending::Miss, Some(false)));
-    r.open.get_mut(&0).expect("open").ends = NOW + 100;
+    r.open.get_mut(&0).expect("open").deadline = NOW + 100;
     let sent = r.next_decision(NOW);
     assert!(matches!(&sent, Some(Decision::Dispatch { node, .. }) if &**node == "a"), "{sent:?}");
 }
@@ -831,9 +843,9 @@
 fn primary_search_probes_the_least_recently_probed_member() {
     let mut r = router(&[]);
     add_open_command(&mut r, "write");
-    (r.members[0].asked_at, r.members[0].checked_at) = (NOW, 0);
+    (r.members[0].probed_at, r.members[0].checked_at) = (NOW, 0);
     r.members[1].checked_at = NOW - PAUSE;
-    r.members[2].asked_at = NOW;
+    r.members[2].probed_at = NOW;
     r.seek(NOW, 1);
     assert_eq!(r.ready.pop_front(), Some(Decision::Probe { node: "b".into() }));
 }
@@ -871,8 +883,8 @@
 #[case::older_than_the_note(NOW - 1, State::TopologyReject)]
 fn answer_note_overrides_an_older_report(#[case] position: Tenths, #[case] state: State) {
     let mut r = router(&[]);
-    (r.members[1].noted_at, r.members[1].state) = (NOW, State::TopologyReject);
-    r.members[1].roles.claims_replica(NOW, NOW);
+    (r.members[1].role_received_at, r.members[1].state) = (NOW, State::TopologyReject);
+    r.members[1].roles.record_replica_claim(NOW, NOW);
     r.learn_report(NOW + 2, NOW + 2, 1, Report { primary: Some(true), position: Some(position) });
     assert_eq!(r.members[1].state, state);
 }
@@ -883,10 +895,10 @@
 fn silent_member_is_distinguished_from_one_heavy_command(#[case] overdue: u32, #[case] state: State) {
     let mut r = router(&[]);
     add_open_command(&mut r, "write");
-    (r.members[0].state, r.members[0].heard) = (State::Healthy, NOW - 9_000);
+    (r.members[0].state, r.members[0].last_message_at) = (State::Healthy, NOW - 9_000);
     let sent = NOW - (r.usual(NOW, 4) * 3.0) as Tenths;
-    r.open.get_mut(&0).unwrap().out.insert(0, (0, sent));
-    r.members[0].out = (0..overdue).map(|i| ((0, i), sent)).collect();
+    r.open.get_mut(&0).unwrap().in_flight.insert(0, (0, sent));
+    r.members[0].in_flight = (0..overdue).map(|i| ((0, i), sent)).collect();
     r.overdue(NOW, 0, 0);
     assert_eq!(r.members[0].state, state);
 }
@@ -898,8 +910,8 @@
     let mut r = router(&[]);
     add_open_command(&mut r, "any");
     let sent = NOW - 3_000;
-    r.open.get_mut(&0).unwrap().out.insert(0, (1, sent));
-    (r.members[1].heard, r.members[1].checked_at) = (NOW - 90_000, checked_at);
+    r.open.get_mut(&0).unwrap().in_flight.insert(0, (1, sent));
+    (r.members[1].last_message_at, r.members[1].checked_at) = (NOW - 90_000, checked_at);
     r.overdue(NOW, 0, 0);
     assert_eq!(r.ready.iter().filter(|d| matches!(d, Decision::Probe { .. })).count(), probes);
 }
@@ -919,7 +931,7 @@
     let mut r = router(&[("permissions.dial_timeout_ms", "250")]);
     add_open_command(&mut r, "write");
     r.members[0].state = State::Healthy;
-    r.open.get_mut(&0).unwrap().out.insert(0, (0, NOW));
+    r.open.get_mut(&0).unwrap().in_flight.insert(0, (0, NOW));
     r.dispatch_ended(NOW, "cmd", DispatchEnd { took, ..dispatch_end(Ending::ConnectFailed, None) });
     assert_eq!((r.members[0].state, r.has_room(NOW, 0, 1.0, 0.0)), (state, state != State::Healthy));
 }
@@ -940,7 +952,7 @@
     let mut r = router(&[("permissions.may_probe", may_probe)]);
     add_open_command(&mut r, "write");
     r.members[0].state = before;
-    r.open.get_mut(&0).unwrap().out.insert(0, (0, NOW));
+    r.open.get_mut(&0).unwrap().in_flight.insert(0, (0, NOW));
     r.dispatch_ended(NOW, "cmd", dispatch_end(Ending::Reset, None));
     probes.iter().for_each(|ending| r.probe_ended(NOW, "a", probe_end(*ending, Report::default())));
     assert_eq!((r.members[0].state, r.members[0].died), (state, died));
@@ -954,7 +966,7 @@
     (r.agenda, r.dirty) = Default::default();
     r.scarce.add(NOW, USUAL_HALF, refusals);
     r.used.insert(1);
-    assert_eq!(r.next_decision(NOW) == Some(Decision::LetGo { node: "b".into() }), closed);
+    assert_eq!(r.next_decision(NOW) == Some(Decision::CloseIdle { node: "b".into() }), closed);
 }
 
 #[rstest]
@@ -964,7 +976,7 @@
     r.used.insert(1);
     r.members_changed(NOW, false, &[entry("b", Phase::Removed, 0)]);
     let decisions: Vec<Decision> = std::iter::from_fn(|| r.next_decision(NOW)).collect();
-    assert!(!decisions.iter().any(|d| matches!(d, Decision::LetGo { .. })), "{decisions:?}");
+    assert!(!decisions.iter().any(|d| matches!(d, Decision::CloseIdle { .. })), "{decisions:?}");
 }
 
 #[rstest]
@@ -974,11 +986,11 @@
     let mut r = router(&[]);
     add_open_command(&mut r, "write");
     let sent = NOW - 10_000;
-    r.open.get_mut(&0).unwrap().out.insert(0, (0, sent));
-    r.members[0].out.insert((0, 0), sent);
-    (r.members[0].heard, r.members[0].checked_at) = (sent - 1, checked_at);
+    r.open.get_mut(&0).unwrap().in_flight.insert(0, (0, sent));
+    r.members[0].in_flight.insert((0, 0), sent);
+    (r.members[0].last_message_at, r.members[0].checked_at) = (sent - 1, checked_at);
     r.overdue(NOW, 0, 0);
-    assert_eq!(r.members[0].out.is_empty(), left);
+    assert_eq!(r.members[0].in_flight.is_empty(), left);
 }
 
 #[rstest]
@@ -986,7 +998,7 @@
 #[case::second_loss(1, State::TransportError)]
 fn single_lost_probe_does_not_break_a_member(#[case] fails: u32, #[case] state: State) {
     let mut r = router(&[]);
-    (r.members[0].state, r.members[0].fails) = (State::Healthy, fails);
+    (r.members[0].state, r.members[0].failures) = (State::Healthy, fails);
     r.probe_ended(NOW, "a", probe_end(Ending::TimedOut, Report::default()));
     assert_eq!(r.members[0].state, state);
 }
@@ -1005,8 +1017,9 @@
     let mut r = router(&[("balancers", routers)]);
     add_open_command(&mut r, "write");
     let m = &mut r.members[0];
-    (m.state, m.window, m.shy_until, m.refused) = (State::Healthy, WINDOW_LEAST, NOW + 500, refused);
-    m.out = (1..=out).map(|key| ((key, 0), NOW)).collect();
+    (m.state, m.window, m.paused_until, m.refused_connections) =
+        (State::Healthy, WINDOW_LEAST, NOW + 500, refused);
+    m.in_flight = (1..=out).map(|key| ((key, 0), NOW)).collect();
     assert_eq!(r.offer(NOW, 1, 0), sent);
 }
 
@@ -1014,7 +1027,7 @@
 fn window_of_a_full_member_is_halved() {
     let mut r = router(&[]);
     add_open_command(&mut r, "any");
-    r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
+    r.open.get_mut(&0).unwrap().in_flight.insert(0, (1, NOW));
     r.members[1].window = 8.0;
     r.dispatch_ended(NOW, "cmd", dispatch_end(Ending::Full, None));
     assert_eq!(r.members[1].window, 4.0);
@@ -1026,7 +1039,7 @@
 fn window_follows_latency(#[case] ending: Ending, #[case] took: Tenths, #[case] grows: bool) {
     let mut r = router(&[]);
     add_open_command(&mut r, "any");
-    r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
+    r.open.get_mut(&0).unwrap().in_flight.insert(0, (1, NOW));
     r.members[1].window = 1.5;
     r.dispatch_ended(NOW, "cmd", DispatchEnd { took, ..dispatch_end(ending, None) });
     assert_eq!(r.members[1].window > 1.5, grows);
@@ -1057,12 +1070,12 @@
     let number = r.open[&0].set;
     (0..50).for_each(|_| r.slow.add(NOW, SLOW_HALF, all));
     let set = r.sets.get_mut(&number).unwrap();
-    (0..6).filter(|_| !own.is_nan()).for_each(|_| set.slow.add(NOW, SET_HALF, own));
+    (0..6).filter(|_| !own.is_nan()).for_each(|_| set.slowness.add(NOW, SET_HALF, own));
     // The router has no allowance left, so the pace alone would hold the command back.
     (r.pace, r.paced_at, r.allowance) = (PACE_LEAST, NOW, -1e9);
     r.settle(NOW, 0);
     r.serve(NOW, number);
-    assert_eq!(r.open[&0].out.is_empty(), paced);
+    assert_eq!(r.open[&0].in_flight.is_empty(), paced);
 }
 
 #[rstest]
@@ -1078,7 +1091,7 @@
     add_open_command(&mut r, "any");
     (0..20).for_each(|_| r.cured.add(NOW, USUAL_HALF, cured));
     let cmd = r.open.get_mut(&0).unwrap();
-    (cmd.out, cmd.erred) = (BTreeMap::from([(0, (1, NOW))]), erred);
+    (cmd.in_flight, cmd.had_error) = (BTreeMap::from([(0, (1, NOW))]), erred);
     r.dispatch_ended(NOW, "cmd", dispatch_end(Ending::Error, None));
     r.settle(NOW, 0);
     assert_eq!(r.ready.iter().any(|d| matches!(d, Decision::Throttle { .. })), given_up);
@@ -1103,7 +1116,7 @@
 fn window_below_one_pauses_dispatches(#[case] window: f64, #[case] has_room: bool) {
     let mut r = router(&[]);
     add_open_command(&mut r, "any");
-    r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
+    r.open.get_mut(&0).unwrap().in_flight.insert(0, (1, NOW));
     r.members[1].window = window;
     r.dispatch_ended(NOW, "cmd", DispatchEnd { took: 2_000, ..dispatch_end(Ending::Answered, None) });
     assert_eq!(r.has_room(NOW, 1, 1.0, 0.0), has_room);
@@ -1117,7 +1130,7 @@
     let mut r = router(&[("rules.ask_every_ms", "10000"), ("membership_mode", mode)]);
     r.list_fails = fails;
     r.list_failed(NOW);
-    assert!(r.agenda.iter().any(|(at, task)| *task == Task::Watch && *at > NOW && *at < NOW + SECOND));
+    assert!(r.agenda.iter().any(|(at, task)| *task == Task::WatchMembers && *at > NOW && *at < NOW + SECOND));
 }
 
 #[rstest]
@@ -1131,7 +1144,7 @@
 
 #[rstest]
 fn error_names_the_invalid_setting() {
-    let settings = Told::from([("request_classes.count".to_owned(), "many".to_owned())]);
+    let settings = SettingValues::from([("request_classes.count".to_owned(), "many".to_owned())]);
     let error = Router::start(settings, 1, NOW).err().expect("no start");
     assert!(error.contains("request_classes.count") && error.contains("many"));
 }
@@ -1149,7 +1162,7 @@
     let mut r = router(&[("balancers", balancers)]);
     r.agenda.clear();
     r.members_changed(NOW, false, &[entry(id, Phase::Up, started)]);
-    assert_eq!(r.agenda.iter().filter(|(_, task)| matches!(task, Task::Ask(_))).count(), probes);
+    assert_eq!(r.agenda.iter().filter(|(_, task)| matches!(task, Task::Probe(_))).count(), probes);
 }
 
 #[rstest]
@@ -1158,7 +1171,7 @@
 fn timeouts_do_not_shrink_a_window_below_the_minimum(#[case] balancers: &str, #[case] least: f64) {
     let mut r = router(&[("balancers", balancers)]);
     add_open_command(&mut r, "any");
-    r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
+    r.open.get_mut(&0).unwrap().in_flight.insert(0, (1, NOW));
     r.members[1].window = least;
     r.dispatch_ended(NOW, "cmd", DispatchEnd { took: 20_000, ..dispatch_end(Ending::TimedOut, None) });
     assert!((r.members[1].window - least).abs() < 1e-9, "window {}", r.members[1].window);
@@ -1170,11 +1183,11 @@
 fn idle_connections_are_closed_when_a_working_member_refuses(#[case] refused: u32, #[case] closed: usize) {
     let mut r = router(&[]);
     for _ in 0..2 {
-        r.members[1].refused = refused;
+        r.members[1].refused_connections = refused;
         r.probe_ended(NOW, "b", probe_end(Ending::Answered, Report::default()));
     }
     let all = std::iter::from_fn(|| r.next_decision(NOW));
-    assert_eq!(all.filter(|d| matches!(d, Decision::LetGo { .. })).count(), closed);
+    assert_eq!(all.filter(|d| matches!(d, Decision::CloseIdle { .. })).count(), closed);
 }
 
 #[rstest]
@@ -1184,7 +1197,7 @@
     r.used.insert(1);
     r.members_changed(NOW, false, &[entry("b", Phase::Removed, 0)]);
     (r.agenda, r.dirty) = Default::default();
-    assert_eq!(r.next_decision(NOW), Some(Decision::Forget { node: "b".into() }));
+    assert_eq!(r.next_decision(NOW), Some(Decision::ForgetMember { node: "b".into() }));
     assert_eq!(r.next_decision(NOW), None);
 }
 
@@ -1193,7 +1206,7 @@
     let mut r = router(&[]);
     add_open_command(&mut r, "any");
     r.members[0].state = State::Healthy;
-    (r.members[1].tie, r.members[2].tie) = (1, 0);
+    (r.members[1].tie_break, r.members[2].tie_break) = (1, 0);
     assert_eq!(r.pick_reader(NOW, 1, 0), Some(2));
 }
 
@@ -1207,9 +1220,9 @@
 ) {
     let mut r = router(&[]);
     add_open_command(&mut r, "any");
-    (1..3).for_each(|n| r.members[n].shut = true);
+    (1..3).for_each(|n| r.members[n].excluded = true);
     (r.members[0].state, r.members[0].window) = (State::Healthy, 0.25);
-    r.open.get_mut(&0).unwrap().out.insert(0, (0, NOW));
+    r.open.get_mut(&0).unwrap().in_flight.insert(0, (0, NOW));
     r.dispatch_ended(NOW, "cmd", dispatch_end(Ending::Answered, Some(true)));
     assert_eq!(r.has_room(NOW + elapsed, 0, 1.0, 0.0), has_room);
     assert_eq!(r.pick_reader(NOW + elapsed, 1, 0).is_some(), read_sent);
@@ -1227,8 +1240,8 @@
     add_open_command(&mut r, "bounded");
     r.members[1].state = State::Healthy;
     noted.into_iter().for_each(|primary| match primary {
-        true => _ = r.members[1].roles.claims_primary(NOW - 2),
-        false => r.members[1].roles.claims_replica(NOW - 2, NOW - 2),
+        true => _ = r.members[1].roles.record_primary_claim(NOW - 2),
+        false => r.members[1].roles.record_replica_claim(NOW - 2, NOW - 2),
     });
     r.learn_report(NOW - 1, NOW - 1, 1, Report { primary: Some(true), position: Some(NOW - 90 * SECOND) });
     assert_eq!(r.lawful_for(NOW, 0, 1) > 0, allowed);
@@ -1260,9 +1273,9 @@
 fn client_departure_calls_off_dispatches_as_permitted(#[case] cancel: &str, #[case] written: bool) {
     let mut r = router(&[("permissions.cancel", cancel)]);
     add_open_command(&mut r, "any");
-    r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
+    r.open.get_mut(&0).unwrap().in_flight.insert(0, (1, NOW));
     r.command_left("cmd");
-    let call_off = Decision::CallOff { command: "cmd".into(), dispatch: 0, written };
+    let call_off = Decision::CancelDispatch { command: "cmd".into(), dispatch: 0, written };
     assert_eq!(r.ready, [call_off]);
 }
 
@@ -1275,11 +1288,11 @@
 #[case::recovered_after_death(|r: &mut Router| r.restarted(NOW + 1, NOW + 1, 1), false)]
 #[case::recovered_at_the_same_time(|r: &mut Router| r.restarted(NOW, NOW, 1), false)]
 #[case::client_left(|r: &mut Router| r.command_left("cmd"), false)]
-#[case::deadline_passed(|r: &mut Router| r.open.get_mut(&0).unwrap().ends = NOW + 2, false)]
+#[case::deadline_passed(|r: &mut Router| r.open.get_mut(&0).unwrap().deadline = NOW + 2, false)]
 fn dispatch_is_checked_again_before_its_write(#[case] change: impl Fn(&mut Router), #[case] allowed: bool) {
     let mut r = router(&[]);
     add_open_command(&mut r, "any");
-    r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW));
+    r.open.get_mut(&0).unwrap().in_flight.insert(0, (1, NOW));
     change(&mut r);
     assert_eq!(r.may_write(NOW + 2, "cmd", 0), allowed);
 }
@@ -1291,14 +1304,14 @@
 #[case::primary_would_have_handed_over(1, NOW - 5, State::Healthy, true)]
 fn rejecting_replica_may_be_draining_while_list_fetches_fail(
     #[case] list_fails: u32,
-    #[case] turned_away: Tenths,
+    #[case] rejected_at: Tenths,
     #[case] state: State,
     #[case] allowed: bool,
 ) {
     let mut r = router(&[]);
     add_open_command(&mut r, "any");
     r.list_fails = list_fails;
-    (r.members[1].turned_away, r.members[1].state) = (turned_away, state);
+    (r.members[1].rejected_at, r.members[1].state) = (rejected_at, state);
     assert_eq!(r.lawful_for(NOW, 0, 1) > 0, allowed);
 }
 
@@ -1314,10 +1327,10 @@
 ) {
     let mut r = router(&[]);
     add_open_command(&mut r, "any");
-    r.members[1].turned_away = before;
-    r.open.get_mut(&0).unwrap().out.insert(0, (1, sent));
+    r.members[1].rejected_at = before;
+    r.open.get_mut(&0).unwrap().in_flight.insert(0, (1, sent));
     r.dispatch_ended(NOW, "cmd", dispatch_end(ending, None));
-    assert_eq!(r.members[1].turned_away, after);
+    assert_eq!(r.members[1].rejected_at, after);
 }
 
 #[rstest]
@@ -1341,23 +1354,23 @@
 #[case::late_share("request_classes.4.late_value", "0")]
 #[case::benefit("request_classes.4.importance", "9")]
 #[case::attempts("permissions.max_attempts", "1")]
-#[case::hold_off("permissions.retry_after", "false")]
+#[case::retry_after("permissions.retry_after", "false")]
 #[case::name("request_classes.4.name", "other")]
 #[case::dropped("request_classes.count", "4")]
 fn open_command_keeps_its_group_across_reconfiguration(#[case] name: &str, #[case] value: &str) {
     let mut r = router(&[]);
     add_open_command(&mut r, "write");
-    let group = r.groups.places[4].clone();
+    let group = r.groups.slots[4].clone();
     r.reconfigure(settings(&[(name, value)])).expect("complete settings");
-    assert_eq!(r.groups.places[r.open[&0].kind], group);
-    assert_ne!(r.groups.named.get("write"), Some(&4));
+    assert_eq!(r.groups.slots[r.open[&0].group_slot], group);
+    assert_ne!(r.groups.slots_by_name.get("write"), Some(&4));
     assert_eq!(r.order[0], 4, "the group of the open command stays first in the order: {:?}", r.order);
 }
 
 #[rstest]
-#[case::effect("request_classes.4.semantics", "pure", |r: &Router, at: usize| r.groups.places[at].effect == Effect::Replayable)]
-#[case::target("request_classes.4.aim_ms", "50", |r: &Router, at: usize| r.groups.places[at].target == 500)]
-#[case::attempts("permissions.max_attempts", "1", |r: &Router, at: usize| r.groups.places[at].attempts == 1)]
+#[case::effect("request_classes.4.semantics", "pure", |r: &Router, at: usize| r.groups.slots[at].effect == Effect::Replayable)]
+#[case::target("request_classes.4.aim_ms", "50", |r: &Router, at: usize| r.groups.slots[at].target == 500)]
+#[case::attempts("permissions.max_attempts", "1", |r: &Router, at: usize| r.groups.slots[at].attempts == 1)]
 #[case::cheapest("request_classes.4.aim_ms", "50", |r: &Router, _: usize| r.cheap == 1_500)]
 #[case::tightest("family_info.lag_allowed_ms", "0,40,0,0,0", |r: &Router, _: usize| r.tightest == 400)]
 #[case::many_routers("balancers", "100", |r: &Router, _: usize| r.least < WINDOW_LEAST)]
@@ -1370,7 +1383,7 @@
 ) {
     let mut r = router(&[]);
     r.reconfigure(settings(&[(name, value)])).expect("complete settings");
-    assert!(applied(&r, r.groups.named["write"]));
+    assert!(applied(&r, r.groups.slots_by_name["write"]));
 }
 
 #[rstest]
@@ -1386,10 +1399,11 @@
 #[case::missing_share("projects.count", "1")]
 fn rejected_settings_leave_the_router_unchanged(#[case] name: &str, #[case] value: &str) {
     let mut r = router(&[]);
-    let before = (r.told.clone(), r.groups.places.clone(), r.groups.named.clone(), r.order.clone());
+    let before =
+        (r.settings.clone(), r.groups.slots.clone(), r.groups.slots_by_name.clone(), r.order.clone());
     let result = r.reconfigure(settings(&[("request_classes.0.aim_ms", "77"), (name, value)]));
     assert!(result.is_err());
-    assert_eq!((r.told, r.groups.places, r.groups.named, r.order), before);
+    assert_eq!((r.settings, r.groups.slots, r.groups.slots_by_name, r.order), before);
 }
 
 #[rstest]
@@ -1401,7 +1415,7 @@
     (0..100).for_each(|i| {
         r.reconfigure(settings(if i % 2 == 0 { change } else { &[] })).expect("complete settings")
     });
-    assert!(r.groups.places.len() <= most, "{}", r.groups.places.len());
+    assert!(r.groups.slots.len() <= most, "{}", r.groups.slots.len());
 }
 
 #[rstest]
@@ -1409,12 +1423,12 @@
     let share = |share| [("projects.count", "1"), ("projects.0.name", "acme"), ("projects.0.share", share)];
     let mut r = router(&share("0.5"));
     r.beyond_share(NOW, "acme");
-    r.groups.places[0].latency.add(NOW, USUAL_HALF, 900.0);
+    r.groups.slots[0].latency.add(NOW, USUAL_HALF, 900.0);
     let (usual, counted) = (r.usual(NOW, 0), r.shares["acme"].1);
     let (count, name, share) = ("projects.count", "projects.0.name", "projects.0.share");
     let change = [(count, "1"), (name, "acme"), (share, "0.2"), ("request_classes.0.importance", "3")];
     r.reconfigure(settings(&change)).expect("complete settings");
-    assert_eq!((r.usual(NOW, r.groups.named["any"]), r.shares["acme"]), (usual, (0.2, counted)));
+    assert_eq!((r.usual(NOW, r.groups.slots_by_name["any"]), r.shares["acme"]), (usual, (0.2, counted)));
 }
 
 #[rstest]
@@ -1424,7 +1438,7 @@
     let mut r = router(&[]);
     add_open_command(&mut r, "write");
     let change = settings(&[("request_classes.4.importance", benefit)]);
-    let behind = |r: &Router| r.order.iter().rev().position(|place| *place == r.groups.named["any"]);
+    let behind = |r: &Router| r.order.iter().rev().position(|place| *place == r.groups.slots_by_name["any"]);
     let alone = Router::start(change.clone(), 7, NOW).expect("complete settings");
     r.reconfigure(change).expect("complete settings");
     assert_eq!(behind(&r), behind(&alone));
@@ -1435,7 +1449,7 @@
     add_open_command(r, "write");
     let cmd = r.open.get_mut(&0).unwrap();
     (cmd.dispatches, cmd.tried) = (1, vec![1]);
-    cmd.out.insert(0, (1, NOW));
+    cmd.in_flight.insert(0, (1, NOW));
     r.dispatch_ended(NOW, "cmd", dispatch_end(Ending::NotDialled, None));
 }
 
@@ -1445,9 +1459,9 @@
     r.members[1].state = State::Healthy;
     fail_local_dial(&mut r);
     let (cmd, m) = (&r.open[&0], &r.members[1]);
-    assert_eq!((cmd.attempts(), cmd.maybe_ran, cmd.broken_round, cmd.tried.len()), (0, None, false, 0));
-    assert_eq!((m.state, m.refused, m.fails, m.died), (State::Healthy, 0, 0, false));
-    assert!(m.dial_at > NOW && m.dial_at <= NOW + 20, "{}", m.dial_at - NOW);
+    assert_eq!((cmd.attempts(), cmd.may_have_run, cmd.round_broken, cmd.tried.len()), (0, None, false, 0));
+    assert_eq!((m.state, m.refused_connections, m.failures, m.died), (State::Healthy, 0, 0, false));
+    assert!(m.next_dial_at > NOW && m.next_dial_at <= NOW + 20, "{}", m.next_dial_at - NOW);
 }
 
 #[rstest]
@@ -1456,20 +1470,20 @@
 fn local_dial_failure_is_retried_after_a_pause(#[case] later: Tenths, #[case] expected: Option<Node>) {
     let mut r = router(&[]);
     (r.members[0].state, r.members[2].state) = (State::TopologyReject, State::TopologyReject);
-    (r.members[0].noted_at, r.members[2].noted_at) = (NOW, NOW);
+    (r.members[0].role_received_at, r.members[2].role_received_at) = (NOW, NOW);
     fail_local_dial(&mut r);
     assert_eq!(r.scout(NOW + later, 1, 0), expected);
-    assert!(r.sets[&1].round_at <= NOW, "the round is not over");
+    assert!(r.sets[&1].next_round_at <= NOW, "the round is not over");
 }
 
 #[rstest]
 fn probe_with_a_local_dial_failure_is_repeated_and_not_held_against_the_member() {
     let mut r = router(&[]);
-    (r.members[1].refused, r.members[1].probing) = (1, true);
+    (r.members[1].refused_connections, r.members[1].probing) = (1, true);
     r.probe_ended(NOW, "b", probe_end(Ending::NotDialled, Report::default()));
     let m = &r.members[1];
-    assert_eq!((m.state, m.fails, m.died, m.probing), (State::Unknown, 0, false, false));
-    assert!(r.agenda.contains(&(m.dial_at, Task::Ask(1))));
+    assert_eq!((m.state, m.failures, m.died, m.probing), (State::Unknown, 0, false, false));
+    assert!(r.agenda.contains(&(m.next_dial_at, Task::Probe(1))));
 }
 
 #[rstest]
@@ -1487,7 +1501,7 @@
     let mut r = router(&[]);
     r.probe_ended(NOW, "b", probe_end(Ending::NotDialled, Report::default()));
     r.probe_ended(NOW, "b", probe_end(Ending::Answered, Report::default()));
-    assert_eq!((r.members[1].local_errors, r.members[1].dial_at), (0, 0));
+    assert_eq!((r.members[1].dial_failures, r.members[1].next_dial_at), (0, 0));
 }
 
 #[rstest]
@@ -1497,10 +1511,10 @@
     let mut r = router(&[]);
     add_open_command(&mut r, "session");
     r.learn_role(NOW, 0, role_claim(true, NOW));
-    (r.members[0].noted_at, r.members[0].position) = (NOW, position);
+    (r.members[0].role_received_at, r.members[0].position) = (NOW, position);
     let out = (0, NOW);
-    r.open.get_mut(&0).unwrap().out.insert(0, out);
-    r.open.get_mut(&0).unwrap().needs = NOW + 10;
+    r.open.get_mut(&0).unwrap().in_flight.insert(0, out);
+    r.open.get_mut(&0).unwrap().required_position = NOW + 10;
     assert!(r.may_write(NOW + 20, "cmd", 0), "a primary has all commits");
     // The probe's report arrives while the connection of the dispatch is still being opened.
     r.probe_ended(
@@ -1520,7 +1534,7 @@
     r.learn_role(NOW, 0, role_claim(true, NOW));
     let replica = Report { primary: Some(false), position: Some(NOW - 5_000) };
     r.probe_ended(NOW, "a", probe_end(Ending::Answered, replica));
-    r.open.get_mut(&0).unwrap().out.insert(0, (0, NOW));
+    r.open.get_mut(&0).unwrap().in_flight.insert(0, (0, NOW));
     r.dispatch_ended(NOW + 10, "cmd", DispatchEnd { took, ..dispatch_end(Ending::Answered, Some(true)) });
     let cmd = &r.open[&0];
     assert_eq!(r.takes_for(NOW + 20, cmd, &r.members[0]) > 0, renews);
@@ -1541,7 +1555,7 @@
     r.members[1].position = NOW;
     r.clock = MemberClock::default();
     exact.then(|| r.shares_clock());
-    age.into_iter().for_each(|age| _ = r.clock.learn(NOW, Evidence::of_primary(NOW, NOW, NOW, age)));
+    age.into_iter().for_each(|age| _ = r.clock.learn(NOW, OffsetEvidence::from_primary(NOW, NOW, NOW, age)));
     assert_eq!(r.lawful_for(NOW, 0, 1) > 0, allowed);
 }
 
@@ -1591,9 +1605,9 @@
     for primary in [None, Some(true), Some(false)] {
         let mut r = router(&[]);
         add_open_command(&mut r, "bounded");
-        r.open.get_mut(&0).unwrap().out.insert(0, (1, NOW - 100));
+        r.open.get_mut(&0).unwrap().in_flight.insert(0, (1, NOW - 100));
         let end = DispatchEnd {
-            note: Note { primary, position: reported },
+            note: AnswerNote { primary, position: reported },
             ..dispatch_end(Ending::Answered, primary)
         };
         r.dispatch_ended(NOW, "cmd", end);
@@ -1613,7 +1627,7 @@
     add_open_command(&mut r, "write");
     r.learn_role(NOW, 0, role_claim(true, NOW));
     r.learn_role(NOW, 1, role_claim(true, NOW));
-    r.open.get_mut(&0).unwrap().maybe_ran = Some((0, NOW));
+    r.open.get_mut(&0).unwrap().may_have_run = Some((0, NOW));
     r.settle(NOW, 0);
     let state = |node: &str, from, to, reason| Event::State { node: node.into(), from, to, reason };
     let expected = [
@@ -1634,10 +1648,11 @@
 #[case::usual_latency(500.0)]
 fn read_with_little_time_left_waits_for_a_probe_in_flight(#[case] usual: f64) {
     let mut r = router(&[]);
-    let kind = r.groups.named["bounded"];
-    (0..100).for_each(|_| r.groups.places[kind].latency.add(NOW, USUAL_HALF, usual));
-    r.members[2].shut = true;
-    (r.members[1].met, r.members[1].position, r.members[1].checked_at) = (true, NOW - 4_000, NOW - SECOND);
+    let kind = r.groups.slots_by_name["bounded"];
+    (0..100).for_each(|_| r.groups.slots[kind].latency.add(NOW, USUAL_HALF, usual));
+    r.members[2].excluded = true;
+    (r.members[1].known_to_exist, r.members[1].position, r.members[1].checked_at) =
+        (true, NOW - 4_000, NOW - SECOND);
     let (id, command_group, customer, time_left) = ("x".into(), "bounded".into(), None, 2_000);
     let (set, token_age, session, repeat) = (1, None, None, false);
     let cmd = Command { id, command_group, customer, set, time_left, token_age, session, repeat };
--- a/src/decide/withheld.rs
+++ b/src/decide/withheld.rs
@@ -7,8 +7,8 @@
     /// The gate that withholds a command that is given up for lack of a member; of several, the last that it
     /// would have passed.
     pub(super) fn withheld_by(&mut self, now: Tenths, key: u64) -> Gate {
-        let (set_id, kind) = (self.open[&key].set, self.open[&key].kind);
-        let order_index = self.order.iter().position(|k| *k == kind).unwrap_or(0);
+        let (set_id, group_slot) = (self.open[&key].set, self.open[&key].group_slot);
+        let order_index = self.order.iter().position(|k| *k == group_slot).unwrap_or(0);
         if !self.in_pace(now, order_index) && self.is_paced(now, set_id) {
             return Gate::Pace;
         }
@@ -16,7 +16,7 @@
             Some(primary) => self.gate_at(now, key, primary),
             None => Gate::NoPrimary,
         };
-        match self.groups.places[kind].access {
+        match self.groups.slots[group_slot].access {
             Access::Write | Access::Fresh => at_primary,
             _ => self.gate_at_replicas(now, key, set_id).unwrap_or(at_primary),
         }
@@ -26,7 +26,7 @@
     fn gate_at_replicas(&self, now: Tenths, key: u64, set_id: i64) -> Option<Gate> {
         let works = |n: &&Node| {
             let m = &self.members[**n];
-            m.met && !m.shut && !matches!(m.state, State::Healthy | State::TransportError)
+            m.known_to_exist && !m.excluded && !matches!(m.state, State::Healthy | State::TransportError)
         };
         let replicas = self.sets.get(&set_id)?.nodes.iter().filter(works);
         replicas.map(|node| self.gate_at(now, key, *node)).max()
@@ -37,13 +37,13 @@
         if self.takes_for(now, cmd, m) <= 0 {
             return if m.state == State::Healthy { Gate::RoleInDoubt } else { Gate::NotFresh };
         }
-        if m.dial_at > now {
+        if m.next_dial_at > now {
             return Gate::NoConnection;
         }
         if !self.has_room(now, node, 1.0, 0.0) {
             return Gate::Window;
         }
-        let work = self.groups.places[cmd.kind].target as f64;
+        let work = self.groups.slots[cmd.group_slot].target as f64;
         if self.cold_credit(now, m) < work { Gate::SlowStart } else { Gate::Turn }
     }
 }
--- a/src/decide/withheld/tests.rs
+++ b/src/decide/withheld/tests.rs
@@ -9,7 +9,7 @@
     r.learn_role(NOW, 0, RoleClaim { primary: true, asked: NOW });
     for replica in [1, 2] {
         let m = &mut r.members[replica];
-        (m.met, m.position, m.position_heard) = (true, NOW, NOW);
+        (m.known_to_exist, m.position, m.position_received_at) = (true, NOW, NOW);
     }
     r.members.iter_mut().for_each(|m| m.window = 4.0);
     r
@@ -36,21 +36,21 @@
 #[case::router_paced("write", slow_down, Gate::Pace)]
 #[case::no_primary("write", |r: &mut Router| r.members[0].state = State::TransportError, Gate::NoPrimary)]
 #[case::primary_in_doubt("session", |r: &mut Router| {
-    change_replicas(r, |m| m.shut = true);
-    r.members[0].roles.claims_replica(NOW, NOW);
+    change_replicas(r, |m| m.excluded = true);
+    r.members[0].roles.record_replica_claim(NOW, NOW);
 }, Gate::RoleInDoubt)]
-#[case::no_connection("write", |r: &mut Router| r.members[0].dial_at = NOW + 1, Gate::NoConnection)]
-#[case::window_closed("write", |r: &mut Router| r.members[0].shy_until = NOW + 1, Gate::Window)]
+#[case::no_connection("write", |r: &mut Router| r.members[0].next_dial_at = NOW + 1, Gate::NoConnection)]
+#[case::window_closed("write", |r: &mut Router| r.members[0].paused_until = NOW + 1, Gate::Window)]
 #[case::cold_primary("write", |r: &mut Router| restart_cold(r, 0), Gate::SlowStart)]
 #[case::stale_replicas("bounded", |r: &mut Router| change_replicas(r, |m| m.position = NOW - SECOND), Gate::NotFresh)]
-#[case::replica_windows_closed("bounded", |r: &mut Router| change_replicas(r, |m| m.shy_until = NOW + 1), Gate::Window)]
+#[case::replica_windows_closed("bounded", |r: &mut Router| change_replicas(r, |m| m.paused_until = NOW + 1), Gate::Window)]
 #[case::cold_replicas("bounded", |r: &mut Router| (restart_cold(r, 1), restart_cold(r, 2)).0, Gate::SlowStart)]
 #[case::one_stale_one_window_closed("bounded", |r: &mut Router| {
     r.members[1].position = NOW - SECOND;
-    r.members[2].shy_until = NOW + 1;
+    r.members[2].paused_until = NOW + 1;
 }, Gate::Window)]
 #[case::no_replica("bounded", |r: &mut Router| {
-    change_replicas(r, |m| m.shut = true);
+    change_replicas(r, |m| m.excluded = true);
     r.members[0].state = State::TransportError;
 }, Gate::NoPrimary)]
 fn withheld_command_reports_the_gate(
@@ -68,7 +68,7 @@
 fn command_held_by_a_cold_primary_reports_slow_start() {
     let mut r = unloaded_router("write");
     restart_cold(&mut r, 0);
-    r.open.get_mut(&0).unwrap().patience = NOW;
+    r.open.get_mut(&0).unwrap().wait_until = NOW;
     r.settle(NOW, 0);
     r.settle(NOW, 0);
     let given_up =
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -10,7 +10,7 @@
 pub type Id = Arc<str>;
 
 /// The settings of a router instance: flat names to their values, both as text.
-pub type Told = BTreeMap<String, String>;
+pub type SettingValues = BTreeMap<String, String>;
 
 /// A command as it arrives at the router.
 #[derive(Clone, Debug)]
@@ -49,7 +49,7 @@
 
 /// The role and the position (0 if left out) that a member attaches to an answer.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Note {
+pub struct AnswerNote {
     pub primary: Option<bool>,
     pub position: Tenths,
 }
@@ -70,8 +70,8 @@
     /// How long the connection was idle before the dispatch; None for a new connection.
     pub idled: Option<Tenths>,
     /// The command is complete: no answer to the client is outstanding any more.
-    pub over: bool,
-    pub note: Note,
+    pub command_complete: bool,
+    pub note: AnswerNote,
     pub report: Report,
 }
 
@@ -137,7 +137,7 @@
 
 impl DataAge {
     /// How much older the data could have been without violating the need.
-    pub fn spare(&self) -> Tenths {
+    pub fn margin(&self) -> Tenths {
         match self.need {
             DataNeed::Bound(bound) => bound - self.behind,
             DataNeed::Session => -self.behind,
@@ -147,7 +147,7 @@
 
 /// One row of the member list.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct MemberEntry {
     pub node: Id,
     pub zone: Id,
     pub machine: Id,
@@ -165,20 +165,20 @@
 }
 
 /// An action that the host must carry out. A dispatch that has not been written completely by `until`, or that
-/// `Router::may_write` rejects at the time of the write, must not be written; it ends as `NeverSent`. `CallOff`
+/// `Router::may_write` rejects at the time of the write, must not be written; it ends as `NeverSent`. `CancelDispatch`
 /// cancels a dispatch that has not been written completely, and one that has been only if `written` is set.
-/// `LetGo` closes the idle connections to a member. `Forget`: the router has removed the member and does not know
+/// `CloseIdle` closes the idle connections to a member. `ForgetMember`: the router has removed the member and does not know
 /// it any more, unless the list has named it again since.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     Dispatch { command: Id, node: Id, limit: Tenths, until: Tenths },
-    Throttle { command: Id, hold_off: Tenths },
+    Throttle { command: Id, retry_after: Tenths },
     Fail { command: Id },
-    CallOff { command: Id, dispatch: u32, written: bool },
+    CancelDispatch { command: Id, dispatch: u32, written: bool },
     Probe { node: Id },
-    LetGo { node: Id },
-    Forget { node: Id },
-    WatchList,
+    CloseIdle { node: Id },
+    ForgetMember { node: Id },
+    WatchMembers,
 }
 
 /// The state of a member as this router sees it. The states are those of the paper, in order of preference.
@@ -260,18 +260,18 @@
         reason: StateReason,
     },
     /// An answer to a request of this age claimed the primary role. Newer answers may contradict it, so it is ignored.
-    OldRole {
+    StaleRoleClaim {
         node: Id,
         age: Tenths,
     },
     /// The estimate of how far the members' clock is ahead of this router's has changed; `node` sent the position
     /// that changed it.
-    Clock {
+    ClockOffset {
         offset: Tenths,
         node: Id,
     },
     /// A probe was answered with a report of this age, made before the member broke, so the member stays broken.
-    ReportFromBefore {
+    StaleReport {
         node: Id,
         age: Tenths,
     },
