--- a/src/member_clock.rs
+++ b/src/member_clock.rs
@@ -3,7 +3,7 @@
 //! Positions and start times are Unix times by the members' clocks. A router's own Unix time is one reading of its wall
 //! clock at the start, which may be wrong by seconds or by an hour, advanced by the monotonic clock. A position sent by
 //! a primary bounds the offset (Cristian's algorithm): if the position was the current time there at some moment after
-//! `since`, and was received at `heard` on this router's clock, the moment lies between the two. Bounds are intersected
+//! `since`, and was received at `received_at` on this router's clock, the moment lies between the two. Bounds are intersected
 //! (Marzullo's algorithm), so the narrowest ones prevail. No other evidence changes the estimate. A clock estimate that
 //! is too early makes every replica look fresher, at all routers alike; so only positions of proven age may bound the
 //! offset from above.
@@ -29,51 +29,61 @@
 
 /// The bounds on the clock offset that one position proves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Evidence {
+pub(crate) struct OffsetEvidence {
     pub lower: Tenths,
     pub upper: Tenths,
 }
 
-impl Default for Evidence {
-    fn default() -> Evidence {
-        Evidence { lower: Tenths::MIN, upper: Tenths::MAX }
+impl Default for OffsetEvidence {
+    fn default() -> OffsetEvidence {
+        OffsetEvidence { lower: Tenths::MIN, upper: Tenths::MAX }
     }
 }
 
-impl Evidence {
-    /// Evidence from a position, received at `heard`, that was the current time at the member at some moment after
+impl OffsetEvidence {
+    /// Evidence from a position, received at `received_at`, that was the current time at the member at some moment after
     /// `since - delay`: a commit requested at `since`, or a primary's position that has advanced since (`Progress`).
-    pub(crate) fn of_primary(position: Tenths, since: Tenths, heard: Tenths, delay: Tenths) -> Evidence {
+    pub(crate) fn from_primary(
+        position: Tenths,
+        since: Tenths,
+        received_at: Tenths,
+        delay: Tenths,
+    ) -> OffsetEvidence {
         let upper = position.saturating_sub(since).saturating_add(delay + READ_ERROR);
-        Evidence { upper, ..Evidence::of_any(position, heard) }
+        OffsetEvidence { upper, ..OffsetEvidence::from_any_member(position, received_at) }
     }
 
-    /// Evidence from a position received at `heard`; `since` is set if the position is proven to have been the current
+    /// Evidence from a position received at `received_at`; `since` is set if the position is proven to have been the current
     /// time at some moment after it.
-    pub(crate) fn told(position: Tenths, since: Option<Tenths>, heard: Tenths, delay: Tenths) -> Evidence {
+    pub(crate) fn from_position(
+        position: Tenths,
+        since: Option<Tenths>,
+        received_at: Tenths,
+        delay: Tenths,
+    ) -> OffsetEvidence {
         match since {
-            Some(since) => Evidence::of_primary(position, since, heard, delay),
-            None => Evidence::of_any(position, heard),
+            Some(since) => OffsetEvidence::from_primary(position, since, received_at, delay),
+            None => OffsetEvidence::from_any_member(position, received_at),
         }
     }
 
     /// Evidence from a position of unknown age. It bounds the offset from below only: no member can have applied
     /// commits of the future.
-    pub(crate) fn of_any(position: Tenths, heard: Tenths) -> Evidence {
-        Evidence { lower: position.saturating_sub(heard + READ_ERROR), upper: Tenths::MAX }
+    pub(crate) fn from_any_member(position: Tenths, received_at: Tenths) -> OffsetEvidence {
+        OffsetEvidence { lower: position.saturating_sub(received_at + READ_ERROR), upper: Tenths::MAX }
     }
 
     fn contains(&self, offset: Tenths) -> bool {
         (self.lower..=self.upper).contains(&offset)
     }
 
-    fn intersect(&self, other: &Evidence) -> Evidence {
-        Evidence { lower: self.lower.max(other.lower), upper: self.upper.min(other.upper) }
+    fn intersect(&self, other: &OffsetEvidence) -> OffsetEvidence {
+        OffsetEvidence { lower: self.lower.max(other.lower), upper: self.upper.min(other.upper) }
     }
 
     /// Widens both bounds; unknown bounds stay unknown.
-    fn widened(&self, by: Tenths) -> Evidence {
-        Evidence { lower: self.lower.saturating_sub(by), upper: self.upper.saturating_add(by) }
+    fn widened(&self, by: Tenths) -> OffsetEvidence {
+        OffsetEvidence { lower: self.lower.saturating_sub(by), upper: self.upper.saturating_add(by) }
     }
 
     /// The highest plausible offset: the upper bound less the reading error.
@@ -102,10 +112,10 @@
     /// The offset has been corrected and is no longer that of the wall clock.
     corrected: bool,
     /// The intersection of all evidence that has confirmed the offset, as of `bounds_at`.
-    bounds: Evidence,
+    bounds: OffsetEvidence,
     bounds_at: Tenths,
     /// Evidence that contradicts the offset and has not been refuted by confirming evidence, with the time of arrival.
-    contradicting: Vec<(Tenths, Evidence)>,
+    contradicting: Vec<(Tenths, OffsetEvidence)>,
 }
 
 impl MemberClock {
@@ -120,12 +130,12 @@
     }
 
     /// The estimated offset by which the members' clock is ahead, and its upper bound.
-    pub(crate) fn ahead(&self, now: Tenths) -> (Tenths, Tenths) {
+    pub(crate) fn offset_and_bound(&self, now: Tenths) -> (Tenths, Tenths) {
         (self.offset, self.latest_offset(now))
     }
 
     /// The earliest time on this router's clock at which the members' clock can have shown `there`.
-    pub(crate) fn earliest_here(&self, now: Tenths, there: Tenths) -> Tenths {
+    pub(crate) fn earliest_local_time(&self, now: Tenths, there: Tenths) -> Tenths {
         there.saturating_sub(self.latest_offset(now))
     }
 
@@ -141,7 +151,7 @@
     }
 
     /// Declares that the host's time is the members' own time and does not depend on a wall clock.
-    pub(crate) fn is_theirs(&mut self) {
+    pub(crate) fn use_exact_time(&mut self) {
         self.exact = true;
     }
 
@@ -156,13 +166,13 @@
     }
 
     /// Whether a position is not in the future by the estimated members' time.
-    pub(crate) fn is_past(&self, position: Tenths, now: Tenths) -> bool {
+    pub(crate) fn has_passed(&self, position: Tenths, now: Tenths) -> bool {
         position <= self.now(now) + READ_ERROR
     }
 
     /// Updates the estimate with evidence received at `now`. A corrected clock is set as late as the evidence allows, so
     /// that positions look too old rather than too fresh. Returns whether the offset in use has changed.
-    pub(crate) fn learn(&mut self, now: Tenths, evidence: Evidence) -> bool {
+    pub(crate) fn learn(&mut self, now: Tenths, evidence: OffsetEvidence) -> bool {
         if self.exact {
             return false;
         }
@@ -185,7 +195,7 @@
         (now - self.bounds_at).max(0) / DRIFT_DIVISOR
     }
 
-    fn confirm(&mut self, evidence: Evidence) {
+    fn confirm(&mut self, evidence: OffsetEvidence) {
         self.bounds = self.bounds.intersect(&evidence);
         if self.corrected {
             self.offset = self.bounds.upper_estimate();
@@ -198,7 +208,7 @@
         }
     }
 
-    fn record_contradiction(&mut self, now: Tenths, evidence: Evidence) {
+    fn record_contradiction(&mut self, now: Tenths, evidence: OffsetEvidence) {
         let common = self.contradicting.iter().fold(evidence, |all, (_, e)| all.intersect(e));
         if !common.is_consistent() {
             self.contradicting.clear();
--- a/src/member_clock/tests.rs
+++ b/src/member_clock/tests.rs
@@ -6,12 +6,12 @@
 const HEARD: Tenths = NOW + 200;
 
 /// Evidence of a members' clock that is ahead of the router's by this much.
-fn evidence_ahead_by(ahead: Tenths) -> Evidence {
-    Evidence::of_primary(NOW + 100 + ahead, NOW, HEARD, 0)
+fn evidence_ahead_by(ahead: Tenths) -> OffsetEvidence {
+    OffsetEvidence::from_primary(NOW + 100 + ahead, NOW, HEARD, 0)
 }
 
 /// A clock that has learned this evidence, the last piece at NOW, over a span long enough for a correction.
-fn clock(evidence: &[Evidence]) -> MemberClock {
+fn clock(evidence: &[OffsetEvidence]) -> MemberClock {
     let mut clock = MemberClock::default();
     for (at, e) in evidence.iter().enumerate() {
         clock.learn(NOW - MIN_CONSISTENT_SPAN * (evidence.len() - 1 - at) as Tenths, *e);
@@ -22,7 +22,7 @@
 #[rstest]
 fn unconfirmed_clock_has_no_upper_bound() {
     assert_eq!(clock(&[]).latest(NOW), None);
-    assert_eq!(clock(&[Evidence::of_any(NOW - 500, NOW)]).latest(NOW), None);
+    assert_eq!(clock(&[OffsetEvidence::from_any_member(NOW - 500, NOW)]).latest(NOW), None);
 }
 
 #[rstest]
@@ -48,7 +48,7 @@
 #[case::long_span(MIN_CONSISTENT_SPAN, -2_000)]
 fn correction_requires_evidence_over_a_minimum_span(#[case] over: Tenths, #[case] offset: Tenths) {
     let mut clock = clock(&[evidence_ahead_by(0)]);
-    let standing_still = Evidence::of_primary(NOW - 2_000, NOW, HEARD, 0);
+    let standing_still = OffsetEvidence::from_primary(NOW - 2_000, NOW, HEARD, 0);
     (0..20).for_each(|at| _ = clock.learn(NOW + at * over / 19, standing_still));
     let found = clock.now(NOW) - NOW;
     assert!((offset..=offset + 100).contains(&found), "{found}");
@@ -79,8 +79,10 @@
 
 #[rstest]
 fn future_position_raises_the_bound_but_not_the_offset() {
-    let clock =
-        clock(&[[evidence_ahead_by(0)].as_slice(), &[Evidence::of_any(NOW + 9_000, NOW); 9]].concat());
+    let clock = clock(
+        &[[evidence_ahead_by(0)].as_slice(), &[OffsetEvidence::from_any_member(NOW + 9_000, NOW); 9]]
+            .concat(),
+    );
     assert_eq!(clock.now(NOW), NOW);
     assert_eq!(clock.latest(NOW), Some(NOW + 9_000));
 }
@@ -90,10 +92,10 @@
 #[case::reports_only(None, NOW + 6_750)]
 #[case::with_an_answer(Some(evidence_ahead_by(0)), NOW)]
 fn old_report_does_not_contradict_and_bounds_loosely(
-    #[case] answer: Option<Evidence>,
+    #[case] answer: Option<OffsetEvidence>,
     #[case] latest: Tenths,
 ) {
-    let report = Evidence::of_primary(NOW - 3_000, NOW, HEARD, 10_000);
+    let report = OffsetEvidence::from_primary(NOW - 3_000, NOW, HEARD, 10_000);
     let mut clock = clock(&[report; 3]);
     answer.into_iter().for_each(|answer| _ = clock.learn(NOW, answer));
     assert_eq!((clock.now(NOW), clock.latest(NOW)), (NOW, Some(latest)));
@@ -102,10 +104,10 @@
 #[rstest]
 fn exact_clock_ignores_evidence() {
     let mut clock = MemberClock::default();
-    clock.is_theirs();
+    clock.use_exact_time();
     assert_eq!(clock.latest(NOW), Some(NOW));
-    let standing_still = Evidence::of_primary(NOW - 3_000, NOW, HEARD, 0);
-    [evidence_ahead_by(9_000), Evidence::of_any(NOW + 9_000, NOW)]
+    let standing_still = OffsetEvidence::from_primary(NOW - 3_000, NOW, HEARD, 0);
+    [evidence_ahead_by(9_000), OffsetEvidence::from_any_member(NOW + 9_000, NOW)]
         .iter()
         .chain(&[standing_still; 5])
         .for_each(|e| {
@@ -115,8 +117,8 @@
 }
 
 /// Evidence from a primary's report that was `age` old when received; the members' clock is ahead by `ahead`.
-fn report_ahead_by(ahead: Tenths, age: Tenths) -> Evidence {
-    Evidence::of_primary(HEARD + ahead - age, NOW, HEARD, 10_000)
+fn report_ahead_by(ahead: Tenths, age: Tenths) -> OffsetEvidence {
+    OffsetEvidence::from_primary(HEARD + ahead - age, NOW, HEARD, 10_000)
 }
 
 #[rstest]
@@ -157,7 +159,7 @@
     for step in 1..=4 {
         let drifted = 10_000 + step * drift_per_step;
         let (asked, heard) = (NOW + step * span, HEARD + step * span);
-        clock.learn(heard, Evidence::of_primary(asked + 100 + drifted, asked, heard, 0));
+        clock.learn(heard, OffsetEvidence::from_primary(asked + 100 + drifted, asked, heard, 0));
         let latest = clock.latest(heard).expect("confirmed") - heard;
         assert!((drifted..=drifted + 200).contains(&latest), "step {step}: {latest}");
     }
@@ -170,7 +172,7 @@
 fn bounds_survive_a_period_without_evidence(#[case] gap: Tenths, #[case] max_upper: Tenths) {
     let mut clock = clock(&[evidence_ahead_by(0)]);
     let later = NOW + gap;
-    clock.learn(later, Evidence::of_primary(later - 2_000, later, later, 10_000));
+    clock.learn(later, OffsetEvidence::from_primary(later - 2_000, later, later, 10_000));
     let latest = clock.latest(later).expect("confirmed") - later;
     assert!((0..=max_upper).contains(&latest), "{latest}");
 }
--- a/src/progress.rs
+++ b/src/progress.rs
@@ -23,7 +23,7 @@
 impl Progress {
     /// Records a position that the member sent as the primary, in the answer to a request sent at `requested_at`. If the
     /// position has advanced, returns a time after which the position was current at some moment.
-    pub(crate) fn tells(&mut self, position: Tenths, requested_at: Tenths) -> Option<Tenths> {
+    pub(crate) fn record(&mut self, position: Tenths, requested_at: Tenths) -> Option<Tenths> {
         let Some(last) = self.last.filter(|last| last.position <= position) else {
             // The first position, or an answer that was overtaken by a later one.
             self.last.get_or_insert(LastPosition { position, requested_at });
@@ -36,7 +36,7 @@
     }
 
     /// The member is no longer the primary: positions of a later term are not compared with earlier ones.
-    pub(crate) fn ends(&mut self) {
+    pub(crate) fn reset(&mut self) {
         self.last = None;
     }
 }
--- a/src/progress/tests.rs
+++ b/src/progress/tests.rs
@@ -3,7 +3,7 @@
 
 fn last_dated(answers: &[(Tenths, Tenths)]) -> Option<Tenths> {
     let mut progress = Progress::default();
-    answers.iter().fold(None, |_, (position, requested_at)| progress.tells(*position, *requested_at))
+    answers.iter().fold(None, |_, (position, requested_at)| progress.record(*position, *requested_at))
 }
 
 #[rstest]
@@ -21,7 +21,7 @@
 #[rstest]
 fn positions_of_different_terms_are_not_compared() {
     let mut progress = Progress::default();
-    progress.tells(100, 90);
-    progress.ends();
-    assert_eq!(progress.tells(200, 190), None);
+    progress.record(100, 90);
+    progress.reset();
+    assert_eq!(progress.record(200, 190), None);
 }
--- a/src/roles.rs
+++ b/src/roles.rs
@@ -20,7 +20,7 @@
 
 /// How a claim to be the primary stands against the member's other claims.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Standing {
+pub(crate) enum ClaimStanding {
     /// Later than all claims to be a replica.
     Proven,
     /// Requested later than the claims to be a replica, but it may have been made earlier.
@@ -31,18 +31,18 @@
 
 impl Roles {
     /// Records a claim to be the primary, in the answer to a request sent at `requested_at`.
-    pub(crate) fn claims_primary(&mut self, requested_at: Tenths) -> Standing {
+    pub(crate) fn record_primary_claim(&mut self, requested_at: Tenths) -> ClaimStanding {
         if self.replica_received_at.is_none_or(|received_at| requested_at >= received_at) {
             (self.replica_requested_at, self.replica_received_at) = (None, None);
         } else if self.replica_requested_at.is_some_and(|replica_request| requested_at <= replica_request) {
-            return Standing::Old;
+            return ClaimStanding::Old;
         }
         self.primary_requested_at = self.primary_requested_at.max(Some(requested_at));
-        if self.may_be_replica() { Standing::Likely } else { Standing::Proven }
+        if self.may_be_replica() { ClaimStanding::Likely } else { ClaimStanding::Proven }
     }
 
     /// Records a claim to be a replica, requested at `requested_at` and received at `received_at`.
-    pub(crate) fn claims_replica(&mut self, requested_at: Tenths, received_at: Tenths) {
+    pub(crate) fn record_replica_claim(&mut self, requested_at: Tenths, received_at: Tenths) {
         self.replica_requested_at = self.replica_requested_at.max(Some(requested_at));
         self.replica_received_at = self.replica_received_at.max(Some(received_at));
     }
@@ -53,7 +53,7 @@
     }
 
     /// Whether the member has answered "primary" to a request that was sent after `requested_at`.
-    pub(crate) fn was_primary_after(&self, requested_at: Tenths) -> bool {
+    pub(crate) fn claimed_primary_after(&self, requested_at: Tenths) -> bool {
         self.primary_requested_at.is_some_and(|latest| latest > requested_at)
     }
 }
--- a/src/told.rs
+++ b/src/told.rs
@@ -1,25 +1,25 @@
 //! Parses the settings: single values, command groups and customers' shares.
 
-use crate::decay::Decay;
-use crate::interface::{Tenths, Told};
+use crate::decay::DecayingSum;
+use crate::interface::{SettingValues, Tenths};
 use crate::state::{Access, CommandGroup, Effect};
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
 /// Converts milliseconds to tenths of a millisecond, rounded down.
-pub(crate) fn tenths(ms: f64) -> Tenths {
+pub(crate) fn tenths_from_ms(ms: f64) -> Tenths {
     (ms * 10.0).floor() as Tenths
 }
 
 /// The value of a setting, or `default` if it is absent. A value that cannot be parsed is an error.
-pub(crate) fn pick<T: FromStr>(settings: &Told, name: &str, default: T) -> Result<T, String> {
+pub(crate) fn setting_or<T: FromStr>(settings: &SettingValues, name: &str, default: T) -> Result<T, String> {
     settings
         .get(name)
         .map_or(Ok(default), |v| v.parse().map_err(|_| format!("setting {name}: cannot read '{v}'")))
 }
 
 /// The value of a setting that must be present.
-pub(crate) fn required<T: FromStr>(settings: &Told, name: &str) -> Result<T, String> {
+pub(crate) fn required<T: FromStr>(settings: &SettingValues, name: &str) -> Result<T, String> {
     let value = settings.get(name).ok_or_else(|| format!("setting {name} is missing"))?;
     value.parse().map_err(|_| format!("setting {name}: cannot read '{value}'"))
 }
@@ -40,7 +40,7 @@
 
 /// Checks that all numeric settings that are present can be parsed. Without this check, a malformed one would
 /// silently be replaced by its default where it is used.
-pub(crate) fn numbers(settings: &Told) -> Result<(), String> {
+pub(crate) fn check_numbers(settings: &SettingValues) -> Result<(), String> {
     let is_valid =
         |value: &String| value.parse().is_ok_and(|number: f64| number.is_finite() && number >= 0.0);
     let present = NUMERIC_SETTINGS.iter().filter_map(|name| Some((name, settings.get(*name)?)));
@@ -51,13 +51,13 @@
 }
 
 /// One value of a comma-separated list.
-fn list_item<'a>(settings: &'a Told, name: &str, index: usize) -> Option<&'a str> {
+fn list_item<'a>(settings: &'a SettingValues, name: &str, index: usize) -> Option<&'a str> {
     settings.get(name)?.split(',').nth(index)
 }
 
 /// The command groups with their names, in the order of the settings; `access` and `effect` are the defaults.
 pub(crate) fn command_groups(
-    settings: &Told,
+    settings: &SettingValues,
     access: Access,
     effect: Effect,
 ) -> Result<Vec<(String, CommandGroup)>, String> {
@@ -75,16 +75,18 @@
 }
 
 /// The customers' traffic shares by customer name, each with an empty traffic count.
-pub(crate) fn shares(settings: &Told) -> Result<BTreeMap<String, (f64, Decay)>, String> {
+pub(crate) fn customer_shares(
+    settings: &SettingValues,
+) -> Result<BTreeMap<String, (f64, DecayingSum)>, String> {
     let share = |i: usize| {
-        let share = pick(settings, &format!("projects.{i}.share"), 1.0)?;
-        Ok((required(settings, &format!("projects.{i}.name"))?, (share, Decay::default())))
+        let share = setting_or(settings, &format!("projects.{i}.share"), 1.0)?;
+        Ok((required(settings, &format!("projects.{i}.name"))?, (share, DecayingSum::default())))
     };
-    (0..pick(settings, "projects.count", 0)?).map(share).collect()
+    (0..setting_or(settings, "projects.count", 0)?).map(share).collect()
 }
 
 fn command_group(
-    settings: &Told,
+    settings: &SettingValues,
     index: usize,
     access: Access,
     effect: Effect,
@@ -92,7 +94,7 @@
     let key = |name: &str| format!("request_classes.{index}.{name}");
     let bound = list_item(settings, "family_info.lag_allowed_ms", index)
         .and_then(|b| b.parse().ok())
-        .map_or(0, tenths);
+        .map_or(0, tenths_from_ms);
     let access = match list_item(settings, "family_info.class_read", index) {
         Some("any") => Access::Any,
         Some("bounded") => Access::Bounded(bound),
@@ -101,8 +103,8 @@
         Some("write") => Access::Write,
         _ => access,
     };
-    let scope = pick(settings, &key("group"), String::new())?;
-    let window = tenths(pick(settings, &key("window_ms"), 0.0)?);
+    let scope = setting_or(settings, &key("group"), String::new())?;
+    let window = tenths_from_ms(setting_or(settings, &key("window_ms"), 0.0)?);
     let (everywhere, by_zone) = (scope == "all", scope == "zone");
     let effect = match settings.get(&key("semantics")).map(String::as_str) {
         Some("pure") => Effect::Replayable,
@@ -111,16 +113,16 @@
         _ => effect,
     };
     let timeout: f64 = required(settings, &key("hard_limit_ms"))?;
-    let target = tenths(pick(settings, &key("aim_ms"), timeout)?).max(1);
-    let late_share = pick(settings, &key("late_value"), 0.0)?;
-    let benefit = pick(settings, &key("importance"), 1.0)?;
-    let attempts = pick(settings, "permissions.max_attempts", 1)?;
-    let (hold_off, latency) = (0, Default::default());
-    let group = CommandGroup { access, effect, target, late_share, benefit, attempts, hold_off, latency };
+    let target = tenths_from_ms(setting_or(settings, &key("aim_ms"), timeout)?).max(1);
+    let late_share = setting_or(settings, &key("late_value"), 0.0)?;
+    let benefit = setting_or(settings, &key("importance"), 1.0)?;
+    let attempts = setting_or(settings, "permissions.max_attempts", 1)?;
+    let (retry_after, latency) = (0, Default::default());
+    let group = CommandGroup { access, effect, target, late_share, benefit, attempts, retry_after, latency };
     Ok((required(settings, &key("name"))?, group))
 }
 
 /// Whether a setting is present with exactly this value.
-pub(crate) fn is(settings: &Told, name: &str, value: &str) -> bool {
+pub(crate) fn setting_is(settings: &SettingValues, name: &str, value: &str) -> bool {
     settings.get(name).is_some_and(|v| v == value)
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -154,9 +154,9 @@
     groups.iter().map(|g| g.4 * g.3).sum()
 }
 
-fn settings(fleet: &Fleet, me: usize) -> Told {
+fn settings(fleet: &Fleet, me: usize) -> SettingValues {
     let (groups, routers) = (&fleet.groups, fleet.routers);
-    let mut settings = Told::new();
+    let mut settings = SettingValues::new();
     let mut set = |name: &str, value: String| _ = settings.insert(name.to_owned(), value);
     set("request_classes.count", groups.len().to_string());
     set("family_info.class_read", "bounded,bounded,write".into());
@@ -191,8 +191,8 @@
     format!("n{node:02}").into()
 }
 
-fn entries(cold: bool) -> Vec<Entry> {
-    let entry = |n: usize| Entry {
+fn entries(cold: bool) -> Vec<MemberEntry> {
+    let entry = |n: usize| MemberEntry {
         node: name(n),
         zone: "z".into(),
         machine: "m".into(),
@@ -338,11 +338,11 @@
                     let node = node[1..].parse().unwrap();
                     self.schedule(now + 20, Event::ProbeEnded { router, generation, node });
                 }
-                Decision::Throttle { command, hold_off } => {
+                Decision::Throttle { command, retry_after } => {
                     let Some((group, set, ends, _)) = self.open.remove(&command.parse().unwrap()) else {
                         continue;
                     };
-                    let retry_at = now + hold_off + (self.random_fraction() * 1000.0) as Tenths;
+                    let retry_at = now + retry_after + (self.random_fraction() * 1000.0) as Tenths;
                     let event = Event::ClientRetry { from: router, group, set, ends };
                     (retry_at < ends).then(|| self.schedule(retry_at, event));
                 }
@@ -395,9 +395,9 @@
                 let responded = matches!(ending, Ending::Answered | Ending::Miss);
                 let Report { primary, position } = self.report(now, node);
                 let position = position.unwrap_or(0);
-                let note = if responded { Note { primary, position } } else { Note::default() };
-                let over = ending == Ending::Answered;
-                if over && self.open.remove(&id).is_some() && now > COLD_START {
+                let note = if responded { AnswerNote { primary, position } } else { AnswerNote::default() };
+                let command_complete = ending == Ending::Answered;
+                if command_complete && self.open.remove(&id).is_some() && now > COLD_START {
                     self.outcome.served += 1.0;
                 }
                 let took = now - sent;
@@ -406,7 +406,7 @@
                     ending,
                     took,
                     idled: None,
-                    over,
+                    command_complete,
                     note,
                     report: Report::default(),
                 };
--- a/tests/stale_reads/simulation.rs
+++ b/tests/stale_reads/simulation.rs
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug)]
 struct Answer {
     ending: Ending,
-    note: Note,
+    note: AnswerNote,
 }
 
 #[derive(Debug)]
@@ -168,7 +168,7 @@
     format!("s-{member:02}").into()
 }
 
-fn settings(conditions: &Conditions, me: usize) -> Told {
+fn settings(conditions: &Conditions, me: usize) -> SettingValues {
     let bound = conditions.bound / MILLISECOND;
     let kinds = &Kind::ALL[..if conditions.session_read_percent > 0 { 3 } else { 2 }];
     let reads: Vec<&str> = kinds.iter().map(|kind| kind.names().1).collect();
@@ -188,7 +188,8 @@
         ("balancers", conditions.wall_clock_offsets.len().to_string()),
         ("me", me.to_string()),
     ];
-    let mut settings: Told = pairs.into_iter().map(|(name, value)| (name.to_owned(), value)).collect();
+    let mut settings: SettingValues =
+        pairs.into_iter().map(|(name, value)| (name.to_owned(), value)).collect();
     for (class, kind) in kinds.iter().enumerate() {
         let semantics = if *kind == Kind::Write { "side_effect" } else { conditions.semantics };
         let figures = [("aim_ms", "600"), ("hard_limit_ms", "1500"), ("late_value", "0.5")];
@@ -204,7 +205,7 @@
         let clock_offset = conditions.wall_clock_offsets[me];
         let router = Router::start(settings(conditions, me), me as u64 + 7, START + clock_offset);
         let mut router = router.expect("complete settings");
-        let entry = |member: usize| Entry {
+        let entry = |member: usize| MemberEntry {
             node: member_id(member),
             zone: "z".into(),
             machine: "m".into(),
@@ -213,7 +214,7 @@
             started: 0,
             primary: member.is_multiple_of(SET_SIZE),
         };
-        let entries: Vec<Entry> = (0..conditions.sets * SET_SIZE).map(entry).collect();
+        let entries: Vec<MemberEntry> = (0..conditions.sets * SET_SIZE).map(entry).collect();
         router.members_changed(START + clock_offset, true, &entries);
         let (open, commits, in_flight) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         RouterHost { router, clock_offset, open, commits, in_flight, wake_scheduled_at: 0 }
@@ -289,7 +290,9 @@
             Event::AttemptArrived(attempt) => self.attempt_arrives(attempt),
             Event::AttemptProcessed(attempt) => self.attempt_processed(attempt),
             Event::AnswerReceived(attempt, answer) => self.answer_received(attempt, answer),
-            Event::AttemptTimeout(attempt) => self.attempt_ends(&attempt, Ending::TimedOut, Note::default()),
+            Event::AttemptTimeout(attempt) => {
+                self.attempt_ends(&attempt, Ending::TimedOut, AnswerNote::default())
+            }
             Event::Probe { router, member, sent_at } => self.probe_arrives(router, member, sent_at),
             Event::ProbeAnswer { router, member, sent_at } => self.probe_answered(router, member, sent_at),
             Event::ProbeReceived { router, member, sent_at, report } => {
@@ -354,7 +357,7 @@
         }
         let now = self.now;
         let host = &mut self.hosts[router];
-        let clock_event = |event: &vetchkeel::Event| matches!(event, vetchkeel::Event::Clock { .. });
+        let clock_event = |event: &vetchkeel::Event| matches!(event, vetchkeel::Event::ClockOffset { .. });
         self.outcome.clock_events +=
             host.router.take_events().iter().filter(|e| clock_event(e)).count() as u64;
         let wake = host.router.wake_at().map(|at| (at - host.clock_offset).max(now + 1));
@@ -401,7 +404,7 @@
             Decision::Throttle { command, .. } | Decision::Fail { command } => {
                 self.hosts[router].open.remove(&command);
             }
-            Decision::CallOff { command, dispatch, written: true } => {
+            Decision::CancelDispatch { command, dispatch, written: true } => {
                 let attempt = Attempt {
                     router,
                     command,
@@ -427,7 +430,7 @@
 
     /// Reports the end of the attempt to the router in a later event at the same time.
     fn attempt_ends_later(&mut self, attempt: Attempt, ending: Ending) {
-        self.schedule(0, Event::AnswerReceived(attempt, Answer { ending, note: Note::default() }));
+        self.schedule(0, Event::AnswerReceived(attempt, Answer { ending, note: AnswerNote::default() }));
     }
 
     /// The connection is open: writes the attempt if the router still allows it.
@@ -469,7 +472,7 @@
         self.attempt_ends(&attempt, answer.ending, answer.note);
     }
 
-    fn attempt_ends(&mut self, attempt: &Attempt, ending: Ending, note: Note) {
+    fn attempt_ends(&mut self, attempt: &Attempt, ending: Ending, note: AnswerNote) {
         let now = self.now;
         let host = &mut self.hosts[attempt.router];
         let Some(sent_at) = host.in_flight.remove(&(attempt.command.clone(), attempt.number)) else { return };
@@ -494,7 +497,7 @@
             ending,
             took: now - sent_at,
             idled: None,
-            over: answered || !client_waits,
+            command_complete: answered || !client_waits,
             note,
             report: Report::default(),
         };
@@ -552,14 +555,14 @@
         let position = if has_position { position / MILLISECOND * MILLISECOND } else { 0 };
         let ending = if writes && !primary { Ending::Miss } else { Ending::Answered };
         let note = if self.is_truncated() {
-            Note::default()
+            AnswerNote::default()
         } else {
             self.members.record_answer(member, attempt.router);
-            Note { primary: Some(primary), position }
+            AnswerNote { primary: Some(primary), position }
         };
         let one_in = self.conditions.lose_one_answer_in;
         let lost = one_in > 0 && self.rng.below(one_in) == 0;
-        let reset = Answer { ending: Ending::Reset, note: Note::default() };
+        let reset = Answer { ending: Ending::Reset, note: AnswerNote::default() };
         let answer = if lost { reset } else { Answer { ending, note } };
         let connection = self.rng.below(CONNECTIONS_PER_MEMBER);
         let delay = self.connection_delay(attempt.router, member, connection) + self.rng.in_range(1, 10);
