--- a/crates/router/tests/pieces.rs
+++ b/crates/router/tests/pieces.rs
@@ -1,5 +1,5 @@
-//! Messages in pieces of one byte, each read by itself, cut in two anywhere, and many in one segment, in every form
-//! that clients and members may choose.
+//! Messages sent one byte per read, split in two at any position, or packed many into one segment, in every form that
+//! clients and members may send.
 
 mod common;
 
@@ -11,39 +11,39 @@
 use std::thread::spawn;
 use std::time::{Duration, Instant};
 
-/// Sends this and returns once the router has read it: what follows is read by itself.
-fn say_and_be_read(router: &Router, stream: &mut TcpStream, bytes: &[u8]) {
+/// Sends the bytes and returns once the router has read them, so that later bytes arrive in a separate read.
+fn send_and_await_read(router: &Router, stream: &mut TcpStream, bytes: &[u8]) {
     stream.write_all(bytes).expect("the router reads");
     delivered(stream);
     router.turn();
 }
 
-/// How a sender cuts what it sends.
+/// How a sender splits a message into writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Cut {
-    Nowhere,
-    Everywhere,
-    At(usize),
+enum Chunking {
+    Whole,
+    EachByte,
+    SplitAt(usize),
 }
 
-fn say(router: &Router, stream: &mut TcpStream, bytes: &[u8], cut: Cut) {
-    match cut {
-        Cut::Nowhere => stream.write_all(bytes).expect("the router reads"),
-        Cut::Everywhere => bytes.chunks(1).for_each(|byte| say_and_be_read(router, stream, byte)),
-        Cut::At(at) => {
-            say_and_be_read(router, stream, &bytes[..at]);
+fn send_chunked(router: &Router, stream: &mut TcpStream, bytes: &[u8], chunking: Chunking) {
+    match chunking {
+        Chunking::Whole => stream.write_all(bytes).expect("the router reads"),
+        Chunking::EachByte => bytes.chunks(1).for_each(|byte| send_and_await_read(router, stream, byte)),
+        Chunking::SplitAt(at) => {
+            send_and_await_read(router, stream, &bytes[..at]);
             stream.write_all(&bytes[at..]).expect("the router reads");
         }
     }
 }
 
-/// An answer that stops for 0.1 s is taken for one that never ends. False where the pieces took as long as that, or
-/// the connection ended under them.
-fn say_in_time(router: &Router, stream: &mut TcpStream, bytes: &[u8], cut: Cut) -> bool {
-    let pieces: Vec<&[u8]> = match cut {
-        Cut::Nowhere => vec![bytes],
-        Cut::Everywhere => bytes.chunks(1).collect(),
-        Cut::At(at) => vec![&bytes[..at], &bytes[at..]],
+/// The router takes an answer that pauses for 0.1 s for one that never ends. Returns false where a piece came close to
+/// that pause or the connection was closed.
+fn send_chunked_in_time(router: &Router, stream: &mut TcpStream, bytes: &[u8], chunking: Chunking) -> bool {
+    let pieces: Vec<&[u8]> = match chunking {
+        Chunking::Whole => vec![bytes],
+        Chunking::EachByte => bytes.chunks(1).collect(),
+        Chunking::SplitAt(at) => vec![&bytes[..at], &bytes[at..]],
     };
     pieces.into_iter().all(|piece| {
         let begun = Instant::now();
@@ -55,81 +55,83 @@
     })
 }
 
-/// All that a client gets to this up to the end: kinds and bodies but for the key data, which are each one's own.
-fn answers(router: &Router, bytes: &[u8], cut: Cut) -> Vec<(u8, Vec<u8>)> {
+/// All messages that a client receives for these bytes until the connection closes, as kinds and bodies, without
+/// BackendKeyData, which differs between connections.
+fn responses(router: &Router, bytes: &[u8], chunking: Chunking) -> Vec<(u8, Vec<u8>)> {
     let mut client = Client::raw(router);
     client.stream.set_nodelay(true).expect("open");
-    // So many declined encryptions come first, a byte each.
+    // Each declined encryption request is answered with one byte, ahead of all messages.
     let declined = bytes.windows(8).filter(|w| w[..4] == [0, 0, 0, 8] && w[4..6] == [4, 210]).count();
-    say(router, &mut client.stream, bytes, cut);
-    let mut no = vec![0; declined];
-    client.stream.read_exact(&mut no).expect("declined");
-    assert!(no.iter().all(|byte| *byte == b'N'), "{no:?}");
+    send_chunked(router, &mut client.stream, bytes, chunking);
+    let mut refusals = vec![0; declined];
+    client.stream.read_exact(&mut refusals).expect("declined");
+    assert!(refusals.iter().all(|byte| *byte == b'N'), "{refusals:?}");
     let all = std::iter::from_fn(|| read_packet(&mut client.stream, false));
     all.filter(|(kind, _)| *kind != b'K').collect()
 }
 
-const LEAVE: &[u8] = b"X\0\0\0\x04";
+const TERMINATE: &[u8] = b"X\0\0\0\x04";
 
 fn encryption(code: u32) -> Vec<u8> {
     [8u32.to_be_bytes(), code.to_be_bytes()].concat()
 }
 
-/// Startups with other parameters, and of a later minor version.
+/// A startup packet with this protocol version and these parameters.
 fn startup_with(version: u32, parameters: &str) -> Vec<u8> {
     let body = [&version.to_be_bytes()[..], parameters.as_bytes(), b"\0"].concat();
     [&(body.len() as u32 + 4).to_be_bytes()[..], &body].concat()
 }
 
+/// Messages of the extended query protocol, which the router refuses.
 fn extended() -> Vec<u8> {
     [&b"P\0\0\0\x08\0\0\0\0"[..], b"B\0\0\0\x04", b"E\0\0\0\x04", b"H\0\0\0\x04", b"S\0\0\0\x04"].concat()
 }
 
-/// The forms that clients choose. Each ends its connection, so that all answers are known.
+/// The byte streams that clients may send. Each ends with Terminate, so that all its answers can be read.
 fn form(name: &str) -> Vec<u8> {
-    let asks = |id: &str| query_bytes(&look(id, 60_000));
-    let three = || ["i1", "i2", "i3"].map(asks).concat();
+    let read_query = |id: &str| query_bytes(&look(id, 60_000));
+    let three = || ["i1", "i2", "i3"].map(read_query).concat();
     match name {
-        "startup and its query" => [startup(3 << 16), asks("i1"), LEAVE.into()].concat(),
-        "an empty query" => [startup(3 << 16), query_bytes(""), query_bytes(" ; "), LEAVE.into()].concat(),
-        "queries behind one another" => [startup(3 << 16), three(), LEAVE.into()].concat(),
-        "reads, writes, empty ones and refused ones" => [
+        "startup and its query" => [startup(3 << 16), read_query("i1"), TERMINATE.into()].concat(),
+        "an empty query" => [startup(3 << 16), query_bytes(""), query_bytes(" ; "), TERMINATE.into()].concat(),
+        "pipelined queries" => [startup(3 << 16), three(), TERMINATE.into()].concat(),
+        "reads, writes, empty and refused queries" => [
             startup(3 << 16),
-            asks("i1"),
+            read_query("i1"),
             query_bytes(&order("i2", 60_000)),
             query_bytes(""),
             query_bytes("SELECT 1"),
             query_bytes(&look("i3", 0)),
-            asks("i4"),
-            LEAVE.into(),
+            read_query("i4"),
+            TERMINATE.into(),
         ]
         .concat(),
-        "encryptions asked for first" => {
-            [encryption(80_877_103), encryption(80_877_104), startup(3 << 16), three(), LEAVE.into()].concat()
+        "encryption requests first" => {
+            [encryption(80_877_103), encryption(80_877_104), startup(3 << 16), three(), TERMINATE.into()].concat()
         }
-        "parameters of its own" => [
+        "additional parameters" => [
             startup_with(3 << 16, "user\0svc\0database\0main\0application_name\0shop\0client_encoding\0UTF8\0"),
             three(),
-            LEAVE.into(),
+            TERMINATE.into(),
         ]
         .concat(),
-        "a later minor version" => [startup_with((3 << 16) + 2, "user\0svc\0database\0main\0"), three(), LEAVE.into()].concat(),
-        "extended messages between" => {
-            [startup(3 << 16), asks("i1"), extended(), asks("i2"), LEAVE.into()].concat()
+        "a later minor version" => [startup_with((3 << 16) + 2, "user\0svc\0database\0main\0"), three(), TERMINATE.into()].concat(),
+        "extended query messages in between" => {
+            [startup(3 << 16), read_query("i1"), extended(), read_query("i2"), TERMINATE.into()].concat()
         }
-        "a key, a customer and a mark" => [
+        "comments with other fields and another order" => [
             startup(3 << 16),
             query_bytes("SELECT v FROM records WHERE k = 'a''b /* */' /* id=i1,c=look,t=acme,d=60000,cluster=2,r=1,after=0 */"),
             query_bytes("SELECT v FROM records WHERE k = 'k1' /* id=i2,d=60000,cluster=2,c=look,t=acme */"),
-            LEAVE.into(),
+            TERMINATE.into(),
         ]
         .concat(),
         other => panic!("no form '{other}'"),
     }
 }
 
-/// A member whose rows tell which command they answer.
-fn by_id() -> (Node, Router) {
+/// A member that answers each command with a row that holds the command's id, and a router in front of it.
+fn start_with_id_rows() -> (Node, Router) {
     let node = Node::start("primary", |s| {
         let id = s.split("id=").nth(1).and_then(|s| s.split(',').next()).unwrap_or("none");
         Reply::Send(row(id))
@@ -138,68 +140,69 @@
     (node, router)
 }
 
+/// The values of the rows among these messages.
 fn rows(answers: &[(u8, Vec<u8>)]) -> Vec<String> {
     let rows = answers.iter().filter(|(kind, _)| *kind == b'D');
     rows.map(|(_, body)| String::from_utf8_lossy(&body[6..]).into_owned()).collect()
 }
 
 #[rstest]
-#[case::first("startup and its query", &["i1"])]
-#[case::empty("an empty query", &[])]
-#[case::queries("queries behind one another", &["i1", "i2", "i3"])]
-#[case::mixed("reads, writes, empty ones and refused ones", &["i1", "i2", "i4"])]
-#[case::encryption("encryptions asked for first", &["i1", "i2", "i3"])]
-#[case::parameters("parameters of its own", &["i1", "i2", "i3"])]
-#[case::version("a later minor version", &["i1", "i2", "i3"])]
-#[case::extended("extended messages between", &["i1", "i2"])]
-#[case::comment("a key, a customer and a mark", &["i1", "i2"])]
-fn however_a_client_cuts_what_it_sends_it_is_answered_alike(#[case] name: &str, #[case] want: &[&str]) {
-    let (_node, router) = by_id();
+#[case::startup_and_query("startup and its query", &["i1"])]
+#[case::empty_queries("an empty query", &[])]
+#[case::pipelined_queries("pipelined queries", &["i1", "i2", "i3"])]
+#[case::mixed("reads, writes, empty and refused queries", &["i1", "i2", "i4"])]
+#[case::encryption_requests("encryption requests first", &["i1", "i2", "i3"])]
+#[case::additional_parameters("additional parameters", &["i1", "i2", "i3"])]
+#[case::minor_version("a later minor version", &["i1", "i2", "i3"])]
+#[case::extended_query("extended query messages in between", &["i1", "i2"])]
+#[case::comment_fields("comments with other fields and another order", &["i1", "i2"])]
+fn answers_do_not_depend_on_how_client_bytes_are_split(#[case] name: &str, #[case] want: &[&str]) {
+    let (_node, router) = start_with_id_rows();
     let bytes = form(name);
-    let whole = answers(&router, &bytes, Cut::Nowhere);
+    let whole = responses(&router, &bytes, Chunking::Whole);
     assert_eq!(rows(&whole), want);
-    assert_eq!(answers(&router, &bytes, Cut::Everywhere), whole, "a byte at a time");
-    // In two, at each place that a head, a length or a text may be cut at.
+    assert_eq!(responses(&router, &bytes, Chunking::EachByte), whole, "a byte at a time");
+    // Split in two at positions throughout the stream, so that headers, lengths and texts are split.
     for at in (1..bytes.len()).step_by(bytes.len() / 40 + 1) {
-        assert_eq!(answers(&router, &bytes, Cut::At(at)), whole, "cut at {at}");
+        assert_eq!(responses(&router, &bytes, Chunking::SplitAt(at)), whole, "split at {at}");
     }
-    // A client whose answers are all written takes its leave: no command of it is left open.
+    // Each client disconnects after its last answer, so no command may be left open.
     router.signal("-USR1");
     assert_eq!(router.counters("commands")["open"], 0);
 }
 
-/// A cancel may come in pieces as well.
+/// A cancel request that arrives byte by byte still cancels the query in flight.
 #[rstest]
-fn a_cancel_in_pieces_ends_the_query_in_hand() {
+fn cancel_request_split_into_bytes_cancels_the_query_in_flight() {
     let node = Node::start("primary", |_| Reply::Silence);
     let router = Router::start(&[entry("s-a", &node, "ready", "primary")]);
     let mut client = Client::raw(&router);
     client.send(&startup(3 << 16));
     let mut key = Vec::new();
-    while let (kind, body) = read_packet(&mut client.stream, false).expect("a welcome")
+    while let (kind, body) = read_packet(&mut client.stream, false).expect("a startup response")
         && kind != b'Z'
     {
         key = if kind == b'K' { body } else { key };
     }
     client.send(&query_bytes(&look("i1", 60_000)));
     assert!(node.statement().contains("id=i1"));
-    let mut asks = Client::raw(&router);
-    asks.stream.set_nodelay(true).expect("open");
+    let mut canceller = Client::raw(&router);
+    canceller.stream.set_nodelay(true).expect("open");
     let cancel = [&16u32.to_be_bytes()[..], &80_877_102u32.to_be_bytes(), &key].concat();
-    let (last, before) = cancel.split_last().expect("some");
-    say(&router, &mut asks.stream, before, Cut::Everywhere);
-    asks.stream.write_all(&[*last]).expect("open");
-    assert_eq!((asks.answer(), client.answer()), (Answer::Closed, Answer::Error("57014".into(), None)));
+    let (last, before) = cancel.split_last().expect("a cancel request");
+    send_chunked(&router, &mut canceller.stream, before, Chunking::EachByte);
+    canceller.stream.write_all(&[*last]).expect("open");
+    assert_eq!((canceller.answer(), client.answer()), (Answer::Closed, Answer::Error("57014".into(), None)));
 }
 
 #[rstest]
-#[case::fits_behind_a_command(100)]
-#[case::more_than_is_held_behind_one(400)]
-fn many_commands_in_one_segment_have_each_its_own_answer_in_their_order(#[case] count: usize) {
-    let (_node, router) = by_id();
+#[case::within_the_pipeline_buffer(100)]
+#[case::beyond_the_pipeline_buffer(400)]
+fn pipelined_commands_in_one_segment_are_answered_in_order(#[case] count: usize) {
+    let (_node, router) = start_with_id_rows();
     let ids: Vec<String> = (0..count).map(|i| format!("i{i}")).collect();
     let all: Vec<u8> = ids.iter().flat_map(|id| query_bytes(&look(id, 60_000))).collect();
-    // The whole of it lies there before anything is read.
+    // All bytes are in the socket buffer before the router reads any of them.
     router.stop();
     let mut client = Client::raw(&router);
     client.send(&[startup(3 << 16), all].concat());
@@ -212,8 +215,8 @@
 }
 
 #[rstest]
-fn many_clients_with_many_commands_at_once_have_each_their_own_answers() {
-    let (_node, router) = by_id();
+fn concurrent_clients_with_pipelined_commands_get_their_own_answers() {
+    let (_node, router) = start_with_id_rows();
     let address = router.address;
     router.stop();
     let clients: Vec<_> = (0..20)
@@ -237,28 +240,29 @@
     b"N\0\0\0\x0fSNOTICE\0M\0\0".to_vec()
 }
 
-/// What a member may say to its greeting and to a query, and what the client is answered.
+/// The messages that a member may send for a query, and the answer that the client gets however they are split.
 #[rstest]
 #[case::a_row([row("r"), ready()].concat(), Answer::Row("r".into()))]
 #[case::parameters_before([parameter("role", "primary"), parameter("applied_ms", "5"), row("r"), ready()].concat(), Answer::Row("r".into()))]
 #[case::notices_between([notice(), row("r"), notice(), ready()].concat(), Answer::Row("r".into()))]
-#[case::parameters_behind([row("r"), parameter("role", "primary"), ready()].concat(), Answer::Row("r".into()))]
+#[case::parameters_after([row("r"), parameter("role", "primary"), ready()].concat(), Answer::Row("r".into()))]
 #[case::an_error([code("XX000"), parameter("role", "primary"), ready()].concat(), Answer::Error("40003".into(), None))]
-fn however_a_member_cuts_what_it_says_it_is_understood_alike(#[case] said: Vec<u8>, #[case] want: Answer) {
+fn answers_do_not_depend_on_how_member_bytes_are_split(#[case] response: Vec<u8>, #[case] want: Answer) {
     let member = Member::start();
     let router = without_probes(&[("s-a", &member)]);
-    let greeted = [
+    let greeting_bytes = [
         &b"R\0\0\0\x08\0\0\0\0"[..],
         &parameter("server_version", "15"),
         b"K\0\0\0\x0c\0\0\0\x01\0\0\0\x02",
         &ready(),
     ]
     .concat();
-    let cuts = std::iter::once(Cut::Everywhere).chain((1..said.len()).step_by(7).map(Cut::At));
+    let chunkings =
+        std::iter::once(Chunking::EachByte).chain((1..response.len()).step_by(7).map(Chunking::SplitAt));
     let mut number = 0;
-    for (i, cut) in cuts.enumerate() {
+    for (i, chunking) in chunkings.enumerate() {
         let mut in_time = false;
-        // A machine too busy for the pieces to follow one another says nothing of the router: played again.
+        // A trial in which a busy machine delays the pieces shows nothing about the router and is repeated.
         for _ in 0..50 {
             number += 1;
             let id = format!("i{number}");
@@ -266,13 +270,18 @@
             client.send(&query_bytes(&order(&id, 60_000)));
             let mut link = member.dialled();
             link.stream.set_nodelay(true).expect("open");
-            say(&router, &mut link.stream, &greeted, if i == 0 { cut } else { Cut::At(i) });
+            send_chunked(
+                &router,
+                &mut link.stream,
+                &greeting_bytes,
+                if i == 0 { chunking } else { Chunking::SplitAt(i) },
+            );
             assert!(link.asked().is_some_and(|s| s.contains(&format!("id={id},"))));
-            in_time = say_in_time(&router, &mut link.stream, &said, cut);
+            in_time = send_chunked_in_time(&router, &mut link.stream, &response, chunking);
             if in_time {
-                assert_eq!(client.answer(), want, "{cut:?}");
+                assert_eq!(client.answer(), want, "{chunking:?}");
             }
-            // Each greets anew.
+            // The next trial needs a new connection with its own greeting.
             let _ = link.stream.shutdown(Shutdown::Both);
             drop(link);
             router.turn();
@@ -280,6 +289,6 @@
                 break;
             }
         }
-        assert!(in_time, "{cut:?}: never said in time, or the connection is ended each time");
+        assert!(in_time, "{chunking:?}: never sent in time, or the connection was closed in each trial");
     }
 }
--- a/crates/router/tests/ready.rs
+++ b/crates/router/tests/ready.rs
@@ -1,4 +1,5 @@
-//! The built program from its start until it is ready, and with idle clients in every place, while discovery is down.
+//! The built program from its start until it is ready, and with all client sockets taken by idle clients, while
+//! discovery is down.
 
 mod common;
 
@@ -10,39 +11,42 @@
 use std::thread::{scope, sleep};
 use std::time::{Duration, Instant};
 
-fn served() -> Node {
+fn start_primary() -> Node {
     Node::start("primary", |_| Reply::Send(row("r")))
 }
 
+/// How the discovery agent treats a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Agent {
-    /// Accepts and says nothing, to the first two or for ever.
+    /// Accepts connections and never answers.
     Silent,
+    /// Does not answer the first two watches, and sends the list on later ones.
     SilentTwice,
+    /// Refuses connections.
     Refuses,
 }
 
-/// Danger: the front takes in whoever answers an empty query. Nine in ten started again have 10 s for that, 6 s where the
-/// day ends sooner.
+/// Danger: the front takes a router into service once it answers an empty query. When nine in ten routers are restarted,
+/// each has 10 s for that, or 6 s where the day ends sooner.
 #[rstest]
-#[case::silent_with_a_list_known(Agent::Silent, true, 5, true)]
+#[case::silent_with_a_known_list(Agent::Silent, true, 5, true)]
 #[case::silent(Agent::Silent, false, 6, false)]
-#[case::refuses_with_a_list_known(Agent::Refuses, true, 5, true)]
+#[case::refuses_with_a_known_list(Agent::Refuses, true, 5, true)]
 #[case::refuses(Agent::Refuses, false, 6, false)]
 #[case::silent_at_first(Agent::SilentTwice, false, 6, true)]
-fn a_start_is_ready_inside_6_s(
+fn start_without_discovery_is_ready_within_6_s(
     #[case] agent: Agent,
-    #[case] knows: bool,
+    #[case] has_known_list: bool,
     #[case] seconds: u64,
-    #[case] serves: bool,
+    #[case] expect_row: bool,
 ) {
-    let (node, refusing) = (served(), Refusing::start());
-    let told = list(41, true, &[entry("s-a", &node, "ready", "primary")]);
-    let known = if knows { told.clone() } else { "null".to_owned() };
-    let discovery = Discovery::acting(move |number, asked| {
+    let (node, refusing) = (start_primary(), Refusing::start());
+    let members = list(41, true, &[entry("s-a", &node, "ready", "primary")]);
+    let known = if has_known_list { members.clone() } else { "null".to_owned() };
+    let discovery = Discovery::acting(move |number, watch| {
         if agent == Agent::SilentTwice && number >= 2 {
-            asked.begin();
-            asked.send(&told);
+            watch.begin();
+            watch.send(&members);
         }
     });
     let address = if agent == Agent::Refuses { refusing.address() } else { discovery.address };
@@ -55,16 +59,16 @@
         sleep(Duration::from_millis(50));
     }
     let took = begun.elapsed();
-    println!("{agent:?}, a list known: {knows}: ready after {took:?}");
+    println!("{agent:?}, known list: {has_known_list}: ready after {took:?}");
     assert!(took < Duration::from_secs(seconds), "{took:?}");
-    // Ready without any list, it refuses: a repeat elsewhere is harmless.
+    // A router that is ready without a list refuses commands; the client can safely repeat them at another router.
     let answer = client.query(&look("i1", 5000));
-    assert_eq!(answer, if serves { Answer::Row("r".into()) } else { refused });
+    assert_eq!(answer, if expect_row { Answer::Row("r".into()) } else { refused });
 }
 
-/// Connections that stay, and come again when they are ended: silent ones, ones that have said who they are, ones
-/// that asked for nothing, and ones in the middle of a message.
-fn fill(address: SocketAddr, count: usize, over: &AtomicBool) {
+/// Keeps this many idle connections open and opens each again when the router closes it: some send nothing, some only
+/// a startup packet, some an empty query as well, and some stop in the middle of a message.
+fn hold_idle_connections(address: SocketAddr, count: usize, stopped: &AtomicBool) {
     let kinds = [
         Vec::new(),
         startup(3 << 16),
@@ -77,31 +81,31 @@
         stream.set_nonblocking(true).ok()?;
         Some(stream)
     };
-    let mut crowd: Vec<Option<TcpStream>> = (0..count).map(connect).collect();
-    while !over.load(Relaxed) {
+    let mut connections: Vec<Option<TcpStream>> = (0..count).map(connect).collect();
+    while !stopped.load(Relaxed) {
         sleep(Duration::from_millis(100));
-        for (i, place) in crowd.iter_mut().enumerate() {
-            let rests = |s: &TcpStream| {
+        for (i, slot) in connections.iter_mut().enumerate() {
+            let is_open = |s: &TcpStream| {
                 !matches!(s.peek(&mut [0]), Ok(0)) && s.take_error().is_ok_and(|e| e.is_none())
             };
-            if !place.as_ref().is_some_and(rests) {
-                *place = connect(i);
+            if !slot.as_ref().is_some_and(is_open) {
+                *slot = connect(i);
             }
         }
     }
 }
 
-/// Ends the crowd, also where the test fails.
-struct Over<'a>(&'a AtomicBool);
+/// Sets the flag when dropped, so that the idle clients also end if the test fails.
+struct SetOnDrop<'a>(&'a AtomicBool);
 
-impl Drop for Over<'_> {
+impl Drop for SetOnDrop<'_> {
     fn drop(&mut self) {
         self.0.store(true, Relaxed);
     }
 }
 
-/// The answer to a command that comes with its client.
-fn asks(router: &Router, id: &str) -> Answer {
+/// The answer to a command that a new client sends together with its startup packet.
+fn answer_to_new_client(router: &Router, id: &str) -> Answer {
     let mut client = Client::raw(router);
     client.send(&[startup(3 << 16), query_bytes(&order(id, 8000))].concat());
     assert_eq!(client.answer(), Answer::Empty, "ready after startup");
@@ -109,12 +113,12 @@
 }
 
 #[rstest]
-#[case::the_fewest(256)]
-#[case::the_most(1024)]
-fn idle_clients_in_every_place_keep_out_neither_the_watch_nor_who_asks(#[case] sockets: u32) {
-    let (first, second, refusing) = (served(), served(), Refusing::start());
+#[case::smallest_limit(256)]
+#[case::largest_limit(1024)]
+fn idle_clients_on_all_sockets_block_neither_the_watch_nor_new_commands(#[case] sockets: u32) {
+    let (first, second, refusing) = (start_primary(), start_primary(), Refusing::start());
     let known = list(41, true, &[entry("s-a", &first, "ready", "primary")]);
-    let told = list(
+    let members = list(
         43,
         true,
         &[entry("s-a", &first, "draining", "replica"), entry("s-b", &second, "ready", "primary")],
@@ -122,35 +126,41 @@
     let text = configuration(refusing.address(), sockets, 192, &known);
     let router = Router::beside(Discovery::start(), &text, None);
     router.limit_descriptors(sockets);
-    let over = &AtomicBool::new(false);
+    let stopped = &AtomicBool::new(false);
     scope(|s| {
-        let _end = Over(over);
-        s.spawn(|| fill(router.address, sockets as usize + 50, over));
+        let _stop = SetOnDrop(stopped);
+        s.spawn(|| hold_idle_connections(router.address, sockets as usize + 50, stopped));
         let begun = Instant::now();
         while router.descriptors() < sockets as usize * 3 / 4 {
             assert!(begun.elapsed() < WAIT, "not filled in {WAIT:?}");
             sleep(Duration::from_millis(20));
         }
-        let served = Answer::Row("r".into());
+        let expected = Answer::Row("r".into());
         let mut held = 0;
         for i in 0..20 {
             sleep(Duration::from_millis(150));
             held = held.max(router.descriptors());
-            assert_eq!(asks(&router, &format!("down-{i}")), served);
+            assert_eq!(answer_to_new_client(&router, &format!("down-{i}")), expected);
         }
-        let discovery = Discovery::at(refusing.open(), move |_, asked| {
-            asked.begin();
-            asked.send(&told);
+        let discovery = Discovery::at(refusing.open(), move |_, watch| {
+            watch.begin();
+            watch.send(&members);
         });
-        let back = Instant::now();
-        let asked = discovery.asked();
-        assert!(asked.at - back < Duration::from_secs(4), "{:?}", asked.at - back);
-        // From the first that goes there on all do.
+        let restored_at = Instant::now();
+        let watch = discovery.asked();
+        assert!(watch.at - restored_at < Duration::from_secs(4), "{:?}", watch.at - restored_at);
+        // Once the first command has reached the second member, all later ones go there.
         first.seen.try_iter().for_each(drop);
         while second.seen.try_iter().next().is_none() {
-            assert!(back.elapsed() < Duration::from_secs(6), "the list is not had");
-            assert_eq!(asks(&router, &format!("back-{}", back.elapsed().as_micros())), served);
+            assert!(restored_at.elapsed() < Duration::from_secs(6), "the new list is not in force");
+            assert_eq!(
+                answer_to_new_client(&router, &format!("back-{}", restored_at.elapsed().as_micros())),
+                expected
+            );
         }
-        println!("{sockets}: {held} descriptors held, asked {:?} after discovery was back", asked.at - back);
+        println!(
+            "{sockets}: {held} descriptors held, watch opened {:?} after discovery was restored",
+            watch.at - restored_at
+        );
     });
 }
