--- a/crates/router/tests/reload.rs
+++ b/crates/router/tests/reload.rs
@@ -1,5 +1,5 @@
-//! The built program whose settings change while it runs: what comes in afterwards is served under the new ones, what is
-//! in hand ends under those that it came in with.
+//! The built program whose settings change while it runs: commands that arrive afterwards are served under the new
+//! settings, open commands end under those that they arrived with.
 
 mod common;
 
@@ -14,24 +14,24 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// A router before one primary, and its configuration to be changed.
+/// A router in front of one primary, and the configuration that tests change.
 struct Running {
     router: Router,
     node: Node,
     config: Value,
 }
 
-fn started(
+fn start(
     change: impl FnOnce(&mut Value),
     role: &'static str,
     reply: impl Fn(&str) -> Reply + Send + Sync + 'static,
 ) -> Running {
     let node = Node::start(role, reply);
     let known = list(41, true, &[entry("s-a", &node, "ready", "primary")]);
-    let told = known.clone();
-    let discovery = Discovery::acting(move |_, asked| {
-        asked.begin();
-        asked.send(&told);
+    let members = known.clone();
+    let discovery = Discovery::acting(move |_, watch| {
+        watch.begin();
+        watch.send(&members);
     });
     let text = configuration(discovery.address, 1024, 192, &known);
     let mut config: Value = serde_json::from_str(&text).expect("JSON");
@@ -40,13 +40,13 @@
 }
 
 impl Running {
-    /// The same configuration with other settings, asked to be read.
+    /// Changes the settings in the configuration file and asks the router to read it.
     fn reload(&mut self, change: impl FnOnce(&mut Value)) {
         change(&mut self.config["settings"]);
         self.router.reload(&self.config.to_string());
     }
 
-    /// In force once this is told.
+    /// Changes the settings and waits until they are in force.
     fn change(&mut self, change: impl FnOnce(&mut Value)) {
         self.reload(change);
         self.router.logged("reload: the settings have changed and are in force");
@@ -58,18 +58,19 @@
     }
 }
 
-/// A primary that answers with these bytes once it is let to.
-fn held(bytes: fn() -> Vec<u8>) -> (Sender<()>, impl Fn(&str) -> Reply + Send + Sync + 'static) {
-    let (let_go, may_go) = channel::<()>();
-    let may_go = Arc::new(Mutex::new(may_go));
+/// A reply with these bytes that waits for a release by the test.
+fn held_reply(bytes: fn() -> Vec<u8>) -> (Sender<()>, impl Fn(&str) -> Reply + Send + Sync + 'static) {
+    let (release, released) = channel::<()>();
+    let released = Arc::new(Mutex::new(released));
     let reply = move |_: &str| {
-        let _ = may_go.lock().expect("a lock").recv();
+        let _ = released.lock().expect("a lock").recv();
         Reply::Send(bytes())
     };
-    (let_go, reply)
+    (release, reply)
 }
 
-fn under(group: &str, id: &str) -> String {
+/// A read in this command group.
+fn read_in_group(group: &str, id: &str) -> String {
     look(id, 50_000).replace("c=look", &format!("c={group}"))
 }
 
@@ -86,11 +87,11 @@
 }
 
 #[rstest]
-fn a_new_command_group_and_a_new_customer_are_served() {
-    let mut running = started(|_| {}, "primary", |_| Reply::Send(row("value")));
+fn reload_adds_a_command_group_and_a_customer() {
+    let mut running = start(|_| {}, "primary", |_| Reply::Send(row("value")));
     let mut client = Client::connect(&running.router);
     let (by_group, by_customer) =
-        (|id| under("fresh", id), |id: &str| look(id, 50_000).replace("t=acme", "t=new"));
+        (|id| read_in_group("fresh", id), |id: &str| look(id, 50_000).replace("t=acme", "t=new"));
     assert_eq!((client.query(&by_group("i1")), client.query(&by_customer("i2"))), (refused(), refused()));
     running.change(|settings| {
         settings["request_classes"].as_array_mut().expect("a list").insert(0, group("fresh"));
@@ -102,9 +103,9 @@
 }
 
 #[rstest]
-fn a_removed_group_is_refused_and_what_is_in_hand_is_answered() {
-    let (let_go, reply) = held(|| row("value"));
-    let mut running = started(|_| {}, "primary", reply);
+fn removed_group_is_refused_while_its_open_commands_are_answered() {
+    let (release, reply) = held_reply(|| row("value"));
+    let mut running = start(|_| {}, "primary", reply);
     let mut early = Client::connect(&running.router);
     early.send(&query_bytes(&order("i1", 50_000)));
     assert!(running.node.statement().contains("id=i1"));
@@ -115,48 +116,49 @@
     let mut late = Client::connect(&running.router);
     assert_eq!(late.query(&order("i2", 50_000)), refused());
     running.router.logged("no command group is named 'order'");
-    let_go.send(()).expect("the member waits");
+    release.send(()).expect("the member waits");
     assert_eq!(early.answer(), value());
-    let_go.send(()).expect("the member waits");
+    release.send(()).expect("the member waits");
     assert_eq!(late.query(&look("i3", 50_000)), value(), "the others are served as before");
 }
 
-/// Whether a command may run again: it erred once.
+/// The semantics decide whether a command whose first attempt ended with an error is sent again.
 #[rstest]
 #[case::to_pure("side_effect", "pure")]
 #[case::to_side_effect("pure", "side_effect")]
-fn a_changed_effect_holds_for_what_comes_after(#[case] before: &str, #[case] after: &str) {
-    let (let_go, may_go) = channel::<()>();
-    let may_go = Mutex::new(may_go);
-    let erred = Mutex::new(Vec::<String>::new());
-    let mut running = started(
+fn changed_semantics_apply_to_later_commands(#[case] before: &str, #[case] after: &str) {
+    let (release, released) = channel::<()>();
+    let released = Mutex::new(released);
+    let failed_once = Mutex::new(Vec::<String>::new());
+    let mut running = start(
         |settings| settings["request_classes"][1]["semantics"] = before.into(),
         "primary",
         move |statement| {
             let id = statement.split("id=").nth(1).and_then(|s| s.split(',').next()).unwrap_or_default();
-            let mut erred = erred.lock().expect("a lock");
-            if erred.iter().any(|e| e == id) {
+            let mut failed_once = failed_once.lock().expect("a lock");
+            if failed_once.iter().any(|e| e == id) {
                 return Reply::Send(row("value"));
             }
-            erred.push(id.to_owned());
-            let _ = may_go.lock().expect("a lock").recv();
+            failed_once.push(id.to_owned());
+            let _ = released.lock().expect("a lock").recv();
             Reply::Send(code("XX000"))
         },
     );
-    let ends = |effect: &str| if effect == "pure" { value() } else { Answer::Error("40003".into(), None) };
+    let expected =
+        |semantics: &str| if semantics == "pure" { value() } else { Answer::Error("40003".into(), None) };
     let mut early = Client::connect(&running.router);
     early.send(&query_bytes(&order("i1", 50_000)));
     assert!(running.node.statement().contains("id=i1"));
     running.change(|settings| settings["request_classes"][1]["semantics"] = after.into());
-    let_go.send(()).expect("the member waits");
-    assert_eq!(early.answer(), ends(before), "what was in hand");
-    let_go.send(()).expect("the member waits");
-    assert_eq!(early.query(&order("i2", 50_000)), ends(after), "what came after");
+    release.send(()).expect("the member waits");
+    assert_eq!(early.answer(), expected(before), "the open command");
+    release.send(()).expect("the member waits");
+    assert_eq!(early.query(&order("i2", 50_000)), expected(after), "the later command");
 }
 
 #[rstest]
-fn fewer_attempts_hold_for_what_comes_after() {
-    let mut running = started(
+fn lower_attempt_limit_applies_to_later_commands() {
+    let mut running = start(
         |_| {},
         "primary",
         |statement| Reply::Send(if statement.contains("SELECT") { code("XX000") } else { row("value") }),
@@ -169,7 +171,7 @@
     let failed = client.query(&look("i1", 50_000));
     assert!(matches!(failed, Answer::Error(..)), "{failed:?}");
     let before = dispatches(&running);
-    assert!(before > 1, "it was sent again: {before}");
+    assert!(before > 1, "more than one dispatch: {before}");
     running.change(|settings| settings["permissions"]["max_attempts"] = 1.into());
     let failed = client.query(&look("i2", 50_000));
     assert!(matches!(failed, Answer::Error(..)), "{failed:?}");
@@ -177,56 +179,61 @@
 }
 
 #[rstest]
-fn a_shorter_response_target_holds_for_what_comes_after() {
-    let mut running = started(|_| {}, "primary", |_| Reply::Silence);
+fn shorter_response_target_applies_to_later_commands() {
+    let mut running = start(|_| {}, "primary", |_| Reply::Silence);
     let mut early = Client::connect(&running.router);
     early.send(&query_bytes(&order("i1", 50_000)));
     assert!(running.node.statement().contains("id=i1"));
     running.change(|settings| settings["request_classes"][1]["aim_ms"] = 300.0.into());
     let mut late = Client::connect(&running.router);
-    // The first still waits by its own target; what comes later has waited past its own.
+    // The first command still waits under the old target; the later one has passed the new target.
     let answer = late.query(&order("i2", 50_000));
     assert!(matches!(answer, Answer::Error(..)), "{answer:?}");
     assert_eq!(running.count("commands", "open"), 1);
 }
 
-/// How long a process lives on after SIGTERM follows from the longest client timeout.
+/// The longest client timeout determines how long the process keeps running after SIGTERM.
 #[rstest]
-fn a_longer_client_timeout_lets_a_stopping_process_live_on() {
-    let (let_go, reply) = held(|| row("value"));
-    let short = |settings: &mut Value, ms: f64| {
+fn longer_client_timeout_extends_the_shutdown() {
+    let (release, reply) = held_reply(|| row("value"));
+    let set_timeout = |settings: &mut Value, ms: f64| {
         (0..2).for_each(|i| settings["request_classes"][i]["hard_limit_ms"] = ms.into());
     };
-    let mut running = started(|settings| short(settings, 100.0), "primary", reply);
-    running.change(|settings| short(settings, 60_000.0));
+    let mut running = start(|settings| set_timeout(settings, 100.0), "primary", reply);
+    running.change(|settings| set_timeout(settings, 60_000.0));
     let mut client = Client::connect(&running.router);
     client.send(&query_bytes(&order("i1", 50_000)));
     assert!(running.node.statement().contains("id=i1"));
     running.router.signal("-TERM");
     running.router.logged("stopping: 1 commands open");
-    // By the shorter one it would be told after 0.66 s that it has failed; by the longer one after 3.56 s.
+    // With the shorter timeout the command would be answered as failed after 0.66 s; with the longer one after 3.56 s.
     sleep(Duration::from_millis(1_300));
-    let_go.send(()).expect("the member waits");
+    release.send(()).expect("the member waits");
     assert_eq!(client.answer(), value());
     drop(client);
     assert!(running.router.wait().success());
 }
 
 #[rstest]
-fn connections_are_kept_and_dialled_by_what_is_in_force() {
-    let mut running = started(|_| {}, "primary", |_| Reply::Send(row("value")));
+fn new_idle_limit_ends_the_reuse_of_connections() {
+    let mut running = start(|_| {}, "primary", |_| Reply::Send(row("value")));
     let mut client = Client::connect(&running.router);
     assert_eq!(client.query(&order("i1", 50_000)), value());
     running.change(|settings| settings["permissions"]["conn_idle_ms"] = 0.2.into());
     let reused = running.count("connections", "reused");
     (2..5).for_each(|i| assert_eq!(client.query(&order(&format!("i{i}"), 50_000)), value()));
-    assert_eq!(running.count("connections", "reused"), reused, "none is kept for long enough");
+    assert_eq!(
+        running.count("connections", "reused"),
+        reused,
+        "no connection stays open long enough to be reused"
+    );
 }
 
 #[rstest]
-fn a_shorter_dial_time_holds_for_the_next_dial() {
-    let long = |settings: &mut Value| settings["permissions"]["dial_timeout_ms"] = 60_000.0.into();
-    let mut running = started(long, "mute", |_| Reply::Silence);
+fn shorter_dial_timeout_applies_to_the_next_dial() {
+    let set_long_timeout =
+        |settings: &mut Value| settings["permissions"]["dial_timeout_ms"] = 60_000.0.into();
+    let mut running = start(set_long_timeout, "mute", |_| Reply::Silence);
     running.change(|settings| settings["permissions"]["dial_timeout_ms"] = 50.0.into());
     let mut client = Client::connect(&running.router);
     client.send(&query_bytes(&order("i1", 50_000)));
@@ -234,36 +241,39 @@
 }
 
 #[rstest]
-fn probes_ask_by_what_is_in_force() {
-    let mut running = started(|_| {}, "primary", |_| Reply::Send(row("value")));
+fn probes_use_the_report_settings_in_force() {
+    let mut running = start(|_| {}, "primary", |_| Reply::Send(row("value")));
     running.change(|settings| settings["report"]["via"] = "none".into());
-    let fresh = Node::start("replica", |_| Reply::Send(row("1")));
-    let both = [entry("s-a", &running.node, "ready", "primary"), entry("s-b", &fresh, "ready", "replica")];
+    let added = Node::start("replica", |_| Reply::Send(row("1")));
+    let both = [entry("s-a", &running.node, "ready", "primary"), entry("s-b", &added, "ready", "replica")];
     running.router.discovery.asked().send(&list(42, true, &both));
-    assert_eq!(fresh.statement(), "SELECT 1", "a member that is new is asked");
+    assert_eq!(added.statement(), "SELECT 1", "a new member is probed as the new settings say");
 }
 
 #[rstest]
-#[case::no_object(json!(7), "expected an object under 'settings'")]
-#[case::alike(json!({"request_classes": [group("a"), group("a")]}), "expected another name for each of 'request_classes'")]
+#[case::not_an_object(json!(7), "expected an object under 'settings'")]
+#[case::duplicate_names(json!({"request_classes": [group("a"), group("a")]}), "expected another name for each of 'request_classes'")]
 #[case::no_groups(json!({}), "request_classes.count")]
 #[case::no_timeout(json!({"request_classes": [{"name": "a"}]}), "request_classes.0.hard_limit_ms")]
-#[case::no_number(json!({"request_classes": [group("a")], "permissions": {"max_attempts": "many"}}), "permissions.max_attempts")]
-fn wrong_settings_change_nothing(#[case] wrong: Value, #[case] why: &str) {
-    let mut running = started(|_| {}, "primary", |_| Reply::Send(row("value")));
+#[case::not_a_number(json!({"request_classes": [group("a")], "permissions": {"max_attempts": "many"}}), "permissions.max_attempts")]
+fn invalid_settings_are_rejected_as_a_whole(#[case] invalid: Value, #[case] reason: &str) {
+    let mut running = start(|_| {}, "primary", |_| Reply::Send(row("value")));
     let elsewhere = Discovery::start();
     let (discovery, settings) = (running.config["discovery"].take(), running.config["settings"].take());
     running.config["discovery"] = elsewhere.address.to_string().into();
-    running.reload(|settings| *settings = wrong);
+    running.reload(|settings| *settings = invalid);
     let line = running.router.logged("reload: the configuration stays as it is: ");
-    assert!(line.contains("expected") && line.contains(why), "{line}");
+    assert!(line.contains("expected") && line.contains(reason), "{line}");
     let mut client = Client::connect(&running.router);
-    assert_eq!((client.query(&look("i1", 50_000)), client.query(&under("a", "i2"))), (value(), refused()));
+    assert_eq!(
+        (client.query(&look("i1", 50_000)), client.query(&read_in_group("a", "i2"))),
+        (value(), refused())
+    );
     assert_eq!(running.count("connections", "reloads"), 0);
-    assert!(elsewhere.never_asked(), "nor does the watch move");
+    assert!(elsewhere.never_asked(), "the watch has not moved");
     running.config["discovery"] = discovery;
-    running.reload(|held| *held = settings);
-    // The settings are those in force.
+    running.reload(|current| *current = settings);
+    // The file holds the settings in force again, so nothing changes.
     let line = running.router.logged("reload: ");
     assert!(line.contains("discovery stays"), "{line}");
 }
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -1,4 +1,4 @@
-//! The built program beside stand-ins, over sockets.
+//! The built program with stand-ins for clients, members and discovery, over sockets.
 
 mod common;
 
@@ -11,12 +11,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-fn always(bytes: Vec<u8>) -> impl Fn(&str) -> Reply + Send + Sync {
+/// Replies to every statement with the same bytes.
+fn reply_with(bytes: Vec<u8>) -> impl Fn(&str) -> Reply + Send + Sync {
     move |_| Reply::Send(bytes.clone())
 }
 
-/// A set of one primary that does this, and the router before it.
-fn one(reply: impl Fn(&str) -> Reply + Send + Sync + 'static) -> (Node, Router) {
+/// A database set of one primary that replies like this, and a router in front of it.
+fn start_with_primary(reply: impl Fn(&str) -> Reply + Send + Sync + 'static) -> (Node, Router) {
     let node = Node::start("primary", reply);
     let router = Router::start(&[entry("s-a", &node, "ready", "primary")]);
     (node, router)
@@ -27,8 +28,8 @@
 }
 
 #[rstest]
-fn the_row_goes_back_and_the_statement_on_but_for_its_wait() {
-    let (node, router) = one(always(row("r1")));
+fn statement_is_forwarded_with_the_remaining_wait_and_the_row_returned() {
+    let (node, router) = start_with_primary(reply_with(row("r1")));
     let mut client = Client::connect(&router);
     assert_eq!(client.query(&look("i1", 5000)), Answer::Row("r1".into()));
     let statement = node.statement();
@@ -43,7 +44,8 @@
 
 #[rstest]
 fn pipelined_queries_are_answered_in_order() {
-    let (_node, router) = one(|s| Reply::Send(row(if s.contains("id=i1") { "first" } else { "second" })));
+    let (_node, router) =
+        start_with_primary(|s| Reply::Send(row(if s.contains("id=i1") { "first" } else { "second" })));
     let mut client = Client::raw(&router);
     let queries = [query_bytes(&look("i1", 5000)), query_bytes(""), query_bytes(&look("i2", 5000))];
     client.send(&[startup(3 << 16), queries.concat()].concat());
@@ -55,36 +57,36 @@
 }
 
 #[rstest]
-fn what_is_refused_at_once_does_not_hold_up_what_lies_behind_it() {
-    let (_node, router) = one(always(row("r")));
+fn immediately_refused_queries_do_not_delay_pipelined_ones() {
+    let (_node, router) = start_with_primary(reply_with(row("r")));
     let mut client = Client::connect(&router);
     let queries = ["i1", "i2", "i3"].map(|id| query_bytes(&look(id, 0)));
     let sent = Instant::now();
     client.send(&queries.concat());
     let answers: Vec<Answer> = (0..3).map(|_| client.answer()).collect();
     assert!(answers.iter().all(|a| matches!(a, Answer::Error(code, _) if code == "53300")), "{answers:?}");
-    // Nothing but the watch's silence would wake the router for the last.
-    assert!(sent.elapsed() < WAIT / 2, "held up for {:?}", sent.elapsed());
+    // If the last query were overlooked, only the time-out of the silent watch would wake the router.
+    assert!(sent.elapsed() < WAIT / 2, "delayed by {:?}", sent.elapsed());
 }
 
 #[rstest]
 #[case::throttled(order("i1", 400), "25006", "53300")]
 #[case::failed(order("i1", 5000), "XX000", "40003")]
-fn what_no_node_serves_is_throttled_or_failed(
+fn command_that_no_member_serves_is_throttled_or_failed(
     #[case] query: String,
     #[case] node: &str,
     #[case] client: &str,
 ) {
-    let (_node, router) = one(always(code(node)));
+    let (_node, router) = start_with_primary(reply_with(code(node)));
     let Answer::Error(code, detail) = Client::connect(&router).query(&query) else { panic!("no error") };
-    let told = detail.is_some_and(|d| d.parse::<u32>().is_ok());
-    assert_eq!((code.as_str(), told), (client, client == "53300"));
+    let has_retry_delay = detail.is_some_and(|d| d.parse::<u32>().is_ok());
+    assert_eq!((code.as_str(), has_retry_delay), (client, client == "53300"));
 }
 
 #[rstest]
-fn a_miss_walks_on_to_the_next_member() {
-    let old = Node::start("replica", always(code("25006")));
-    let new = Node::start("primary", always(row("w")));
+fn miss_sends_the_command_to_the_next_member() {
+    let old = Node::start("replica", reply_with(code("25006")));
+    let new = Node::start("primary", reply_with(row("w")));
     let list = [entry("s-a", &old, "ready", "primary"), entry("s-b", &new, "ready", "replica")];
     let router = Router::start(&list);
     assert_eq!(Client::connect(&router).query(&order("i1", 5000)), Answer::Row("w".into()));
@@ -92,10 +94,13 @@
 }
 
 #[rstest]
-#[case::broken(Vec::new(), "40003")]
-#[case::half_a_message(row("w")[..9].to_vec(), "40003")]
-fn a_mutating_command_that_may_have_run_is_not_sent_again(#[case] bytes: Vec<u8>, #[case] answer: &str) {
-    let (node, router) = one(move |_| Reply::Close(bytes.clone()));
+#[case::without_any_bytes(Vec::new(), "40003")]
+#[case::within_a_message(row("w")[..9].to_vec(), "40003")]
+fn write_whose_connection_closes_without_an_answer_is_not_resent(
+    #[case] bytes: Vec<u8>,
+    #[case] answer: &str,
+) {
+    let (node, router) = start_with_primary(move |_| Reply::Close(bytes.clone()));
     let mut client = Client::connect(&router);
     assert_eq!(client.query(&order("i1", 5000)), error(answer));
     assert!(node.statement().contains("id=i1"));
@@ -105,7 +110,7 @@
 }
 
 #[rstest]
-fn a_dispatch_that_gets_no_connection_in_time_was_never_sent() {
+fn dial_timeout_counts_the_dispatch_as_never_sent() {
     let node = Node::start("mute", |_| Reply::Silence);
     let router = Router::start(&[entry("s-a", &node, "ready", "primary")]);
     let Answer::Error(code, _) = Client::connect(&router).query(&order("i1", 1000)) else {
@@ -120,8 +125,8 @@
 }
 
 #[rstest]
-fn what_a_node_says_before_it_is_asked_is_no_answer() {
-    let node = Node::start("early", always(row("r")));
+fn answer_that_arrives_with_the_greeting_is_discarded() {
+    let node = Node::start("early", reply_with(row("r")));
     let router = Router::start(&[entry("s-a", &node, "ready", "primary")]);
     let answer = Client::connect(&router).query(&order("i1", 300));
     assert!(matches!(&answer, Answer::Error(code, _) if code == "53300"), "{answer:?}");
@@ -129,7 +134,7 @@
 }
 
 #[rstest]
-fn a_probe_that_gets_no_connection_in_time_timed_out_and_is_asked_once_more() {
+fn probe_with_a_dial_timeout_counts_as_timed_out_and_is_repeated() {
     let node = Node::start("mute", |_| Reply::Silence);
     let router = Router::start(&[entry("s-a", &node, "ready", "primary")]);
     (0..2).for_each(|_| drop(router.logged("Probe ended: Limit while Dialling")));
@@ -143,29 +148,29 @@
 #[case::no_row(Vec::new())]
 #[case::garbage(b"HTTP/1.1 400 Bad Request\r\n\r\n".to_vec())]
 #[case::row_and_error([row("a"), code("XX000")].concat())]
-fn what_is_no_answer_may_have_run(#[case] bytes: Vec<u8>) {
-    let node = Node::start("primary", always(bytes));
+fn write_with_an_invalid_answer_may_have_run(#[case] bytes: Vec<u8>) {
+    let node = Node::start("primary", reply_with(bytes));
     let router = Router::with_settings(&[entry("s-a", &node, "ready", "primary")], &PATIENT);
     assert_eq!(Client::connect(&router).query(&order("i1", 5000)), error("40003"));
 }
 
 #[rstest]
-#[case::three_gigabytes([row("r")[..27].to_vec(), b"D\xb2\xd0\x5e\x00\x00\x01".to_vec()].concat())]
-#[case::column_past_its_row([row("r")[..27].to_vec(), b"D\0\0\0\x0b\0\x01\0\0\0\x09x".to_vec()].concat())]
-#[case::no_message_at_all(b"!!".to_vec())]
-#[case::half_a_description(b"T\0\0\0\x0b\0\x01vvvvv".to_vec())]
-#[case::stopped_short(row("r")[..30].to_vec())]
-fn a_spoilt_answer_is_seen_at_once(#[case] spoilt: Vec<u8>) {
-    // The stand-in keeps such a connection open and says no more.
+#[case::length_of_three_gigabytes([row("r")[..27].to_vec(), b"D\xb2\xd0\x5e\x00\x00\x01".to_vec()].concat())]
+#[case::column_longer_than_its_row([row("r")[..27].to_vec(), b"D\0\0\0\x0b\0\x01\0\0\0\x09x".to_vec()].concat())]
+#[case::not_a_message(b"!!".to_vec())]
+#[case::truncated_description(b"T\0\0\0\x0b\0\x01vvvvv".to_vec())]
+#[case::stalled_header(row("r")[..30].to_vec())]
+fn malformed_answer_is_detected_without_further_bytes(#[case] malformed: Vec<u8>) {
+    // The stand-in keeps this connection open and sends nothing more.
     let node = Node::start("replica", move |s| {
-        if s.contains("id=i1") { Reply::Raw(spoilt.clone()) } else { Reply::Send(row("again")) }
+        if s.contains("id=i1") { Reply::Raw(malformed.clone()) } else { Reply::Send(row("again")) }
     });
     let router = Router::start(&[entry("s-a", &node, "ready", "replica")]);
     let mut client = Client::connect(&router);
-    let asked = Instant::now();
-    // It may have run: a read goes out again, a write does not.
+    let sent_at = Instant::now();
+    // The command may have run: a read is sent again, a write is not.
     assert_eq!(client.query(&order("i1", 30_000)), error("40003"));
-    assert!(asked.elapsed() < WAIT, "not seen from its head");
+    assert!(sent_at.elapsed() < WAIT, "not detected from its header");
     assert_eq!(client.query(&look("i2", 5000)), Answer::Row("again".into()));
     router.signal("-USR1");
     let dispatches = router.counters("dispatches");
@@ -173,29 +178,30 @@
 }
 
 #[rstest]
-#[case::a_second_copy([row("r"), ready(), row("r"), ready()].concat())]
+#[case::second_copy([row("r"), ready(), row("r"), ready()].concat())]
 #[case::noise([row("r"), ready(), b"\x07noise".to_vec()].concat())]
-fn a_good_answer_serves_though_more_lies_behind_it(#[case] bytes: Vec<u8>) {
-    let (node, router) =
-        one(move |s| if s.contains("id=i1") { Reply::Raw(bytes.clone()) } else { Reply::Send(row("other")) });
+fn complete_answer_is_used_despite_surplus_bytes(#[case] bytes: Vec<u8>) {
+    let (node, router) = start_with_primary(move |s| {
+        if s.contains("id=i1") { Reply::Raw(bytes.clone()) } else { Reply::Send(row("other")) }
+    });
     let mut client = Client::connect(&router);
     assert_eq!(client.query(&order("i1", 5000)), Answer::Row("r".into()));
-    // That connection is not used again.
+    // The connection is closed and not used again.
     assert_eq!((node.statement().contains("id=i1"), node.next()), (true, Seen::Ended));
     assert_eq!(client.query(&order("i2", 5000)), Answer::Row("other".into()));
 }
 
 #[rstest]
 #[case::silent(Vec::new())]
-#[case::half_an_opening(startup(3 << 16)[..9].to_vec())]
-#[case::opened_and_silent(startup(3 << 16))]
+#[case::half_a_startup_packet(startup(3 << 16)[..9].to_vec())]
+#[case::silent_after_startup(startup(3 << 16))]
 #[case::half_a_query([startup(3 << 16), query_bytes(&look("h", 5000))[..30].to_vec()].concat())]
-#[case::unknown_kind_without_end([startup(3 << 16), b"!\0\0\xff\xff".to_vec()].concat())]
-#[case::sixty_megabytes([startup(3 << 16), b"Q\x03\x93\x87\x04".to_vec(), vec![b'x'; 60_000_000]].concat())]
-fn whoever_sends_no_whole_query_is_told_before_long(#[case] bytes: Vec<u8>) {
-    let (_node, router) = one(always(row("r")));
+#[case::unterminated_unknown_message([startup(3 << 16), b"!\0\0\xff\xff".to_vec()].concat())]
+#[case::query_of_sixty_megabytes([startup(3 << 16), b"Q\x03\x93\x87\x04".to_vec(), vec![b'x'; 60_000_000]].concat())]
+fn client_without_a_complete_query_gets_an_error_in_time(#[case] bytes: Vec<u8>) {
+    let (_node, router) = start_with_primary(reply_with(row("r")));
     let mut client = Client::raw(&router);
-    // An error that is told while the rest still comes is not lost to a reset.
+    // An error that the router sends while bytes are still arriving must not be lost to a reset.
     client.send(&bytes);
     let mut answer = client.answer();
     if answer == Answer::Empty {
@@ -205,77 +211,77 @@
 }
 
 #[rstest]
-fn silent_connections_give_way_before_clients_that_ask() {
-    let node = Node::start("primary", always(row("r")));
+fn silent_connections_are_closed_before_active_clients() {
+    let node = Node::start("primary", reply_with(row("r")));
     let router = Router::with_sockets(&[entry("s-a", &node, "ready", "primary")], 48);
     let mut client = Client::connect(&router);
     assert_eq!(client.query(&look("first", 5000)), Answer::Row("r".into()));
-    let ask = |id: &str| {
+    let connect_and_query = |id: &str| {
         let mut late = Client::connect(&router);
         assert_eq!(late.query(&look(id, 5000)), Answer::Row("r".into()));
         late
     };
     let silent: Vec<Client> = (0..10).map(|_| Client::raw(&router)).collect();
-    // One that has just connected may be about to ask.
+    // A connection that was opened just now is kept, because its first query may be on its way.
     std::thread::sleep(std::time::Duration::from_millis(150));
-    let late: Vec<Client> = ["l1", "l2", "l3", "l4"].map(ask).into();
+    let late: Vec<Client> = ["l1", "l2", "l3", "l4"].map(connect_and_query).into();
     router.logged("one that asked for nothing is closed");
     assert_eq!(client.query(&look("second", 5000)), Answer::Row("r".into()));
     drop((silent, late));
 }
 
 #[rstest]
-fn clients_that_ask_once_and_stay_leave_connections_to_others() {
-    let node = Node::start("primary", always(row("r")));
+fn idle_clients_are_closed_to_admit_new_clients() {
+    let node = Node::start("primary", reply_with(row("r")));
     let router = Router::with_sockets(&[entry("s-a", &node, "ready", "primary")], 48);
-    let ask = |id: String| {
+    let connect_and_query = |id: String| {
         let mut client = Client::connect(&router);
         assert_eq!(client.query(&look(&id, 5000)), Answer::Row("r".into()));
         client
     };
-    // 48 descriptors: clients hold 16 at most, and 12 of them stay.
-    let mut stay: Vec<Client> = (0..12).map(|i| ask(format!("i{i}"))).collect();
+    // With 48 descriptors clients hold 16 at most, of which 12 may stay between their commands.
+    let mut staying: Vec<Client> = (0..12).map(|i| connect_and_query(format!("i{i}"))).collect();
     std::thread::sleep(std::time::Duration::from_millis(150));
-    stay.push(ask("one more".into()));
-    assert_eq!(stay[0].answer(), Answer::Closed);
-    assert_eq!(stay[12].query(&look("again", 5000)), Answer::Row("r".into()));
+    staying.push(connect_and_query("one more".into()));
+    assert_eq!(staying[0].answer(), Answer::Closed);
+    assert_eq!(staying[12].query(&look("again", 5000)), Answer::Row("r".into()));
 }
 
 #[rstest]
-fn what_is_lent_to_clients_is_given_back_for_dials() {
+fn dials_reclaim_descriptors_from_silent_clients() {
     let node = Node::start("primary", |_| Reply::Silence);
     let router = Router::with_sockets(&[entry("s-a", &node, "ready", "primary")], 48);
     let mut busy: Vec<Client> = (0..6).map(|_| Client::connect(&router)).collect();
     let mut silent: Vec<Client> = (0..5).map(|_| Client::raw(&router)).collect();
     std::thread::sleep(std::time::Duration::from_millis(150));
-    // Room for 16: with the sixth connection to the node there would be 17.
+    // There is room for 16 connections; the sixth to the member would be the 17th.
     for (i, client) in busy.iter_mut().enumerate() {
         client.send(&query_bytes(&order(&format!("i{i}"), 30_000)));
         assert!(node.statement().contains(&format!("id=i{i}")));
     }
-    assert_eq!(silent[0].answer(), Answer::Closed, "not told that its query did not come in time");
+    assert_eq!(silent[0].answer(), Answer::Closed, "closed without the error for a late query");
 }
 
 #[rstest]
-fn what_clients_have_sent_and_is_not_taken_is_bounded_together() {
-    let node = Node::start("primary", always(row("r")));
+fn incomplete_queries_of_all_clients_share_one_memory_limit() {
+    let node = Node::start("primary", reply_with(row("r")));
     let router = Router::with_limits(&[entry("s-a", &node, "ready", "primary")], 1024, 1);
-    let begin = |size: usize| {
+    let send_incomplete = |size: usize| {
         let mut client = Client::connect(&router);
         client.send(&[&b"Q"[..], &130_000u32.to_be_bytes(), &vec![b'x'; size]].concat());
         client
     };
-    // An eighth of 1 MB may be held: of two halves of a query the larger gives way.
-    let (mut larger, _smaller) = (begin(100_000), begin(60_000));
+    // An eighth of 1 MB may be buffered; of two incomplete queries above that, the larger is refused.
+    let (mut larger, _smaller) = (send_incomplete(100_000), send_incomplete(60_000));
     assert_eq!(larger.answer(), error("53200"));
 }
 
 #[rstest]
-fn a_client_that_never_stops_sending_leaves_others_their_turns() {
-    let (_node, router) = one(always(row("r")));
+fn client_that_sends_without_pause_does_not_starve_others() {
+    let (_node, router) = start_with_primary(reply_with(row("r")));
     let (mut flood, mut other) = (Client::connect(&router), Client::connect(&router));
     assert_eq!(flood.query(&look("i1", 5000)), Answer::Row("r".into()));
-    // Flush asks for nothing and is never answered.
+    // Flush requests nothing and is never answered.
     let bytes = b"H\0\0\0\x04".repeat(200_000);
     let mut writer = flood.stream.try_clone().expect("a handle");
     let sender = std::thread::spawn(move || while writer.write_all(&bytes).is_ok() {});
@@ -287,8 +293,8 @@
 }
 
 #[rstest]
-fn a_kept_connection_that_the_node_closed_is_not_written_to() {
-    let (node, router) = one(|s| {
+fn idle_connection_that_the_member_closed_is_not_reused() {
+    let (node, router) = start_with_primary(|s| {
         let first = s.contains("id=i1");
         let answer = [parameter("role", "primary"), row("r"), ready()].concat();
         if first { Reply::Close(answer) } else { Reply::Send(row("w")) }
@@ -300,18 +306,18 @@
 }
 
 #[rstest]
-fn kept_connections_go_when_a_probe_fails() {
-    let node = Node::start("deaf", always(row("r")));
+fn failed_probe_closes_idle_connections() {
+    let node = Node::start("deaf", reply_with(row("r")));
     let router = Router::start(&[entry("s-a", &node, "ready", "primary")]);
     assert_eq!(Client::connect(&router).query(&look("i1", 5000)), Answer::Row("r".into()));
-    // The first probe has no answer; the connection that the command left would be kept for half a minute.
+    // The first probe gets no answer. Otherwise the command's connection would stay open for half a minute.
     assert!(node.statement().contains("id=i1"));
     assert_eq!(node.next(), Seen::Ended);
 }
 
 #[rstest]
-fn a_client_that_leaves_has_its_dispatch_called_off() {
-    let (node, router) = one(|_| Reply::Silence);
+fn client_disconnect_cancels_its_dispatch() {
+    let (node, router) = start_with_primary(|_| Reply::Silence);
     let mut client = Client::connect(&router);
     client.send(&query_bytes(&look("i1", 30_000)));
     assert!(node.statement().contains("id=i1"));
@@ -323,9 +329,9 @@
 }
 
 #[rstest]
-fn a_draining_member_gets_nothing_new_and_a_broken_watch_is_asked_for_again() {
-    let first = Node::start("primary", always(row("first")));
-    let second = Node::start("primary", always(row("second")));
+fn draining_member_gets_no_new_commands_and_a_closed_watch_is_reopened() {
+    let first = Node::start("primary", reply_with(row("first")));
+    let second = Node::start("primary", reply_with(row("second")));
     let router = Router::start(&[entry("s-a", &first, "ready", "primary")]);
     let mut client = Client::connect(&router);
     assert_eq!(client.query(&order("i1", 5000)), Answer::Row("first".into()));
@@ -335,22 +341,22 @@
     watch.send("");
     watch.send(&list(42, false, &change));
     drop(watch);
-    // The next watch shows that the change was taken in.
+    // The index of the next watch shows that the change was applied.
     let mut watch = router.discovery.asked();
     assert!(watch.path.contains("index=42"), "{}", watch.path);
     assert_eq!(client.query(&order("i2", 5000)), Answer::Row("second".into()));
-    // What can't be read is asked for as a whole.
+    // After an unreadable update the router requests the whole list.
     watch.send("no list");
     assert!(router.discovery.asked().path.contains("index=0"));
 }
 
 #[rstest]
-fn a_reload_moves_the_watch_and_keeps_commands_and_what_was_told() {
-    let (go, going) = channel();
-    let going = Mutex::new(going);
+fn reload_moves_the_watch_and_keeps_open_commands_and_the_list() {
+    let (release, released) = channel();
+    let released = Mutex::new(released);
     let node = Node::start("primary", move |s| {
         if s.contains("id=i1") {
-            going.lock().expect("one at a time").recv().expect("the test goes on");
+            released.lock().expect("one at a time").recv().expect("a release by the test");
         }
         Reply::Send(row("r"))
     });
@@ -361,42 +367,42 @@
     client.send(&query_bytes(&look("i1", 60_000)));
     assert!(node.statement().contains("id=i1"));
     // Half a file and one without discovery change nothing.
-    for wrong in [r#"{"name":"n0","lis"#, r#"{"settings":{},"seed":"1","listen":"127.0.0.1:0"}"#] {
-        router.reload(wrong);
+    for invalid in [r#"{"name":"n0","lis"#, r#"{"settings":{},"seed":"1","listen":"127.0.0.1:0"}"#] {
+        router.reload(invalid);
         router.logged("reload: the configuration stays as it is");
     }
-    // The new one tells its list once the test says so, however often it has been asked by then.
-    let second = Node::start("primary", always(row("second")));
-    let other = entry("s-b", &second, "ready", "primary");
-    let tells = Arc::new(AtomicBool::new(false));
-    let (told, whole) = (tells.clone(), list(7, true, std::slice::from_ref(&other)));
-    let new = Discovery::acting(move |_, asked| {
-        if told.load(Relaxed) {
-            asked.begin();
-            asked.send(&whole);
+    // The new agent sends its list once the test allows it, however many watches were opened by then.
+    let second = Node::start("primary", reply_with(row("second")));
+    let new_member = entry("s-b", &second, "ready", "primary");
+    let may_send = Arc::new(AtomicBool::new(false));
+    let (may_send_list, whole) = (may_send.clone(), list(7, true, std::slice::from_ref(&new_member)));
+    let new = Discovery::acting(move |_, watch| {
+        if may_send_list.load(Relaxed) {
+            watch.begin();
+            watch.send(&whole);
         }
     });
     router.reload(&configuration(new.address, 512, 192, "null"));
     router.logged("'limits' has changed");
     let watch = new.asked();
     assert!(watch.path.contains("index=0"), "{}", watch.path);
-    // The old one is heard until the new one has told its list, then ended, and never asked again.
-    old.send(&list(43, false, &[entry("s-a", &node, "draining", "replica"), other]));
+    // The old watch is used until the new agent has sent its list, is then closed and never opened again.
+    old.send(&list(43, false, &[entry("s-a", &node, "draining", "replica"), new_member]));
     old.delivered();
     assert_eq!(Client::connect(&router).query(&order("i2", 9000)), Answer::Row("second".into()));
-    tells.store(true, Relaxed);
+    may_send.store(true, Relaxed);
     drop(watch);
     assert!(old.ended());
-    // Each watch is closed as it is let go: the one behind that list asks for what changed since.
+    // Each watch is closed when the test drops it: the one after the list requests later changes only.
     while !new.asked().path.contains("index=7") {}
-    assert!(router.discovery.never_asked(), "asked at the new address alone");
-    go.send(()).expect("the node waits");
+    assert!(router.discovery.never_asked(), "watches are opened only at the new address");
+    release.send(()).expect("the member waits");
     assert_eq!(client.answer(), Answer::Row("r".into()));
 }
 
 #[rstest]
-fn a_member_that_is_gone_loses_its_kept_connections() {
-    let (node, router) = one(always(row("r")));
+fn removed_member_loses_its_idle_connections() {
+    let (node, router) = start_with_primary(reply_with(row("r")));
     assert_eq!(Client::connect(&router).query(&look("i1", 5000)), Answer::Row("r".into()));
     assert!(node.statement().contains("id=i1"));
     router.discovery.asked().send(&list(42, false, &[entry("s-a", &node, "gone", "primary")]));
@@ -404,12 +410,12 @@
 }
 
 #[rstest]
-fn sigterm_answers_what_was_taken_and_the_counters_add_up() {
-    let (go, going) = channel();
-    let going = Mutex::new(going);
-    let (node, mut router) = one(move |s| {
+fn sigterm_answers_accepted_commands_and_the_counters_add_up() {
+    let (release, released) = channel();
+    let released = Mutex::new(released);
+    let (node, mut router) = start_with_primary(move |s| {
         if s.contains("id=i2") {
-            going.lock().expect("one at a time").recv_timeout(WAIT).expect("the test goes on");
+            released.lock().expect("one at a time").recv_timeout(WAIT).expect("a release by the test");
         }
         Reply::Send(row("r"))
     });
@@ -420,13 +426,13 @@
     node.statement();
     router.signal("-TERM");
     router.logged("stopping");
-    // While others may be down too, clients that stay are served on, and new ones.
+    // Other routers may be down at the same time, so connected and new clients are still served for a while.
     let mut late = Client::connect(&router);
     assert_eq!(late.query(&look("i3", 5000)), Answer::Row("r".into()));
     assert_eq!(idle.query(&look("i4", 5000)), Answer::Row("r".into()));
-    // Then a connection between commands is ended, and what was taken is answered.
+    // Then connections without an open command are closed, and accepted commands are answered.
     assert_eq!((idle.answer(), late.answer()), (Answer::Closed, Answer::Closed));
-    go.send(()).expect("the node waits");
+    release.send(()).expect("the member waits");
     assert_eq!((busy.answer(), busy.answer()), (Answer::Row("r".into()), Answer::Closed));
     let counters = router.counters("commands");
     let sum = ["answered", "throttled", "failed", "left", "open"].iter().map(|n| counters[*n]).sum::<u64>();
@@ -435,18 +441,18 @@
 }
 
 #[rstest]
-fn nobody_is_left_behind_when_the_listener_closes() {
-    let (_node, router) = one(always(row("r")));
+fn clients_in_the_accept_queue_are_answered_when_the_listener_closes() {
+    let (_node, router) = start_with_primary(reply_with(row("r")));
     router.signal("-TERM");
     router.logged("stopping");
     router.signal("-STOP");
-    let ask = |i| {
+    let connect_and_send = |i| {
         let mut client = Client::raw(&router);
         client.send(&[startup(3 << 16), query_bytes(&look(&format!("i{i}"), 30_000))].concat());
         client
     };
-    let mut clients: Vec<Client> = (0..200).map(ask).collect();
-    // By now nothing more is to be taken, and the system holds all of them.
+    let mut clients: Vec<Client> = (0..200).map(connect_and_send).collect();
+    // By now the router accepts nothing more, and all connections are in the accept queue of the system.
     std::thread::sleep(std::time::Duration::from_millis(2_700));
     router.signal("-CONT");
     for client in &mut clients {
@@ -456,69 +462,69 @@
 }
 
 #[rstest]
-fn what_comes_after_sigterm_is_answered_while_the_process_may_live() {
-    let (_node, mut router) = one(|_| Reply::Silence);
+fn command_after_sigterm_is_answered_before_the_process_ends() {
+    let (_node, mut router) = start_with_primary(|_| Reply::Silence);
     let mut client = Client::connect(&router);
     router.signal("-TERM");
     router.logged("stopping");
-    let told = Instant::now();
+    let signalled_at = Instant::now();
     client.send(&query_bytes(&look("i1", 60_000)));
-    let Answer::Error(code, _) = client.answer() else { panic!("no node serves") };
-    // It would have waited for a minute.
-    assert!(code == "53300" && told.elapsed() < WAIT, "{code} after {:?}", told.elapsed());
+    let Answer::Error(code, _) = client.answer() else { panic!("no member serves") };
+    // Without the shutdown the command would have waited for a minute.
+    assert!(code == "53300" && signalled_at.elapsed() < WAIT, "{code} after {:?}", signalled_at.elapsed());
     assert_eq!((client.answer(), router.wait().code()), (Answer::Closed, Some(0)));
 }
 
 #[rstest]
-fn time_spent_standing_still_is_not_given_to_a_command_again() {
-    let (_node, router) = one(always(row("r")));
+fn time_spent_stopped_counts_against_the_client_timeout() {
+    let (_node, router) = start_with_primary(reply_with(row("r")));
     let mut client = Client::connect(&router);
     router.signal("-STOP");
     client.send(&query_bytes(&look("i1", 50)));
-    // The command's own time passes while nobody can read it.
+    // The client timeout of the command passes while the process cannot read it.
     std::thread::sleep(std::time::Duration::from_millis(150));
     router.signal("-CONT");
-    let Answer::Error(code, _) = client.answer() else { panic!("answered past its time") };
+    let Answer::Error(code, _) = client.answer() else { panic!("answered after its deadline") };
     assert_eq!(code, "53300");
 }
 
 #[rstest]
-fn what_came_while_the_process_stood_still_is_read_before_its_deadline_counts() {
-    let (_node, router) = one(always(row("r")));
+fn query_received_while_stopped_is_read_before_its_deadline_applies() {
+    let (_node, router) = start_with_primary(reply_with(row("r")));
     let mut client = Client::connect(&router);
     router.stop();
     client.send(&query_bytes(&look("i1", 60_000)));
-    // The time for a client's first query passes while nobody can read it.
+    // The time-out for a client's first query passes while the process cannot read it.
     std::thread::sleep(std::time::Duration::from_millis(2_800));
     router.signal("-CONT");
     assert_eq!(client.answer(), Answer::Row("r".into()));
 }
 
 #[rstest]
-fn at_the_limit_of_descriptors_idle_clients_make_room() {
-    let node = Node::start("primary", always(row("r")));
+fn idle_clients_are_closed_at_the_descriptor_limit() {
+    let node = Node::start("primary", reply_with(row("r")));
     let router = Router::with_sockets(&[entry("s-a", &node, "ready", "primary")], 40);
-    let ask = |i| {
+    let connect_and_query = |i| {
         let mut client = Client::connect(&router);
         assert_eq!(client.query(&look(&format!("i{i}"), 5000)), Answer::Row("r".into()));
         client
     };
-    let mut clients: Vec<Client> = (0..12).map(ask).collect();
+    let mut clients: Vec<Client> = (0..12).map(connect_and_query).collect();
     assert_eq!(clients[0].answer(), Answer::Closed);
 }
 
 #[rstest]
-fn commands_in_hand_keep_their_connections_at_the_limit() {
+fn open_commands_keep_their_connections_at_the_descriptor_limit() {
     let node = Node::start("primary", |_| Reply::Silence);
     let router = Router::with_sockets(&[entry("s-a", &node, "ready", "primary")], 40);
-    let ask = |i| {
+    let connect_and_send = |i| {
         let mut client = Client::connect(&router);
         client.send(&query_bytes(&look(&format!("i{i}"), 30_000)));
         assert!(node.statement().contains(&format!("id=i{i}")));
         client
     };
-    let mut busy: Vec<Client> = (0..4).map(ask).collect();
-    // A fifth waits to be accepted until one of the four has left.
+    let mut busy: Vec<Client> = (0..4).map(connect_and_send).collect();
+    // The fifth client is accepted only after one of the four has disconnected.
     let mut fifth = Client::raw(&router);
     fifth.send(&startup(3 << 16));
     busy.pop();
@@ -537,25 +543,26 @@
 #[case::unknown_group("SELECT v /* id=x,c=peek,d=10,cluster=2 */", "22023")]
 #[case::unknown_customer("SELECT v /* id=x,c=look,t=none,d=10,cluster=2 */", "22023")]
 #[case::no_such_set("SELECT v /* id=x,c=look,d=10,cluster=77 */", "3D000")]
-#[case::set_no_number("SELECT v /* id=x,c=look,d=10,cluster=two */", "22P02")]
+#[case::set_not_a_number("SELECT v /* id=x,c=look,d=10,cluster=two */", "22P02")]
 #[case::negative_wait("SELECT v /* id=x,c=look,d=-5,cluster=2 */", "22P02")]
-#[case::wait_no_number("SELECT v /* id=x,c=look,d=soon,cluster=2 */", "22P02")]
-#[case::endless_wait("SELECT v /* id=x,c=look,d=inf,cluster=2 */", "22P02")]
+#[case::wait_not_a_number("SELECT v /* id=x,c=look,d=soon,cluster=2 */", "22P02")]
+#[case::infinite_wait("SELECT v /* id=x,c=look,d=inf,cluster=2 */", "22P02")]
 #[case::signed_wait("SELECT v /* id=x,c=look,d=+5,cluster=2 */", "22P02")]
 #[case::wait_with_exponent("SELECT v /* id=x,c=look,d=5e3,cluster=2 */", "22P02")]
-#[case::after_no_number("SELECT v /* id=x,c=look,d=10,cluster=2,after=then */", "22P02")]
-#[case::nothing_readable("\u{1}\u{2}/*,=,=*/", "42601")]
-fn a_bad_query_gets_its_error_and_the_connection_goes_on(#[case] query: &str, #[case] code: &str) {
-    let (node, router) = one(always(row("r")));
+#[case::position_not_a_number("SELECT v /* id=x,c=look,d=10,cluster=2,after=then */", "22P02")]
+#[case::unreadable("\u{1}\u{2}/*,=,=*/", "42601")]
+fn invalid_query_gets_an_error_and_the_connection_stays_usable(#[case] query: &str, #[case] code: &str) {
+    let (node, router) = start_with_primary(reply_with(row("r")));
     let mut client = Client::connect(&router);
     assert_eq!(client.query(query), error(code));
     assert_eq!(client.query(&look("good", 5000)), Answer::Row("r".into()));
-    assert!(node.statement().contains("id=good"), "only what a client worded well is sent");
+    assert!(node.statement().contains("id=good"), "only the valid query is forwarded");
 }
 
 #[rstest]
-fn a_huge_wait_and_an_id_that_is_open_are_withstood() {
-    let (node, router) = one(|s| if s.contains("d=") { Reply::Silence } else { Reply::Send(row("r")) });
+fn id_of_an_open_command_with_a_huge_wait_is_refused() {
+    let (node, router) =
+        start_with_primary(|s| if s.contains("d=") { Reply::Silence } else { Reply::Send(row("r")) });
     let (mut first, mut second) = (Client::connect(&router), Client::connect(&router));
     first.send(&query_bytes(&look("x", u32::MAX)));
     node.statement();
@@ -563,8 +570,8 @@
 }
 
 #[rstest]
-fn extended_messages_get_one_error_and_are_in_step_after_sync() {
-    let (_node, router) = one(always(row("r")));
+fn extended_messages_get_one_error_and_queries_work_after_sync() {
+    let (_node, router) = start_with_primary(reply_with(row("r")));
     let mut client = Client::connect(&router);
     let extended =
         [b"P\0\0\0\x08\0\0\0\0".as_slice(), b"B\0\0\0\x04", b"E\0\0\0\x04", b"S\0\0\0\x04"].concat();
@@ -573,8 +580,8 @@
 }
 
 #[rstest]
-fn more_than_may_be_held_is_read_on_while_it_asks_for_nothing() {
-    let (_node, router) = one(always(row("r")));
+fn extended_messages_beyond_the_buffer_limit_are_skipped() {
+    let (_node, router) = start_with_primary(reply_with(row("r")));
     let mut client = Client::connect(&router);
     let bind = [&b"B"[..], &10_004u32.to_be_bytes(), &[0; 10_000]].concat();
     let all =
@@ -584,15 +591,15 @@
 }
 
 #[rstest]
-#[case::other_version(startup(2 << 16), "0A000")]
-#[case::short_opening(vec![0, 0, 0, 3], "08P01")]
-#[case::long_opening(vec![0x7f, 0, 0, 0], "08P01")]
-#[case::short_message([startup(3 << 16), vec![b'Q', 0, 0, 0, 3]].concat(), "08P01")]
-#[case::long_message([startup(3 << 16), vec![b'Q', 0, 0x40, 0, 0]].concat(), "08P01")]
-#[case::unknown_kind([startup(3 << 16), vec![b'!', 0, 0, 0, 4]].concat(), "08P01")]
-#[case::query_without_end([startup(3 << 16), vec![b'Q', 0, 0, 0, 5, b'S']].concat(), "08P01")]
-fn what_cannot_be_read_on_from_ends_that_connection_alone(#[case] bytes: Vec<u8>, #[case] code: &str) {
-    let (_node, router) = one(always(row("r")));
+#[case::unsupported_version(startup(2 << 16), "0A000")]
+#[case::startup_length_too_short(vec![0, 0, 0, 3], "08P01")]
+#[case::startup_length_too_long(vec![0x7f, 0, 0, 0], "08P01")]
+#[case::message_length_too_short([startup(3 << 16), vec![b'Q', 0, 0, 0, 3]].concat(), "08P01")]
+#[case::message_length_too_long([startup(3 << 16), vec![b'Q', 0, 0x40, 0, 0]].concat(), "08P01")]
+#[case::unknown_message_kind([startup(3 << 16), vec![b'!', 0, 0, 0, 4]].concat(), "08P01")]
+#[case::query_without_terminator([startup(3 << 16), vec![b'Q', 0, 0, 0, 5, b'S']].concat(), "08P01")]
+fn protocol_error_closes_only_its_own_connection(#[case] bytes: Vec<u8>, #[case] code: &str) {
+    let (_node, router) = start_with_primary(reply_with(row("r")));
     let mut other = Client::connect(&router);
     let mut client = Client::raw(&router);
     client.send(&bytes);
@@ -605,8 +612,8 @@
 }
 
 #[rstest]
-fn encryption_is_declined_and_a_cancel_closed() {
-    let (_node, router) = one(always(row("r")));
+fn encryption_is_declined_and_a_cancel_connection_is_closed() {
+    let (_node, router) = start_with_primary(reply_with(row("r")));
     let mut client = Client::raw(&router);
     for code in [80_877_103u32, 80_877_104] {
         client.send(&[8u32.to_be_bytes(), code.to_be_bytes()].concat());
@@ -622,8 +629,8 @@
 }
 
 #[rstest]
-fn bytes_cut_off_anywhere_harm_nobody() {
-    let (_node, router) = one(always(row("r")));
+fn client_that_disconnects_at_any_byte_does_not_affect_others() {
+    let (_node, router) = start_with_primary(reply_with(row("r")));
     let whole = [startup(3 << 16), query_bytes(&look("cut", 5000))].concat();
     for end in 0..whole.len() {
         let mut stream = TcpStream::connect(router.address).expect("the router listens");
@@ -633,9 +640,12 @@
 }
 
 #[rstest]
-#[case::nothing_told(None, "NODE_CONFIG")]
+#[case::variable_not_set(None, "NODE_CONFIG")]
 #[case::no_such_file(Some("/nonexistent/config.json"), "expected a JSON file")]
-fn a_missing_configuration_ends_the_start_with_one_line(#[case] path: Option<&str>, #[case] expected: &str) {
+fn missing_configuration_ends_the_start_with_one_log_line(
+    #[case] path: Option<&str>,
+    #[case] expected: &str,
+) {
     let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_vetchkeel-router"));
     let output =
         command.env_remove("NODE_CONFIG").envs(path.map(|p| ("NODE_CONFIG", p))).output().expect("it runs");
