--- a/crates/router/tests/told.rs
+++ b/crates/router/tests/told.rs
@@ -1,4 +1,5 @@
-//! The time that an attempt tells its member: at most what is left to the client, however long the attempt was held.
+//! The wait that a dispatch states to its member: at most the time left to the client, however long the dispatch was
+//! delayed.
 
 mod common;
 
@@ -8,13 +9,15 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// What the client waits, and how much more than is left to it an attempt may tell, both in milliseconds.
-const WAITS: u32 = 20_000;
+/// How long the client waits, in milliseconds.
+const CLIENT_WAIT: u32 = 20_000;
+/// By how much the stated wait may exceed the time left to the client, in milliseconds.
 const SLACK: u32 = 150;
-/// How long an attempt is held: what told the time before that would be far off.
-const HELD: Duration = Duration::from_millis(700);
+/// How long a dispatch is delayed: long enough that a wait computed before the delay is clearly wrong.
+const DELAY: Duration = Duration::from_millis(700);
 
-fn told(statement: &str) -> u32 {
+/// The wait in the comment of this statement, in milliseconds.
+fn stated_wait(statement: &str) -> u32 {
     let wait = statement.rsplit(",d=").next().and_then(|s| s.split(',').next());
     wait.and_then(|w| w.parse().ok()).unwrap_or_else(|| panic!("no wait in '{statement}'"))
 }
@@ -23,154 +26,155 @@
     without_probes_but(&[("s-a", member)], &[WORTH])
 }
 
-/// A client and when it began to send its command.
+/// A client, when it sent its command and how long it waits in all, in milliseconds.
 struct Waiting {
     client: Client,
     since: Instant,
-    waits: u32,
+    wait: u32,
 }
 
 impl Waiting {
-    fn asks(router: &Router, statement: &str, waits: u32) -> Waiting {
+    fn send(router: &Router, statement: &str, wait: u32) -> Waiting {
         let mut client = Client::connect(router);
         let since = Instant::now();
         client.send(&query_bytes(statement));
-        Waiting { client, since, waits }
+        Waiting { client, since, wait }
     }
 
+    /// The time left to the client, in milliseconds.
     fn left(&self) -> u32 {
-        self.waits.saturating_sub(self.since.elapsed().as_millis() as u32)
+        self.wait.saturating_sub(self.since.elapsed().as_millis() as u32)
     }
 
-    /// The next statement on this connection tells no more than was left to the client when `left` was read.
-    fn checks(&self, link: &mut Link, left: u32) {
-        self.tells(&link.asked().expect("a statement"), left);
+    /// Checks that the next statement on this connection states no more than `left`, the time left before it was sent.
+    fn check_next(&self, link: &mut Link, left: u32) {
+        self.check(&link.asked().expect("a statement"), left);
     }
 
-    fn tells(&self, statement: &str, left: u32) {
-        let told = told(statement);
-        assert!(told <= left + SLACK, "told {told} with {left} left");
-        // And what is told is no guess far below.
-        assert!(told + 8_000 >= left, "told {told} with {left} left");
+    fn check(&self, statement: &str, left: u32) {
+        let stated = stated_wait(statement);
+        assert!(stated <= left + SLACK, "stated {stated} with {left} left");
+        // Nor is the stated wait far below the time left.
+        assert!(stated + 8_000 >= left, "stated {stated} with {left} left");
     }
 
-    fn served(&mut self, mut link: Link) {
+    fn finish(&mut self, mut link: Link) {
         link.answer("r");
         assert_eq!(self.client.answer(), Answer::Row("r".into()));
     }
 }
 
-/// How an attempt ends so that a further one may follow.
+/// How a dispatch ends so that another one may follow.
 #[derive(Clone, Copy, Debug)]
-enum Ends {
-    With(&'static str),
+enum Ending {
+    Error(&'static str),
     Reset,
 }
 
-impl Ends {
-    /// The connection ends with it: the router hears both in one turn.
+impl Ending {
+    /// An error comes together with the end of the connection, so that the router reads both in one turn.
     fn end(self, router: &Router, mut link: Link) {
         match self {
-            Ends::With(sqlstate) => {
+            Ending::Error(sqlstate) => {
                 router.stop();
                 link.say(&[code(sqlstate), ready()].concat());
                 link.end(false);
                 router.signal("-CONT");
             }
-            Ends::Reset => link.end(true),
+            Ending::Reset => link.end(true),
         }
     }
 }
 
 #[rstest]
-#[case::erred(Ends::With("XX000"))]
-#[case::missed(Ends::With("72000"))]
-#[case::turned_away(Ends::With("53300"))]
-#[case::reset(Ends::Reset)]
-fn a_further_attempt_after_a_late_dial_tells_what_is_left(#[case] ends: Ends) {
+#[case::error(Ending::Error("XX000"))]
+#[case::miss(Ending::Error("72000"))]
+#[case::rejected(Ending::Error("53300"))]
+#[case::reset(Ending::Reset)]
+fn retry_after_a_slow_dial_states_the_remaining_wait(#[case] ending: Ending) {
     let member = Member::start();
     let router = router(&member);
-    let mut waiting = Waiting::asks(&router, &look("i1", WAITS), WAITS);
+    let mut waiting = Waiting::send(&router, &look("i1", CLIENT_WAIT), CLIENT_WAIT);
     let mut first = member.dialled();
-    sleep(HELD);
+    sleep(DELAY);
     let left = waiting.left();
     first.greet();
-    waiting.checks(&mut first, left);
-    ends.end(&router, first);
-    let mut further = member.dialled();
-    sleep(HELD);
+    waiting.check_next(&mut first, left);
+    ending.end(&router, first);
+    let mut retry = member.dialled();
+    sleep(DELAY);
     let left = waiting.left();
-    further.greet();
-    waiting.checks(&mut further, left);
-    waiting.served(further);
+    retry.greet();
+    waiting.check_next(&mut retry, left);
+    waiting.finish(retry);
 }
 
 #[rstest]
-#[case::as_wide_as_before(20_000)]
-#[case::with_a_digit_less_by_then(10_300)]
-fn a_further_attempt_that_is_written_in_parts_tells_what_is_left(#[case] waits: u32) {
+#[case::same_width(20_000)]
+#[case::one_digit_fewer(10_300)]
+fn retry_written_in_parts_states_the_remaining_wait(#[case] wait: u32) {
     let member = Member::narrow();
     let router = router(&member);
-    let long = order("i1", waits).replace(r"\x01", &format!(r"\x{}", "01".repeat(64_000)));
-    let mut waiting = Waiting::asks(&router, &long, waits);
+    let long = order("i1", wait).replace(r"\x01", &format!(r"\x{}", "01".repeat(64_000)));
+    let mut waiting = Waiting::send(&router, &long, wait);
     let mut link = member.met();
     let left = waiting.left();
-    waiting.checks(&mut link, left);
-    Ends::With("25006").end(&router, link);
+    waiting.check_next(&mut link, left);
+    Ending::Error("25006").end(&router, link);
     let mut link = member.met();
-    // Something of it has come: the router has told how many bytes there will be, and its system takes no more.
+    // A part of the statement has arrived: the router has sent the message length, and its socket buffer is full.
     link.stream.peek(&mut [0]).expect("a statement");
-    sleep(HELD);
+    sleep(DELAY);
     let left = waiting.left();
-    waiting.checks(&mut link, left);
-    waiting.served(link);
+    waiting.check_next(&mut link, left);
+    waiting.finish(link);
 }
 
 #[rstest]
-#[case::a_dial_comes_up(true)]
-#[case::an_attempt_ends(false)]
-fn after_standing_still_an_attempt_tells_what_is_left(#[case] dials: bool) {
+#[case::dial_completes(true)]
+#[case::attempt_ends(false)]
+fn dispatch_after_a_stop_states_the_remaining_wait(#[case] during_dial: bool) {
     let member = Member::start();
     let router = router(&member);
-    let mut waiting = Waiting::asks(&router, &look("i1", WAITS), WAITS);
+    let mut waiting = Waiting::send(&router, &look("i1", CLIENT_WAIT), CLIENT_WAIT);
     let mut link = member.met();
     let left = waiting.left();
-    waiting.checks(&mut link, left);
-    if dials {
+    waiting.check_next(&mut link, left);
+    if during_dial {
         link.end(true);
         link = member.dialled();
         router.stop();
         link.greet();
     } else {
         router.stop();
-        // Its connection rests, and a new one carries the further attempt.
+        // This connection is not used again at once, so the next attempt uses a new one.
         link.say(&[code("XX000"), ready()].concat());
     }
-    sleep(HELD);
+    sleep(DELAY);
     let left = waiting.left();
     router.signal("-CONT");
-    let mut link = if dials { link } else { member.met() };
-    waiting.checks(&mut link, left);
-    waiting.served(link);
+    let mut link = if during_dial { link } else { member.met() };
+    waiting.check_next(&mut link, left);
+    waiting.finish(link);
 }
 
 #[rstest]
-fn what_came_while_it_stood_still_tells_what_is_left() {
+fn query_received_during_a_stop_states_the_remaining_wait() {
     let member = Member::start();
     let router = router(&member);
-    // One that was served before, so that the connection is there and the command is written at once.
-    let mut before = Waiting::asks(&router, &look("i0", WAITS), WAITS);
+    // An earlier command has opened the connection, so that the next one is written at once.
+    let mut waiting = Waiting::send(&router, &look("i0", CLIENT_WAIT), CLIENT_WAIT);
     let mut link = member.met();
-    let left = before.left();
-    before.checks(&mut link, left);
+    let left = waiting.left();
+    waiting.check_next(&mut link, left);
     link.answer("r");
-    assert_eq!(before.client.answer(), Answer::Row("r".into()));
+    assert_eq!(waiting.client.answer(), Answer::Row("r".into()));
     router.stop();
-    before.since = Instant::now();
-    before.client.send(&query_bytes(&look("i1", WAITS)));
-    sleep(HELD);
-    let left = before.left();
+    waiting.since = Instant::now();
+    waiting.client.send(&query_bytes(&look("i1", CLIENT_WAIT)));
+    sleep(DELAY);
+    let left = waiting.left();
     router.signal("-CONT");
-    before.checks(&mut link, left);
-    before.served(link);
+    waiting.check_next(&mut link, left);
+    waiting.finish(link);
 }
--- a/crates/router/tests/turned_away.rs
+++ b/crates/router/tests/turned_away.rs
@@ -1,5 +1,5 @@
-//! A router whose members work sends to them within 4 s, whatever went before: a start, a reload, or a while in which
-//! none of them answered.
+//! A router with working members dispatches to them within 4 s, whatever went before: a start, a reload, or a period
+//! in which no member answered.
 
 mod common;
 
@@ -12,45 +12,50 @@
 use std::thread::{scope, sleep};
 use std::time::{Duration, Instant};
 
-/// With no attempt for so long a router turns away all that it gets.
-const IDLE_MOST: Duration = Duration::from_secs(4);
+/// A router that makes no attempt for this long refuses all commands.
+const MAX_IDLE: Duration = Duration::from_secs(4);
 
-/// What a member leaves unanswered while it is out of reach.
+/// What a member leaves unanswered while it is unreachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Lost {
-    /// Its probes and its commands.
+enum Unanswered {
+    /// Probes and commands.
     All,
-    /// Its probes alone.
+    /// Probes only.
     Probes,
 }
 
-/// Members that may be out of reach, and when each attempt came to one that works.
+/// Members that may be unreachable, and when each attempt reached a working one.
 struct Members {
     nodes: Vec<Node>,
-    out: Arc<AtomicBool>,
+    unreachable: Arc<AtomicBool>,
     attempts: Receiver<Instant>,
 }
 
 impl Members {
     /// A primary and two replicas.
-    fn start(lost: Lost, out: bool) -> Members {
-        let (tell, attempts) = channel();
-        let out = Arc::new(AtomicBool::new(out));
+    fn start(unanswered: Unanswered, unreachable: bool) -> Members {
+        let (attempt_tx, attempts) = channel();
+        let unreachable = Arc::new(AtomicBool::new(unreachable));
         let nodes = ["primary", "replica", "replica"].map(|role| {
-            let (out, tell): (_, Mutex<Sender<Instant>>) = (out.clone(), Mutex::new(tell.clone()));
+            let (unreachable, attempt_tx): (_, Mutex<Sender<Instant>>) =
+                (unreachable.clone(), Mutex::new(attempt_tx.clone()));
             Node::probed(role, move |statement| {
                 let probe = statement == "SHOW load";
-                if out.load(Relaxed) && (probe || lost == Lost::All) {
+                if unreachable.load(Relaxed) && (probe || unanswered == Unanswered::All) {
                     return Some(Reply::Silence);
                 }
                 if probe {
                     return None;
                 }
-                tell.lock().expect("one at a time").send(Instant::now()).expect("the test listens");
+                attempt_tx
+                    .lock()
+                    .expect("one at a time")
+                    .send(Instant::now())
+                    .expect("the test receives attempts");
                 Some(Reply::Send(row("r")))
             })
         });
-        Members { nodes: nodes.into(), out, attempts }
+        Members { nodes: nodes.into(), unreachable, attempts }
     }
 
     fn entries(&self) -> Vec<String> {
@@ -59,26 +64,27 @@
         named.map(|(i, (node, role))| entry(&format!("s-{i}"), node, "ready", role)).collect()
     }
 
-    /// In reach again. No attempt that came before counts.
-    fn back(&self) -> Instant {
-        self.out.store(false, Relaxed);
+    /// Makes the members reachable again and discards earlier attempts.
+    fn restore(&self) -> Instant {
+        self.unreachable.store(false, Relaxed);
         self.attempts.try_iter().for_each(drop);
         Instant::now()
     }
 
-    fn begins_again(&self, since: Instant) {
+    /// Checks that the first attempt comes soon enough after `since`.
+    fn assert_attempt_soon(&self, since: Instant) {
         let first = self.attempts.recv_timeout(2 * WAIT).expect("an attempt");
         let took = first.saturating_duration_since(since);
         println!("the first attempt after {took:?}");
-        assert!(took < IDLE_MOST, "{took:?} without an attempt");
+        assert!(took < MAX_IDLE, "{took:?} without an attempt");
     }
 }
 
-/// Clients that ask one read or write after another, each waiting for a second, until the scope's end.
-fn ask_on(address: SocketAddr, number: usize, over: &AtomicBool) {
+/// A client that sends one read or write after another, each with a wait of a second, until it is stopped.
+fn keep_querying(address: SocketAddr, number: usize, stopped: &AtomicBool) {
     let mut client = None;
     for i in 0.. {
-        if over.load(Relaxed) {
+        if stopped.load(Relaxed) {
             return;
         }
         sleep(Duration::from_millis(20));
@@ -98,110 +104,115 @@
     }
 }
 
-struct Over<'a>(&'a AtomicBool);
+/// Sets the flag when dropped, so that the clients also end if the test fails.
+struct SetOnDrop<'a>(&'a AtomicBool);
 
-impl Drop for Over<'_> {
+impl Drop for SetOnDrop<'_> {
     fn drop(&mut self) {
         self.0.store(true, Relaxed);
     }
 }
 
-/// Runs this while clients ask.
-fn beside_clients(address: SocketAddr, run: impl FnOnce()) {
-    let over = &AtomicBool::new(false);
+/// Runs this while clients send commands.
+fn with_clients(address: SocketAddr, run: impl FnOnce()) {
+    let stopped = &AtomicBool::new(false);
     scope(|s| {
-        let _end = Over(over);
-        (0..6).for_each(|number| _ = s.spawn(move || ask_on(address, number, over)));
+        let _stop = SetOnDrop(stopped);
+        (0..6).for_each(|number| _ = s.spawn(move || keep_querying(address, number, stopped)));
         run();
     });
 }
 
-fn telling(told: String) -> Discovery {
-    Discovery::acting(move |_, asked| {
-        asked.begin();
-        asked.send(&told);
+/// A discovery agent that answers each watch with this list.
+fn discovery_with_list(members: String) -> Discovery {
+    Discovery::acting(move |_, watch| {
+        watch.begin();
+        watch.send(&members);
     })
 }
 
 #[rstest]
-#[case::that_tells_its_list(true, false)]
-#[case::silent_with_a_list_known(false, true)]
-fn after_a_start_beside_an_agent(#[case] tells: bool, #[case] knows: bool) {
-    let members = Members::start(Lost::All, false);
-    let told = list(41, true, &members.entries());
-    let known = if knows { told.clone() } else { "null".into() };
-    let discovery = if tells { telling(told) } else { Discovery::acting(|_, _| {}) };
+#[case::agent_sends_its_list(true, false)]
+#[case::silent_agent_with_a_known_list(false, true)]
+fn attempts_begin_soon_after_a_start(#[case] sends_list: bool, #[case] has_known_list: bool) {
+    let members = Members::start(Unanswered::All, false);
+    let member_list = list(41, true, &members.entries());
+    let known = if has_known_list { member_list.clone() } else { "null".into() };
+    let discovery = if sends_list { discovery_with_list(member_list) } else { Discovery::acting(|_, _| {}) };
     let started = Instant::now();
     let text = configuration(discovery.address, 1024, 192, &known);
     let router = Router::beside(discovery, &text, None);
-    beside_clients(router.address, || members.begins_again(started));
+    with_clients(router.address, || members.assert_attempt_soon(started));
 }
 
 #[rstest]
-#[case::all_is_lost_at_first(Lost::All, 3_000)]
-#[case::probes_are_lost_at_first(Lost::Probes, 3_000)]
-fn after_a_start_whose_members_are_out_of_reach_at_first(#[case] lost: Lost, #[case] out: u64) {
-    let members = Members::start(lost, true);
+#[case::nothing_answered_at_first(Unanswered::All, 3_000)]
+#[case::no_probe_answered_at_first(Unanswered::Probes, 3_000)]
+fn attempts_begin_soon_once_members_unreachable_at_the_start_recover(
+    #[case] unanswered: Unanswered,
+    #[case] outage_ms: u64,
+) {
+    let members = Members::start(unanswered, true);
     let router = Router::start(&members.entries());
-    beside_clients(router.address, || {
-        sleep(Duration::from_millis(out));
-        let back = members.back();
-        members.begins_again(back);
+    with_clients(router.address, || {
+        sleep(Duration::from_millis(outage_ms));
+        let restored_at = members.restore();
+        members.assert_attempt_soon(restored_at);
     });
 }
 
-/// The new list names one member, which is back just as the router holds it for broken and would let it rest.
+/// The new list names one member, which recovers just as the router has marked it broken and would pause its probes.
 #[rstest]
-fn after_a_reload_whose_member_is_back_once_it_is_in_doubt() {
-    let (old, new) = (Members::start(Lost::All, false), Members::start(Lost::All, true));
+fn attempts_begin_soon_when_the_new_member_recovers_after_failed_probes() {
+    let (old, new) = (Members::start(Unanswered::All, false), Members::start(Unanswered::All, true));
     let router = Router::start(&old.entries());
-    let named = new.entries()[0].replace("\"s-0\"", "\"t-0\"");
-    let other = telling(list(3, true, &[named]));
-    beside_clients(router.address, || {
-        old.begins_again(Instant::now());
-        router.reload(&configuration(other.address, 1024, 192, "null"));
+    let member = new.entries()[0].replace("\"s-0\"", "\"t-0\"");
+    let new_discovery = discovery_with_list(list(3, true, &[member]));
+    with_clients(router.address, || {
+        old.assert_attempt_soon(Instant::now());
+        router.reload(&configuration(new_discovery.address, 1024, 192, "null"));
         (0..2).for_each(|_| _ = router.logged("node t-0: Probe ended"));
-        let back = new.back();
-        new.begins_again(back);
+        let restored_at = new.restore();
+        new.assert_attempt_soon(restored_at);
     });
 }
 
 #[rstest]
-#[case::all(Lost::All)]
-#[case::probes(Lost::Probes)]
-fn after_all_members_were_in_doubt(#[case] lost: Lost) {
-    let members = Members::start(lost, false);
+#[case::nothing_answered(Unanswered::All)]
+#[case::no_probe_answered(Unanswered::Probes)]
+fn attempts_begin_soon_after_all_members_were_unreachable(#[case] unanswered: Unanswered) {
+    let members = Members::start(unanswered, false);
     let router = Router::start(&members.entries());
-    beside_clients(router.address, || {
-        members.begins_again(Instant::now());
-        members.out.store(true, Relaxed);
+    with_clients(router.address, || {
+        members.assert_attempt_soon(Instant::now());
+        members.unreachable.store(true, Relaxed);
         sleep(Duration::from_secs(14));
-        let back = members.back();
-        members.begins_again(back);
+        let restored_at = members.restore();
+        members.assert_attempt_soon(restored_at);
     });
 }
 
 #[rstest]
-#[case::and_the_old_are_gone(true)]
-#[case::and_the_old_are_silent(false)]
-fn after_a_reload_that_names_other_members(#[case] gone: bool) {
-    let (old, new) = (Members::start(Lost::All, false), Members::start(Lost::All, false));
+#[case::old_members_removed(true)]
+#[case::old_members_draining_and_silent(false)]
+fn attempts_begin_soon_after_a_reload_to_other_members(#[case] removed: bool) {
+    let (old, new) = (Members::start(Unanswered::All, false), Members::start(Unanswered::All, false));
     let router = Router::start(&old.entries());
     let mut entries: Vec<String> = new.entries().iter().map(|e| e.replace("\"s-", "\"t-")).collect();
-    if !gone {
-        // They drain, and the new take their places.
+    if !removed {
+        // The old members drain, and the new ones take their place.
         entries.extend(
             old.entries().iter().map(|e| e.replace("ready", "draining").replace("primary", "replica")),
         );
     }
-    let other = telling(list(3, true, &entries));
-    let text = configuration(other.address, 1024, 192, "null");
-    beside_clients(router.address, || {
-        old.begins_again(Instant::now());
-        old.out.store(true, Relaxed);
+    let new_discovery = discovery_with_list(list(3, true, &entries));
+    let text = configuration(new_discovery.address, 1024, 192, "null");
+    with_clients(router.address, || {
+        old.assert_attempt_soon(Instant::now());
+        old.unreachable.store(true, Relaxed);
         sleep(Duration::from_secs(3));
         let reloaded = Instant::now();
         router.reload(&text);
-        new.begins_again(reloaded);
+        new.assert_attempt_soon(reloaded);
     });
 }
