--- a/crates/router/tests/pieces.rs
+++ b/crates/router/tests/pieces.rs
@@ -72,7 +72,7 @@
 
 const TERMINATE: &[u8] = b"X\0\0\0\x04";
 
-fn encryption(code: u32) -> Vec<u8> {
+fn encryption_request(code: u32) -> Vec<u8> {
     [8u32.to_be_bytes(), code.to_be_bytes()].concat()
 }
 
@@ -107,7 +107,7 @@
         ]
         .concat(),
         "encryption requests first" => {
-            [encryption(80_877_103), encryption(80_877_104), startup(3 << 16), three(), TERMINATE.into()].concat()
+            [encryption_request(80_877_103), encryption_request(80_877_104), startup(3 << 16), three(), TERMINATE.into()].concat()
         }
         "additional parameters" => [
             startup_with(3 << 16, "user\0svc\0database\0main\0application_name\0shop\0client_encoding\0UTF8\0"),
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -34,7 +34,7 @@
     assert_eq!(client.query(&look("i1", 5000)), Answer::Row("r1".into()));
     let statement = node.statement();
     let (before, after) = statement.split_once(",d=").expect("a wait");
-    let (wait, rest) = after.split_once(',').expect("more behind it");
+    let (wait, rest) = after.split_once(',').expect("another field after the wait");
     assert_eq!(
         (before, rest),
         ("SELECT v FROM records WHERE k = 'k1' /* id=i1,c=look,t=acme", "cluster=2 */")
