--- a/crates/router/tests/capture.rs
+++ b/crates/router/tests/capture.rs
@@ -1,4 +1,4 @@
-//! The load capture of the program; only where it is built in.
+//! Tests the load capture of the router; compiled only with the `capture` feature.
 #![cfg(feature = "capture")]
 
 mod common;
@@ -8,35 +8,35 @@
 use vetchkeel_capture::{Ending, read};
 
 #[rstest]
-fn what_ends_is_captured() {
+fn capture_records_answered_and_abandoned_commands() {
     let node = Node::start("primary", |statement| {
         let slow = statement.contains("id=b");
         if slow { Reply::Silence } else { Reply::Send(row("value")) }
     });
     let folder = std::env::temp_dir().join(format!("vetchkeel-capture-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("the folder is created");
     let file = folder.join("capture.hcl");
     let text = format!("capture {{\n  file = \"{}/load-{{name}}.vkl\"\n  frame = 16\n}}\n", folder.display());
-    std::fs::write(&file, text).expect("a file");
+    std::fs::write(&file, text).expect("the file is written");
     let mut router =
         Router::with_variable(&[entry("a", &node, "ready", "primary")], "VETCHKEEL_CAPTURE", &file);
     let mut client = Client::connect(&router);
     assert_eq!(client.query(&look("a1", 5_000)), Answer::Row("value".into()));
-    let mut gone = Client::connect(&router);
-    gone.send(&common::query_bytes(&look("b1", 5_000)));
+    let mut leaving = Client::connect(&router);
+    leaving.send(&common::query_bytes(&look("b1", 5_000)));
     node.statement();
     node.statement();
-    drop(gone);
-    let left = |router: &Router| {
+    drop(leaving);
+    let left_count = |router: &Router| {
         router.signal("-USR1");
         router.counters("commands")["left"]
     };
-    while left(&router) == 0 {}
+    while left_count(&router) == 0 {}
     drop(client);
     router.signal("-TERM");
     assert!(router.wait().success());
-    let bytes = std::fs::read(folder.join("load-n0.vkl")).expect("a capture");
-    let capture = read(&bytes).expect("whole");
+    let bytes = std::fs::read(folder.join("load-n0.vkl")).expect("capture file is readable");
+    let capture = read(&bytes).expect("capture file decodes completely");
     let ends: Vec<(Ending, u32, &str)> =
         capture.records.iter().map(|r| (r.ending, r.dispatches, &*r.command_group)).collect();
     assert_eq!(ends, [(Ending::Answered, 1, "look"), (Ending::Left, 1, "look")]);
