--- a/crates/router/tests/catch_up.rs
+++ b/crates/router/tests/catch_up.rs
@@ -1,4 +1,5 @@
-//! The built program held up between its poll and a write: what came meanwhile counts before the write.
+//! Tests the router while it is delayed between its poll and a write: input that arrives during the delay takes effect
+//! before the write.
 
 mod common;
 
@@ -8,46 +9,47 @@
 use rstest::rstest;
 use std::time::{Duration, Instant};
 
-/// The library holds a read up for 300 ms: something comes 50 ms into that, well over 100 ms before the write behind it.
-const INTO_IT: Duration = Duration::from_millis(50);
+/// The fault library delays a read by 300 ms. Input arrives 50 ms into the delay, well over 100 ms before the write
+/// that follows the read.
+const INPUT_DELAY: Duration = Duration::from_millis(50);
 
-/// Holds up so many reads that the router is about to make, and returns in the middle of the last.
-fn hold_reads(count: u64, faults: &Faults, begin: impl FnOnce()) {
+/// Delays the next `count` reads of the router, which `cause_reads` triggers, and returns in the middle of the last
+/// one.
+fn delay_reads(count: u64, faults: &Faults, cause_reads: impl FnOnce()) {
     let before = faults.injected(Fault::HeldReceive);
     faults.set(Fault::HeldReceive, ALWAYS);
-    begin();
-    let waits = Instant::now();
+    cause_reads();
+    let started = Instant::now();
     while faults.injected(Fault::HeldReceive) < before + count {
-        assert!(waits.elapsed() < WAIT, "nothing is read");
+        assert!(started.elapsed() < WAIT, "the router did not make the delayed reads");
         std::thread::sleep(Duration::from_millis(1));
     }
     faults.none();
-    std::thread::sleep(INTO_IT);
+    std::thread::sleep(INPUT_DELAY);
 }
 
-fn ended_by_cancel(client: &mut Client) -> bool {
+fn receives_cancel_error(client: &mut Client) -> bool {
     client.answer() == Answer::Error("57014".into(), None)
 }
 
-/// The last of these reads is the one right before the write.
+/// The last of the delayed reads is the one right before the write of the query. Without a check after it, the router
+/// sends a query whose cancel has already arrived.
 #[rstest]
-fn a_cancel_that_came_while_a_greeting_was_read_keeps_the_query_from_being_sent(
-    #[values(1, 2, 3, 4)] reads: u64,
-) {
+fn cancel_during_a_delayed_greeting_read_prevents_the_query(#[values(1, 2, 3, 4)] reads: u64) {
     let (member, faults) = (Member::start(), Faults::new(1));
     let router = without_probes_failing(&[("s-a", &member)], &[], &faults);
     let (mut client, key) = Client::keyed(&router);
     client.send(&query_bytes(&order("i1", 30_000)));
     let mut link = member.dialled();
-    hold_reads(reads, &faults, || link.greet());
-    let _asks = Client::cancel(&router, &key);
-    assert!(ended_by_cancel(&mut client));
+    delay_reads(reads, &faults, || link.greet());
+    let _cancel_connection = Client::cancel(&router, &key);
+    assert!(receives_cancel_error(&mut client));
     drop(router);
-    assert_eq!(link.ended(), 0, "bytes of a statement");
+    assert_eq!(link.ended(), 0, "statement bytes were sent to the member");
 }
 
 #[rstest]
-fn a_cancel_that_came_while_its_query_was_read_keeps_it_from_being_sent() {
+fn cancel_during_a_delayed_query_read_prevents_the_query() {
     let (member, faults) = (Member::start(), Faults::new(1));
     let router = without_probes_failing(&[("s-a", &member)], &[], &faults);
     let (mut client, key) = Client::keyed(&router);
@@ -55,20 +57,20 @@
     let mut link = member.met();
     link.serve("id=i1", "w");
     assert_eq!(client.answer(), Answer::Row("w".into()));
-    hold_reads(1, &faults, || client.send(&query_bytes(&order("i2", 30_000))));
-    let _asks = Client::cancel(&router, &key);
-    assert!(ended_by_cancel(&mut client));
+    delay_reads(1, &faults, || client.send(&query_bytes(&order("i2", 30_000))));
+    let _cancel_connection = Client::cancel(&router, &key);
+    assert!(receives_cancel_error(&mut client));
     drop(router);
-    assert_eq!(link.ended(), 0, "bytes of a statement");
+    assert_eq!(link.ended(), 0, "statement bytes were sent to the member");
 }
 
-/// A client with a command in hand; None where the router lets nobody in any more.
-fn let_in(router: &Router) -> Option<Client> {
+/// A client with a command in flight; None once the router accepts no more clients.
+fn connect_busy_client(router: &Router) -> Option<Client> {
     let mut client = Client::raw(router);
     client.send(&startup(3 << 16));
-    client.stream.set_read_timeout(Some(Duration::from_millis(500))).expect("a time-out");
+    client.stream.set_read_timeout(Some(Duration::from_millis(500))).expect("the read timeout is set");
     client.stream.peek(&mut [0]).ok()?;
-    client.stream.set_read_timeout(Some(WAIT)).expect("a time-out");
+    client.stream.set_read_timeout(Some(WAIT)).expect("the read timeout is set");
     assert_eq!(client.answer(), Answer::Empty);
     client.send(&query_bytes(
         &order("busy", 30_000).replace("busy", &format!("{:?}", client.stream.local_addr())),
@@ -76,70 +78,73 @@
     Some(client)
 }
 
-/// Clients that wait for answers hold all connections: a cancel waits to be accepted, and counts before a later write all the same.
+/// Clients that wait for answers use up all descriptors, so a cancel request waits to be accepted. It still takes
+/// effect before a later write.
 #[rstest]
 fn a_cancel_that_waits_at_the_limit_of_descriptors_keeps_the_query_from_being_sent() {
     let member = Member::start();
-    let few = [(r#""sockets":1024"#, r#""sockets":56"#)];
-    let router = without_probes_but(&[("s-a", &member)], &few);
+    let few_descriptors = [(r#""sockets":1024"#, r#""sockets":56"#)];
+    let router = without_probes_but(&[("s-a", &member)], &few_descriptors);
     let (mut client, key) = Client::keyed(&router);
     client.send(&query_bytes(&order("i1", 30_000)));
     let mut link = member.dialled();
-    let busy: Vec<Client> = std::iter::from_fn(|| let_in(&router)).collect();
+    let busy: Vec<Client> = std::iter::from_fn(|| connect_busy_client(&router)).collect();
     assert!(busy.len() > 5, "{}", busy.len());
-    let _asks = Client::cancel(&router, &key);
+    let _cancel_connection = Client::cancel(&router, &key);
     std::thread::sleep(Duration::from_millis(300));
     link.greet();
-    assert!(ended_by_cancel(&mut client));
+    assert!(receives_cancel_error(&mut client));
     drop(router);
-    assert_eq!(link.ended(), 0, "bytes of a statement");
+    assert_eq!(link.ended(), 0, "statement bytes were sent to the member");
 }
 
-/// A read that must be fresh, on a connection that idles, while another brings the word that the member is a replica by now.
+/// Guards against a fresh read that is sent on an idle connection to a former primary, after another connection has
+/// reported that the member is a replica now.
 #[rstest]
-fn word_of_a_replica_that_came_while_a_read_was_taken_keeps_it_from_being_sent() {
+fn demotion_reported_during_a_delayed_read_prevents_a_fresh_read() {
     let (member, faults) = (Member::start(), Faults::new(1));
-    let fresh = [(r#""class_read":["any","write"]"#, r#""class_read":["fresh","write"]"#)];
-    let waits = (r#""server_checks":"wait""#, r#""server_checks":"none""#);
-    let router = without_probes_failing(&[("s-a", &member)], &[fresh[0], waits], &faults);
+    let fresh_reads = [(r#""class_read":["any","write"]"#, r#""class_read":["fresh","write"]"#)];
+    let no_checks = (r#""server_checks":"wait""#, r#""server_checks":"none""#);
+    let router = without_probes_failing(&[("s-a", &member)], &[fresh_reads[0], no_checks], &faults);
     let (mut writer, mut reader) = (Client::connect(&router), Client::connect(&router));
     writer.send(&query_bytes(&order("w1", 30_000)));
     let mut busy = member.met();
     busy.serve("id=w1", "w");
     assert_eq!(writer.answer(), Answer::Row("w".into()));
     writer.send(&query_bytes(&order("w2", 30_000)));
-    assert!(busy.asked().expect("a statement").contains("id=w2"));
+    assert!(busy.asked().expect("a statement arrives").contains("id=w2"));
     reader.send(&query_bytes(&look("r1", 30_000)));
-    let mut kept = member.met();
-    kept.serve("id=r1", "r");
+    let mut idle = member.met();
+    idle.serve("id=r1", "r");
     assert_eq!(reader.answer(), Answer::Row("r".into()));
-    hold_reads(1, &faults, || reader.send(&query_bytes(&look("r2", 30_000))));
+    delay_reads(1, &faults, || reader.send(&query_bytes(&look("r2", 30_000))));
     busy.say(&[code("XX000"), parameter("role", "replica"), ready()].concat());
-    // Behind the hold-up it has taken the read up.
+    // By then the delay is over and the router has processed the read.
     std::thread::sleep(Duration::from_millis(500));
-    assert!(kept.heard_nothing(), "a fresh read at a member that is no primary any more");
+    assert!(idle.heard_nothing(), "a fresh read was sent to a member that is no longer the primary");
 }
 
-/// The answer to one command is held up on its way to its client, for 100 ms or more; another's comes meanwhile, just in time.
+/// The write of one command's answer to its client is delayed by 100 ms or more. The answer to a second command arrives
+/// during the delay, just before that command's deadline, and must be delivered.
 #[rstest]
-fn an_answer_that_came_while_another_was_written_counts_before_its_command_is_given_up() {
-    const WAIT_OF_SECOND: u32 = 1_500;
+fn answer_received_during_a_delayed_write_reaches_its_client() {
+    const SECOND_TIMEOUT_MS: u32 = 1_500;
     let (member, faults) = (Member::start(), Faults::new(1));
     let router = without_probes_failing(&[("s-a", &member)], &[WORTH], &faults);
     let (mut first, mut second) = (Client::connect(&router), Client::connect(&router));
     first.send(&query_bytes(&look("i1", 30_000)));
     let mut link = member.met();
-    assert!(link.asked().expect("a statement").contains("id=i1"));
+    assert!(link.asked().expect("a statement arrives").contains("id=i1"));
     let begun = Instant::now();
-    second.send(&query_bytes(&look("i2", WAIT_OF_SECOND)));
+    second.send(&query_bytes(&look("i2", SECOND_TIMEOUT_MS)));
     let mut other = member.met();
-    assert!(other.asked().expect("a statement").contains("id=i2"));
-    // The module ends a command 10 ms before its time.
-    let until = |ms: u64| std::thread::sleep(Duration::from_millis(ms).saturating_sub(begun.elapsed()));
-    until(1_430);
+    assert!(other.asked().expect("a statement arrives").contains("id=i2"));
+    // The decision module ends a command 10 ms before its deadline.
+    let sleep_until = |ms: u64| std::thread::sleep(Duration::from_millis(ms).saturating_sub(begun.elapsed()));
+    sleep_until(1_430);
     faults.set(Fault::HeldSend, ALWAYS);
     link.answer("first");
-    until(1_455);
+    sleep_until(1_455);
     other.answer("second");
     let answers = [first.answer(), second.answer()];
     assert_eq!(answers, ["first", "second"].map(|value| Answer::Row(value.into())));
