--- a/crates/router/tests/clock.rs
+++ b/crates/router/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The built program on a machine whose wall clock is wrong when it starts, beside members whose clocks are right.
+//! Tests a router on a host whose wall clock is wrong at start, with members whose clocks are right.
 
 mod common;
 
@@ -10,16 +10,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How old the data of a bounded read may be, in milliseconds.
-const BOUND: u128 = 500;
+/// Staleness bound of bounded reads, in milliseconds.
+const STALENESS_BOUND_MS: u128 = 500;
 
-/// Members of one set: the primary and two replicas that lag, each counting the reads that it served.
+/// Members of one database set: the primary and two lagging replicas. Each counts the reads that it serves.
 struct Members {
     nodes: Vec<Node>,
     reads: Vec<Arc<AtomicU64>>,
 }
 
-/// Answers as a member that has applied all up to so many milliseconds ago.
+/// A member whose applied position is `lag` milliseconds behind the current time.
 fn member(role: &'static str, lag: u128) -> (Node, Arc<AtomicU64>) {
     let reads = Arc::new(AtomicU64::new(0));
     let count = reads.clone();
@@ -44,8 +44,8 @@
         Members { nodes, reads }
     }
 
-    /// Started while the wall clock is wrong by so many milliseconds.
-    fn router(&self, faults: &Faults, wrong: i64) -> Router {
+    /// Starts a router whose wall clock is off by `clock_error` milliseconds.
+    fn router(&self, faults: &Faults, clock_error: i64) -> Router {
         let entry = |(at, role)| entry(&format!("s-{at}"), &self.nodes[at], "ready", role);
         let entries: Vec<String> =
             ["primary", "replica", "replica"].into_iter().enumerate().map(entry).collect();
@@ -54,24 +54,25 @@
             asked.begin();
             asked.send(&known);
         });
-        let bound = format!(r#""lag_allowed_ms":[{BOUND}.0,0.0],"class_read":["bounded","write"]"#);
+        let bound =
+            format!(r#""lag_allowed_ms":[{STALENESS_BOUND_MS}.0,0.0],"class_read":["bounded","write"]"#);
         let pieces = [
             WORTH,
             (r#""class_read":["any","write"]"#, &*bound),
             (r#""server_checks":"wait""#, r#""server_checks":"none""#),
         ];
         let text = with_pieces(configuration(discovery.address, 1024, 192, "null"), &pieces);
-        faults.step_wall_clock(wrong);
+        faults.step_wall_clock(clock_error);
         Router::failing(discovery, &text, faults)
     }
 
-    fn read(&self, at: usize) -> u64 {
+    fn served_reads(&self, at: usize) -> u64 {
         self.reads[at].load(Relaxed)
     }
 }
 
-/// Reads, and a write now and then, for so long; how many were served.
-fn play(router: &Router, span: Duration) -> usize {
+/// Sends reads, and a write as every 10th command, for `span`. Returns the number of commands served.
+fn run_load(router: &Router, span: Duration) -> usize {
     let (begun, mut served, mut number) = (Instant::now(), 0, 0);
     let mut client = Client::connect(router);
     while begun.elapsed() < span {
@@ -86,46 +87,50 @@
 }
 
 #[rstest]
-#[case::right(0)]
-#[case::behind(-1_000)]
-#[case::long_behind(-3_600_000)]
-#[case::ahead(2_000)]
-#[case::long_ahead(3_600_000)]
-fn no_bounded_read_goes_to_a_replica_beyond_its_bound(#[case] wrong: i64) {
+#[case::clock_right(0)]
+#[case::clock_1_s_behind(-1_000)]
+#[case::clock_1_h_behind(-3_600_000)]
+#[case::clock_2_s_ahead(2_000)]
+#[case::clock_1_h_ahead(3_600_000)]
+fn bounded_reads_avoid_replicas_beyond_the_staleness_bound(#[case] clock_error: i64) {
     let (members, faults) = (Members::start([1_200, 700]), Faults::new(1));
-    let router = members.router(&faults, wrong);
-    play(&router, Duration::from_secs(2));
-    assert_eq!((members.read(1), members.read(2)), (0, 0), "stale reads");
-    assert!(members.read(0) > 0);
+    let router = members.router(&faults, clock_error);
+    run_load(&router, Duration::from_secs(2));
+    assert_eq!(
+        (members.served_reads(1), members.served_reads(2)),
+        (0, 0),
+        "reads served beyond the staleness bound"
+    );
+    assert!(members.served_reads(0) > 0);
 }
 
 #[rstest]
-#[case::right(0)]
-#[case::behind(-1_000)]
-#[case::long_behind(-3_600_000)]
-#[case::ahead(2_000)]
-#[case::long_ahead(3_600_000)]
-fn replicas_inside_the_bound_are_read_from_soon(#[case] wrong: i64) {
+#[case::clock_right(0)]
+#[case::clock_1_s_behind(-1_000)]
+#[case::clock_1_h_behind(-3_600_000)]
+#[case::clock_2_s_ahead(2_000)]
+#[case::clock_1_h_ahead(3_600_000)]
+fn replicas_within_the_staleness_bound_soon_serve_most_reads(#[case] clock_error: i64) {
     let (members, faults) = (Members::start([50, 50]), Faults::new(1));
-    let router = members.router(&faults, wrong);
-    play(&router, Duration::from_secs(2));
-    let before = members.read(1) + members.read(2);
-    let served = play(&router, Duration::from_secs(1));
-    let replicas = (members.read(1) + members.read(2) - before) as usize;
-    assert!(replicas * 2 > served, "{replicas} of {served} at replicas");
+    let router = members.router(&faults, clock_error);
+    run_load(&router, Duration::from_secs(2));
+    let before = members.served_reads(1) + members.served_reads(2);
+    let served = run_load(&router, Duration::from_secs(1));
+    let by_replicas = (members.served_reads(1) + members.served_reads(2) - before) as usize;
+    assert!(by_replicas * 2 > served, "{by_replicas} of {served} reads at replicas");
 }
 
 #[rstest]
-#[case::back(-3_600_000)]
-#[case::forward(3_600_000)]
-fn a_wall_clock_that_is_stepped_in_service_changes_nothing(#[case] step: i64) {
+#[case::step_back_1_h(-3_600_000)]
+#[case::step_forward_1_h(3_600_000)]
+fn wall_clock_step_in_service_does_not_affect_bounded_reads(#[case] step: i64) {
     let (members, faults) = (Members::start([1_200, 50]), Faults::new(1));
     let router = members.router(&faults, 0);
-    play(&router, Duration::from_millis(500));
+    run_load(&router, Duration::from_millis(500));
     faults.step_wall_clock(step);
     router.signal("-HUP");
-    let before = members.read(2);
-    play(&router, Duration::from_secs(1));
-    assert_eq!(members.read(1), 0, "stale reads");
-    assert!(members.read(2) > before, "none at a fresh replica");
+    let before = members.served_reads(2);
+    run_load(&router, Duration::from_secs(1));
+    assert_eq!(members.served_reads(1), 0, "reads served beyond the staleness bound");
+    assert!(members.served_reads(2) > before, "no reads at the replica within the bound");
 }
