--- a/crates/router/tests/early.rs
+++ b/crates/router/tests/early.rs
@@ -1,4 +1,4 @@
-//! Signals and kills that meet the program while it starts.
+//! Tests signals and kills that reach the router while it starts.
 
 mod common;
 
@@ -12,64 +12,65 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// From SIGTERM to SIGKILL, where the longest wait is 3 s or more, and what a busy machine may add here.
-const LIVES: Duration = Duration::from_millis(3_700 + 900);
+/// Time from SIGTERM to SIGKILL where the longest wait is 3 s or more, plus what a busy machine may add.
+const MAX_TIME_TO_EXIT: Duration = Duration::from_millis(3_700 + 900);
 
-fn served(value: &'static str) -> Node {
+fn serving_node(value: &'static str) -> Node {
     Node::start("primary", move |_| Reply::Send(row(value)))
 }
 
-fn with(value: &str) -> Answer {
+fn row_answer(value: &str) -> Answer {
     Answer::Row(value.into())
 }
 
-/// A client that has sent its startup and a query at once.
-fn asks(router: &Router, id: &str) -> Client {
+/// A client that has sent its startup message and a query together.
+fn connect_with_order(router: &Router, id: &str) -> Client {
     let mut client = Client::raw(router);
     client.send(&[startup(3 << 16), query_bytes(&order(id, 3_000))].concat());
     client
 }
 
-/// What the agent says to the first watch before SIGTERM, and behind it.
+/// The cases give what the discovery agent sends on the first watch before SIGTERM, and after it.
 #[rstest]
-#[case::nothing("", "")]
-#[case::nothing_and_its_list_late("", "HTTP/1.1 200 OK\r\n\r\n{list}\n")]
-#[case::its_head("HTTP/1.1 200 OK\r\n\r\n", "")]
-#[case::its_head_and_its_list_late("HTTP/1.1 200 OK\r\n\r\n", "{list}\n")]
-#[case::half_its_list("HTTP/1.1 200 OK\r\n\r\n{half}", "")]
-#[case::half_its_list_and_the_rest_late("HTTP/1.1 200 OK\r\n\r\n{half}", "{rest}\n")]
-fn sigterm_during_the_first_answer_loses_nobody(
-    #[case] before: &str,
-    #[case] behind: &str,
-    #[values(true, false)] knows: bool,
+#[case::no_bytes("", "")]
+#[case::no_bytes_then_list("", "HTTP/1.1 200 OK\r\n\r\n{list}\n")]
+#[case::head_only("HTTP/1.1 200 OK\r\n\r\n", "")]
+#[case::head_then_list("HTTP/1.1 200 OK\r\n\r\n", "{list}\n")]
+#[case::half_of_the_list("HTTP/1.1 200 OK\r\n\r\n{half}", "")]
+#[case::half_of_the_list_then_the_rest("HTTP/1.1 200 OK\r\n\r\n{half}", "{rest}\n")]
+fn sigterm_during_the_first_discovery_answer_loses_no_command(
+    #[case] bytes_before: &str,
+    #[case] bytes_after: &str,
+    #[values(true, false)] knows_list: bool,
 ) {
-    let (first, second) = (served("first"), served("second"));
+    let (first, second) = (serving_node("first"), serving_node("second"));
     let known = list(41, true, &[entry("s-a", &first, "ready", "primary")]);
-    let told = list(
+    let listed = list(
         43,
         true,
         &[entry("s-a", &first, "draining", "replica"), entry("s-b", &second, "ready", "primary")],
     );
-    let (half, rest) = told.split_at(told.len() / 2);
-    let said = |text: &str| text.replace("{list}", &told).replace("{half}", half).replace("{rest}", rest);
+    let (half, rest) = listed.split_at(listed.len() / 2);
+    let expanded =
+        |text: &str| text.replace("{list}", &listed).replace("{half}", half).replace("{rest}", rest);
     let discovery = Discovery::acting(|_, _| {});
-    let known = if knows { known } else { "null".into() };
+    let known = if knows_list { known } else { "null".into() };
     let text = with_pieces(configuration(discovery.address, 1024, 192, &known), &PATIENT);
     let mut router = Router::beside(discovery, &text, None);
     let mut watch = router.discovery.asked();
-    let mut early = asks(&router, "early");
-    watch.raw(&said(before));
+    let mut early = connect_with_order(&router, "early");
+    watch.raw(&expanded(bytes_before));
     watch.delivered();
     router.turn();
     router.signal("-TERM");
-    let told = Instant::now();
+    let signalled = Instant::now();
     router.logged("stopping");
-    let mut late = asks(&router, "late");
-    watch.raw(&said(behind));
-    let want = match (behind.is_empty(), knows) {
-        (false, _) => with("second"),
-        (true, true) => with("first"),
-        // Without any list it refuses: a repeat elsewhere is harmless.
+    let mut late = connect_with_order(&router, "late");
+    watch.raw(&expanded(bytes_after));
+    let want = match (bytes_after.is_empty(), knows_list) {
+        (false, _) => row_answer("second"),
+        (true, true) => row_answer("first"),
+        // Without any list the router refuses the commands, so that clients can safely repeat them elsewhere.
         (true, false) => Answer::Error("57P03".into(), None),
     };
     for client in [&mut early, &mut late] {
@@ -78,21 +79,26 @@
     }
     drop((early, late));
     let ended = router.wait();
-    assert!(ended.success() && told.elapsed() < LIVES, "{ended} after {:?}", told.elapsed());
+    assert!(
+        ended.success() && signalled.elapsed() < MAX_TIME_TO_EXIT,
+        "{ended} after {:?}",
+        signalled.elapsed()
+    );
 }
 
-/// A port that is not among those that the system gives to whoever connects.
-fn port() -> u16 {
+/// A free port outside the range of ephemeral ports, which the system assigns to outgoing connections.
+fn fixed_port() -> u16 {
     let from = 20_000 + (std::process::id() % 10_000) as u16;
     (from..).find(|port| TcpListener::bind(("127.0.0.1", *port)).is_ok()).expect("a free port")
 }
 
-/// Killed again and again at each step of its start, with clients in hand, it comes up at the same address.
+/// Kills the router twice at each step of its start, with clients connected: the next router must be able to listen on
+/// the same address at once.
 #[rstest]
-fn whoever_was_killed_early_starts_again_at_once() {
-    let node = served("r");
-    let told = list(41, true, &[entry("s-a", &node, "ready", "primary")]);
-    let listens = format!("\"listen\":\"127.0.0.1:{}\"", port());
+fn router_killed_during_start_can_restart_at_the_same_address() {
+    let node = serving_node("r");
+    let listed = list(41, true, &[entry("s-a", &node, "ready", "primary")]);
+    let listens = format!("\"listen\":\"127.0.0.1:{}\"", fixed_port());
     let steps = ["", "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n{\"version\":41,", "whole"];
     for step in steps.iter().chain(&steps) {
         let discovery = Discovery::acting(|_, _| {});
@@ -100,29 +106,29 @@
         let text = with_pieces(text, &[("\"listen\":\"127.0.0.1:0\"", &listens)]);
         let router = Router::beside(discovery, &text, None);
         let mut watch = router.discovery.asked();
-        let mut waits = asks(&router, "waits");
+        let mut client = connect_with_order(&router, "waits");
         if *step == "whole" {
-            watch.raw(&format!("HTTP/1.1 200 OK\r\n\r\n{told}\n"));
-            assert_eq!((waits.answer(), waits.answer()), (Answer::Empty, with("r")));
+            watch.raw(&format!("HTTP/1.1 200 OK\r\n\r\n{listed}\n"));
+            assert_eq!((client.answer(), client.answer()), (Answer::Empty, row_answer("r")));
         } else {
             watch.raw(step);
             watch.delivered();
             router.turn();
         }
-        // It goes out of scope: killed, with its clients' connections open.
+        // Dropping the router kills the process while its client connections are open.
         drop(router);
-        assert!(matches!(waits.stream.peek(&mut [0]), Ok(0) | Err(_)), "not ended");
+        assert!(matches!(client.stream.peek(&mut [0]), Ok(0) | Err(_)), "the connection is still open");
     }
 }
 
-/// The program while it reads its configuration, which comes by a pipe.
-struct Reading {
+/// A router process that is reading its configuration from a named pipe.
+struct ReadingRouter {
     child: Child,
     config: PathBuf,
 }
 
-impl Reading {
-    fn start(name: &str) -> Reading {
+impl ReadingRouter {
+    fn start(name: &str) -> ReadingRouter {
         let config = std::env::temp_dir().join(format!("vetchkeel-early-{}-{name}", std::process::id()));
         let path = std::ffi::CString::new(config.to_str().expect("a path")).expect("no zero");
         // SAFETY: the system reads the path.
@@ -133,15 +139,15 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("the program starts");
-        Reading { child, config }
+        ReadingRouter { child, config }
     }
 
-    /// Gives the configuration once the program has opened the pipe, and does this in between.
-    fn give(&self, text: &str, between: impl FnOnce()) {
-        // Opening waits for the reader.
+    /// Writes the configuration once the router has opened the pipe, and calls `between` just before the write.
+    fn write_configuration(&self, text: &str, between: impl FnOnce()) {
+        // Opening a pipe for writing blocks until a reader has opened it.
         let mut pipe = OpenOptions::new().write(true).open(&self.config).expect("a pipe");
         between();
-        // Whoever has ended by then reads nothing.
+        // A router that has exited by then reads nothing.
         let _ = pipe.write_all(text.as_bytes());
     }
 
@@ -151,7 +157,7 @@
     }
 }
 
-impl Drop for Reading {
+impl Drop for ReadingRouter {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -159,42 +165,46 @@
     }
 }
 
-/// Danger: a new configuration is told to all, and one of them has just been started.
+/// Danger: a new configuration is signalled to all routers, also to one that has just been started. The signal must not
+/// end that router.
 #[rstest]
 #[case::reload(libc::SIGHUP, "reload: discovery stays")]
 #[case::counters(libc::SIGUSR1, "counters commands:")]
-fn a_signal_while_the_configuration_is_read_ends_nothing(#[case] signal: libc::c_int, #[case] then: &str) {
-    let node = served("r");
-    let told = list(41, true, &[entry("s-a", &node, "ready", "primary")]);
+fn signal_during_the_configuration_read_does_not_end_the_router(
+    #[case] signal: libc::c_int,
+    #[case] expected_line: &str,
+) {
+    let node = serving_node("r");
+    let listed = list(41, true, &[entry("s-a", &node, "ready", "primary")]);
     let discovery = Discovery::acting(move |_, asked| {
         asked.begin();
-        asked.send(&told);
+        asked.send(&listed);
     });
     let text = configuration(discovery.address, 1024, 192, "null");
-    let mut reading = Reading::start(&signal.to_string());
-    reading.give(&text, || reading.signal(signal));
-    let lines = BufReader::new(reading.child.stderr.take().expect("piped")).lines();
+    let mut router_process = ReadingRouter::start(&signal.to_string());
+    router_process.write_configuration(&text, || router_process.signal(signal));
+    let lines = BufReader::new(router_process.child.stderr.take().expect("piped")).lines();
     let mut lines = lines.map_while(Result::ok);
-    let serving = lines.find(|line| line.contains("serves on ")).expect("it ended");
-    // A reload reads the pipe again.
+    let serving = lines.find(|line| line.contains("serves on ")).expect("the router ended before it served");
+    // A reload reads the configuration from the pipe again.
     if signal == libc::SIGHUP {
-        reading.give(&text, || {});
+        router_process.write_configuration(&text, || {});
     }
-    assert!(lines.any(|line| line.contains(then)), "it ended");
+    assert!(lines.any(|line| line.contains(expected_line)), "the expected line is not in the log");
     let address = serving.rsplit(' ').next().expect("an address");
     let mut client = Client { stream: TcpStream::connect(address).expect("it listens") };
-    client.stream.set_read_timeout(Some(WAIT)).expect("a time-out");
+    client.stream.set_read_timeout(Some(WAIT)).expect("the read timeout is set");
     client.send(&[startup(3 << 16), query_bytes(&order("i1", 8_000))].concat());
-    assert_eq!((client.answer(), client.answer()), (Answer::Empty, with("r")));
+    assert_eq!((client.answer(), client.answer()), (Answer::Empty, row_answer("r")));
 }
 
 #[rstest]
-fn sigterm_while_the_configuration_is_read_is_no_crash() {
+fn sigterm_during_the_configuration_read_causes_no_crash() {
     let text = configuration(Refusing::start().address(), 1024, 192, "null");
-    let mut reading = Reading::start("term");
-    reading.give(&text, || reading.signal(libc::SIGTERM));
-    let told = Instant::now();
-    let ended = reading.child.wait().expect("it ends");
+    let mut router_process = ReadingRouter::start("term");
+    router_process.write_configuration(&text, || router_process.signal(libc::SIGTERM));
+    let signalled = Instant::now();
+    let ended = router_process.child.wait().expect("it ends");
     assert!(ended.success() || ended.signal() == Some(libc::SIGTERM), "{ended}");
-    assert!(told.elapsed() < LIVES, "after {:?}", told.elapsed());
+    assert!(signalled.elapsed() < MAX_TIME_TO_EXIT, "after {:?}", signalled.elapsed());
 }
