--- a/crates/router/tests/faults.rs
+++ b/crates/router/tests/faults.rs
@@ -1,4 +1,4 @@
-//! The built program while its system calls fail in the ways that Linux documents, beside members that are well.
+//! Tests the router while its system calls fail in the ways that Linux documents, with healthy members.
 
 mod common;
 
@@ -11,20 +11,21 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a client waits, and how late an answer may be and still be one.
+/// Client timeout in milliseconds, and how late after it an answer still counts.
 const CLIENT_TIMEOUT: u32 = 2_000;
-const LATE_MOST: Duration = Duration::from_millis(500);
+const MAX_LATENESS: Duration = Duration::from_millis(500);
 const CLIENTS: usize = 4;
 const COMMANDS: usize = 150;
 /// Connections to members that a router of 40 descriptors may hold.
-const NODES_MOST: usize = 5;
-/// Commands of one client connection.
-const A_CONNECTION: usize = 10;
+const MAX_MEMBER_CONNECTIONS: usize = 5;
+/// Commands that a client sends on one connection.
+const COMMANDS_PER_CONNECTION: usize = 10;
 
-/// Settings with which commands are worth sending for as long as their client waits, and dials take a quarter second.
+/// Settings under which a command is worth sending for as long as its client waits, and a connect attempt times out
+/// after a quarter of a second.
 const SETTINGS: [(&str, &str); 2] = [WORTH, ("\"dial_timeout_ms\":1000.0", "\"dial_timeout_ms\":250.0")];
 
-fn agent(entries: &[String]) -> Discovery {
+fn discovery_agent(entries: &[String]) -> Discovery {
     let known = list(41, true, entries);
     Discovery::acting(move |_, asked| {
         asked.begin();
@@ -39,7 +40,7 @@
     })
 }
 
-/// One set: a primary and two replicas that answer at once.
+/// One database set: a primary and two replicas that answer immediately.
 struct Members {
     nodes: Vec<Node>,
 }
@@ -57,20 +58,20 @@
     }
 
     fn router(&self, faults: &Faults) -> Router {
-        let discovery = agent(&self.entries());
+        let discovery = discovery_agent(&self.entries());
         let text = with_pieces(configuration(discovery.address, 1024, 192, "null"), &SETTINGS);
         Router::failing(discovery, &text, faults)
     }
 }
 
-/// What a client was answered, and how long that took.
+/// The answer to a command, and how long it took.
 type Outcome = (Answer, Duration);
 
 fn client(router: SocketAddr, name: usize) -> Vec<Outcome> {
     let mut outcomes = Vec::new();
     while outcomes.len() < COMMANDS {
         let mut client = Client::at(router);
-        for _ in 0..A_CONNECTION {
+        for _ in 0..COMMANDS_PER_CONNECTION {
             let id = format!("c{name}-{}", outcomes.len());
             let statement =
                 if outcomes.len() % 3 == 0 { order(&id, CLIENT_TIMEOUT) } else { look(&id, CLIENT_TIMEOUT) };
@@ -87,11 +88,11 @@
     outcomes.iter().filter(|(answer, _)| *answer == Answer::Row("r".into())).count()
 }
 
-/// Every command has its final answer in time, and no more than these are given up.
-fn judge(outcomes: &[Outcome], given_up_most: usize) {
+/// Checks that every command has its final answer in time, and that at most `max_given_up` are given up.
+fn assert_outcomes(outcomes: &[Outcome], max_given_up: usize) {
     let ended =
         outcomes.iter().filter(|(answer, _)| matches!(answer, Answer::Closed | Answer::Empty)).count();
-    let most = Duration::from_millis(CLIENT_TIMEOUT as u64) + LATE_MOST;
+    let most = Duration::from_millis(CLIENT_TIMEOUT as u64) + MAX_LATENESS;
     let late = outcomes.iter().filter(|(_, took)| *took > most).count();
     let given_up = outcomes.len() - served(outcomes);
     let longest = outcomes.iter().map(|(_, took)| *took).max();
@@ -100,10 +101,10 @@
         outcomes.len()
     );
     assert_eq!((ended, late), (0, 0), "not answered, late");
-    assert!(given_up <= given_up_most, "{given_up} of {} not served", outcomes.len());
+    assert!(given_up <= max_given_up, "{given_up} of {} not served", outcomes.len());
 }
 
-fn play(router: &Router) -> Vec<Outcome> {
+fn run_clients(router: &Router) -> Vec<Outcome> {
     let address = router.address;
     thread::scope(|scope| {
         let clients: Vec<_> = (0..CLIENTS).map(|name| scope.spawn(move || client(address, name))).collect();
@@ -112,32 +113,33 @@
 }
 
 #[rstest]
-#[case::none(&[])]
+#[case::no_fault(&[])]
 #[case::short_writes(&[(Fault::ShortSend, 500_000)])]
 #[case::interrupted_writes(&[(Fault::InterruptedSend, 200_000)])]
 #[case::starved_writes(&[(Fault::StarvedSend, 50_000)])]
 #[case::short_reads(&[(Fault::ShortReceive, 500_000)])]
 #[case::interrupted_reads(&[(Fault::InterruptedReceive, 200_000)])]
-#[case::polls(&[(Fault::InterruptedPoll, 300_000)])]
+#[case::interrupted_polls(&[(Fault::InterruptedPoll, 300_000)])]
 #[case::refused_writes(&[(Fault::RefusedSend, 50_000)])]
 #[case::refused_reads(&[(Fault::RefusedReceive, 50_000)])]
-#[case::reads_that_end_short(&[(Fault::ShortReceive, 500_000), (Fault::RefusedReceive, 50_000)])]
-#[case::accepts(&[(Fault::FailedAccept, 300_000)])]
-#[case::dials(&[(Fault::FailedConnect, 800_000)])]
-#[case::interrupted_dials(&[(Fault::InterruptedConnect, 500_000)])]
-#[case::sockets(&[(Fault::FailedSocket, 800_000)])]
-fn system_calls_that_fail_cost_no_command(#[case] failing: &[(Fault, u64)]) {
+#[case::short_and_refused_reads(&[(Fault::ShortReceive, 500_000), (Fault::RefusedReceive, 50_000)])]
+#[case::failed_accepts(&[(Fault::FailedAccept, 300_000)])]
+#[case::failed_connects(&[(Fault::FailedConnect, 800_000)])]
+#[case::interrupted_connects(&[(Fault::InterruptedConnect, 500_000)])]
+#[case::failed_sockets(&[(Fault::FailedSocket, 800_000)])]
+fn failing_system_calls_lose_no_command(#[case] failing: &[(Fault, u64)]) {
     let (members, faults) = (Members::start(), Faults::new(1));
     let router = members.router(&faults);
-    failing.iter().for_each(|(fault, often)| faults.set(*fault, *often));
-    let outcomes = play(&router);
-    failing.iter().for_each(|(fault, _)| assert!(faults.injected(*fault) > 0, "{fault:?} came"));
-    judge(&outcomes, 0);
+    failing.iter().for_each(|(fault, in_a_million)| faults.set(*fault, *in_a_million));
+    let outcomes = run_clients(&router);
+    failing.iter().for_each(|(fault, _)| assert!(faults.injected(*fault) > 0, "{fault:?} was not injected"));
+    assert_outcomes(&outcomes, 0);
 }
 
-/// Clients that left, with no permission to cancel, leave every descriptor for members in use.
+/// Without permission to cancel, commands of clients that left keep every descriptor for members in use. Guards against
+/// a router that takes the lack of a descriptor for a failure of the member.
 #[rstest]
-fn a_router_without_descriptors_holds_no_member_for_dead() {
+fn descriptor_exhaustion_marks_no_member_dead() {
     let release = Arc::new(AtomicBool::new(false));
     let released = release.clone();
     let node = Node::start("primary", move |_| {
@@ -146,12 +148,12 @@
         }
         Reply::Send(row("r"))
     });
-    let cold = "\"drain_grace_ms\":500.0,\"start_capacity\":0.001,\"warm_after_ms\":60000.0";
-    let pieces = [WORTH, ("\"cancel\":true", "\"cancel\":false"), ("\"drain_grace_ms\":500.0", cold)];
-    let discovery = agent(&[entry("s-a", &node, "ready", "primary")]);
+    let cold_rules = "\"drain_grace_ms\":500.0,\"start_capacity\":0.001,\"warm_after_ms\":60000.0";
+    let pieces = [WORTH, ("\"cancel\":true", "\"cancel\":false"), ("\"drain_grace_ms\":500.0", cold_rules)];
+    let discovery = discovery_agent(&[entry("s-a", &node, "ready", "primary")]);
     let text = with_pieces(configuration(discovery.address, 40, 192, "null"), &pieces);
     let router = Router::beside(discovery, &text, None);
-    for number in 0..NODES_MOST {
+    for number in 0..MAX_MEMBER_CONNECTIONS {
         let mut client = Client::connect(&router);
         client.send(&query_bytes(&order(&format!("left-{number}"), 20_000)));
         assert!(node.statement().contains(&format!("left-{number}")));
@@ -168,58 +170,58 @@
     }
 }
 
-/// What can't be read is logged.
-fn is_told_what_is_wrong(router: &Router) {
-    let wrong = |number: usize| format!("SELECT {number} /* id=w{number},c=nothing,d=100,cluster=2 */");
+/// Sends commands of an unknown group, which the router answers with an error and logs.
+fn send_invalid_commands(router: &Router) {
+    let invalid = |number: usize| format!("SELECT {number} /* id=w{number},c=nothing,d=100,cluster=2 */");
     for number in 0..20 {
-        let answer = Client::connect(router).query(&wrong(number));
+        let answer = Client::connect(router).query(&invalid(number));
         assert_eq!(answer, Answer::Error("22023".into(), None), "{number}");
     }
 }
 
 #[rstest]
-fn a_log_that_cannot_be_written_costs_no_command() {
+fn log_write_failures_lose_no_command() {
     let (members, faults) = (Members::start(), Faults::new(1));
     let mut router = members.router(&faults);
     faults.set(Fault::FailedLog, ALWAYS);
-    is_told_what_is_wrong(&router);
+    send_invalid_commands(&router);
     router.signal("-USR1");
     router.signal("-HUP");
-    judge(&play(&router), 0);
-    assert!(faults.injected(Fault::FailedLog) > 0, "it logged");
+    assert_outcomes(&run_clients(&router), 0);
+    assert!(faults.injected(Fault::FailedLog) > 0, "no log write failed");
     router.signal("-TERM");
     assert!(router.wait().success());
 }
 
 #[rstest]
-fn a_log_that_nobody_reads_costs_no_command() {
+fn unread_log_pipe_loses_no_command() {
     let (members, faults) = (Members::start(), Faults::new(1));
     let mut router = members.router(&faults);
     router.log_unread.store(true, Relaxed);
-    // More than a pipe holds.
+    // The log lines are more than a pipe holds.
     for _ in 0..400 {
         router.signal("-USR1");
     }
-    is_told_what_is_wrong(&router);
-    judge(&play(&router), 0);
+    send_invalid_commands(&router);
+    assert_outcomes(&run_clients(&router), 0);
     router.signal("-TERM");
     assert!(router.wait().success());
 }
 
-/// The system grants fewer descriptors than the router was told.
+/// The system grants fewer descriptors than the settings of the router give.
 #[rstest]
-fn a_client_gets_in_where_the_system_grants_fewer_descriptors_than_told() {
+fn clients_connect_when_the_system_grants_fewer_descriptors_than_configured() {
     let (members, faults) = (Members::start(), Faults::new(1));
     let router = members.router(&faults);
     router.limit_descriptors(48);
-    let stay = |number: usize| {
+    let connect_and_query = |number: usize| {
         let mut client = Client::connect(&router);
         let answer = client.query(&look(&format!("stay-{number}"), CLIENT_TIMEOUT));
         assert_eq!(answer, Answer::Row("r".into()), "{number}");
         client
     };
     let begun = Instant::now();
-    // Each asks once and stays.
-    let staying: Vec<Client> = (0..60).map(stay).collect();
+    // Each client sends one command and stays connected.
+    let staying: Vec<Client> = (0..60).map(connect_and_query).collect();
     assert!(begun.elapsed() < Duration::from_secs(10), "{:?} for {}", begun.elapsed(), staying.len());
 }
