--- a/crates/router/tests/held_up.rs
+++ b/crates/router/tests/held_up.rs
@@ -1,4 +1,4 @@
-//! The built program where up to 0.15 s pass between its look at the clock and what it writes.
+//! Tests a router that is delayed by up to 0.15 s between reading the clock and writing.
 
 mod common;
 
@@ -8,12 +8,13 @@
 use std::time::{Duration, Instant};
 
 const LONGEST_WAIT: Duration = Duration::from_millis(1_000);
-/// SIGKILL follows SIGTERM after the longest wait and this. What came in by then is owed an answer.
-const STILL_COMING: Duration = Duration::from_millis(700);
+/// SIGKILL follows SIGTERM after the longest wait plus this time. A command that arrives within this time of SIGTERM is
+/// owed an answer.
+const ACCEPTED_AFTER_SIGTERM: Duration = Duration::from_millis(700);
 
-/// Danger: what SIGKILL finds unanswered is lost.
+/// Danger: a command that is still unanswered at SIGKILL is lost.
 #[rstest]
-fn whoever_came_in_after_sigterm_is_answered_before_the_kill() {
+fn command_received_after_sigterm_is_answered_before_sigkill() {
     for round in 0..10 {
         let (node, faults) = (Node::start("primary", |_| Reply::Silence), Faults::new(round));
         let known = list(41, true, &[entry("s-a", &node, "ready", "primary")]);
@@ -25,27 +26,28 @@
         let router = Router::failing(discovery, &waiting(&text, "1000.0"), &faults);
         let mut client = Client::connect(&router);
         router.signal("-TERM");
-        let told = Instant::now();
+        let signalled = Instant::now();
         faults.set(Fault::HeldUp, ALWAYS);
-        std::thread::sleep(Duration::from_millis(650).saturating_sub(told.elapsed()));
+        std::thread::sleep(Duration::from_millis(650).saturating_sub(signalled.elapsed()));
         let answer = client.query(&order("late", 1_000));
-        let took = told.elapsed();
+        let took = signalled.elapsed();
         assert!(matches!(answer, Answer::Error(..)), "{answer:?}");
-        assert!(took < STILL_COMING + LONGEST_WAIT, "round {round}: {took:?} after SIGTERM");
+        assert!(took < ACCEPTED_AFTER_SIGTERM + LONGEST_WAIT, "round {round}: {took:?} after SIGTERM");
     }
 }
 
-/// So many clients that connect and send nothing are ended in one moment, after 2.5 s.
-const SILENT: usize = 60;
-/// What clients are owed that stop in the middle of a message, and what a held-up router may take beside it.
-const BAD_MOST: Duration = Duration::from_millis(3_000 + 150);
-/// A command whose time is up while they are told, and how late its answer may be.
-const WAITS: Duration = Duration::from_millis(2_700);
-const LATE_MOST: Duration = Duration::from_millis(500);
+/// Number of clients that connect and send nothing; the router closes them all at the same moment, after 2.5 s.
+const SILENT_CLIENTS: usize = 60;
+/// Time that a client has to complete a message, plus what a delayed router may add.
+const PARTIAL_MESSAGE_MAX: Duration = Duration::from_millis(3_000 + 150);
+/// Timeout of a command that expires while the silent clients are being closed, and how late its answer may be.
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_700);
+const MAX_LATENESS: Duration = Duration::from_millis(500);
 
-/// Danger: with each write held up, those who are told their end stand between a command and its answer (soak seed 60).
+/// Danger: with each write delayed, the final errors to the clients that are closed are all written before the answer
+/// to an expired command, which is then late (soak seed 60).
 #[rstest]
-fn a_final_answer_does_not_wait_for_all_who_are_ended_before_it() {
+fn final_answer_is_not_delayed_by_closing_other_clients() {
     let (node, faults) = (Node::start("primary", |_| Reply::Silence), Faults::new(1));
     let known = list(41, true, &[entry("s-a", &node, "ready", "primary")]);
     let discovery = Discovery::acting(move |_, asked| {
@@ -54,18 +56,22 @@
     });
     let text = with_pieces(configuration(discovery.address, 1024, 192, "null"), &[WORTH]);
     let router = Router::failing(discovery, &text, &faults);
-    let (mut client, mut half) = (Client::connect(&router), Client::connect(&router));
-    let _silent: Vec<Client> = (0..SILENT).map(|_| Client::raw(&router)).collect();
+    let (mut client, mut partial) = (Client::connect(&router), Client::connect(&router));
+    let _silent: Vec<Client> = (0..SILENT_CLIENTS).map(|_| Client::raw(&router)).collect();
     let begun = Instant::now();
-    half.send(&query_bytes("SELECT 1")[..7]);
-    client.send(&query_bytes(&look("i1", WAITS.as_millis() as u32)));
+    partial.send(&query_bytes("SELECT 1")[..7]);
+    client.send(&query_bytes(&look("i1", COMMAND_TIMEOUT.as_millis() as u32)));
     assert!(node.statement().contains("id=i1"));
     std::thread::sleep(Duration::from_millis(2_300).saturating_sub(begun.elapsed()));
     faults.set(Fault::HeldSend, ALWAYS);
-    assert!(matches!(half.answer(), Answer::Error(..)), "half a message");
-    assert!(begun.elapsed() < BAD_MOST, "half a message stays {:?}", begun.elapsed());
+    assert!(matches!(partial.answer(), Answer::Error(..)), "no error for a partial message");
+    assert!(
+        begun.elapsed() < PARTIAL_MESSAGE_MAX,
+        "client with a partial message stayed connected for {:?}",
+        begun.elapsed()
+    );
     let answer = client.answer();
     let took = begun.elapsed();
     assert!(matches!(answer, Answer::Error(..)), "{answer:?}");
-    assert!(took < WAITS + LATE_MOST, "{took:?}");
+    assert!(took < COMMAND_TIMEOUT + MAX_LATENESS, "{took:?}");
 }
