--- a/crates/router/tests/lists.rs
+++ b/crates/router/tests/lists.rs
@@ -1,4 +1,5 @@
-//! Whole lists that repeat, shrink to nothing, come twice in one piece, or are told whole again behind changes.
+//! Tests full member lists from discovery that repeat, become empty, arrive twice in one chunk, or follow incremental
+//! changes.
 
 mod common;
 
@@ -6,104 +7,109 @@
 use common::*;
 use rstest::rstest;
 
-fn at(id: &str, member: &Member, state: &str) -> String {
+fn member_entry(id: &str, member: &Member, state: &str) -> String {
     entry_at(id, member.address, state, if state == "ready" { "primary" } else { "replica" })
 }
 
-fn asks(router: &Router, id: &str) -> Client {
+fn send_order(router: &Router, id: &str) -> Client {
     let mut client = Client::connect(router);
     client.send(&query_bytes(&order(id, 30_000)));
     client
 }
 
-/// The next write is served by this member on a new connection.
-fn goes_to(router: &Router, member: &Member, id: &str) {
-    let mut client = asks(router, id);
+/// Checks that the next write is served by this member on a new connection.
+fn assert_next_write_at(router: &Router, member: &Member, id: &str) {
+    let mut client = send_order(router, id);
     member.met().serve(&format!("id={id},"), "own");
     assert_eq!(client.answer(), Answer::Row("own".into()));
 }
 
-/// A router that was told this list, its watch, and this list's text.
-fn told(members: &[(&str, &Member)]) -> (Router, Asked, String) {
-    let entries: Vec<String> = members.iter().map(|(id, m)| at(id, m, "ready")).collect();
+/// A router that has received a list of these members, its discovery watch, and the text of the list.
+fn router_with_list(members: &[(&str, &Member)]) -> (Router, Asked, String) {
+    let entries: Vec<String> = members.iter().map(|(id, m)| member_entry(id, m, "ready")).collect();
     let router = without_probes_but(members, &[WORTH]);
     let watch = router.discovery.asked();
     (router, watch, list(41, true, &entries))
 }
 
-/// Told to the router, which has acted upon it.
-fn tell(router: &Router, watch: &mut Asked, text: &str) {
+/// Sends a list to the router and returns once the router has processed it.
+fn apply_list(router: &Router, watch: &mut Asked, text: &str) {
     watch.send(text);
     watch.delivered();
     router.turn();
 }
 
 #[rstest]
-fn a_whole_list_that_repeats_changes_nothing() {
+fn repeated_full_list_keeps_commands_and_connections() {
     let member = Member::start();
-    let (router, mut watch, text) = told(&[("s-a", &member)]);
-    let mut client = asks(&router, "i1");
+    let (router, mut watch, text) = router_with_list(&[("s-a", &member)]);
+    let mut client = send_order(&router, "i1");
     let mut link = member.met();
     assert!(link.asked().is_some_and(|s| s.contains("id=i1")));
-    (0..3).for_each(|_| tell(&router, &mut watch, &text));
-    // Neither the command in hand nor its connection is lost, and that carries the next.
+    (0..3).for_each(|_| apply_list(&router, &mut watch, &text));
+    // Neither the command in flight nor its connection is lost, and the connection carries the next command.
     link.answer("r1");
     assert_eq!(client.answer(), Answer::Row("r1".into()));
     std::thread::sleep(std::time::Duration::from_millis(5));
-    (0..3).for_each(|_| tell(&router, &mut watch, &text));
-    let mut client = asks(&router, "i2");
+    (0..3).for_each(|_| apply_list(&router, &mut watch, &text));
+    let mut client = send_order(&router, "i2");
     link.serve("id=i2", "r2");
     assert_eq!(client.answer(), Answer::Row("r2".into()));
-    assert!(router.discovery.never_asked(), "the watch is kept");
+    assert!(router.discovery.never_asked(), "the router opened another watch");
 }
 
 #[rstest]
-fn a_list_that_shrinks_to_nothing_sends_to_nobody_until_one_is_told_again() {
+fn empty_list_stops_dispatch_until_a_member_is_listed_again() {
     let member = Member::start();
-    let (router, mut watch, _) = told(&[("s-a", &member)]);
-    let mut busy = asks(&router, "i1");
+    let (router, mut watch, _) = router_with_list(&[("s-a", &member)]);
+    let mut busy = send_order(&router, "i1");
     let mut link = member.met();
     assert!(link.asked().is_some_and(|s| s.contains("id=i1")));
-    tell(&router, &mut watch, &list(42, true, &[]));
-    // What runs may finish, and what comes waits for a member.
+    apply_list(&router, &mut watch, &list(42, true, &[]));
+    // The command in flight may finish, and a new command waits for a member.
     link.answer("r1");
     assert_eq!(busy.answer(), Answer::Row("r1".into()));
     assert_eq!(Client::connect(&router).query(""), Answer::Empty);
-    let mut waits = asks(&router, "i2");
+    let mut waiting = send_order(&router, "i2");
     router.turn();
-    member.listener.set_nonblocking(true).expect("a listener");
-    assert!(member.listener.accept().is_err(), "sent to whom no list names");
-    assert!(link.heard_nothing(), "sent to whom no list names");
-    link.stream.set_nonblocking(false).expect("open");
-    tell(&router, &mut watch, &list(43, true, &[at("s-a", &member, "ready")]));
+    member.listener.set_nonblocking(true).expect("the listener is non-blocking");
+    assert!(member.listener.accept().is_err(), "sent to a member that is not listed");
+    assert!(link.heard_nothing(), "sent to a member that is not listed");
+    link.stream.set_nonblocking(false).expect("the socket is open");
+    apply_list(&router, &mut watch, &list(43, true, &[member_entry("s-a", &member, "ready")]));
     link.serve("id=i2", "own");
-    assert_eq!(waits.answer(), Answer::Row("own".into()));
+    assert_eq!(waiting.answer(), Answer::Row("own".into()));
 }
 
 #[rstest]
-#[case::both_whole(true)]
-#[case::a_change_between(false)]
-fn of_two_whole_lists_in_one_piece_the_later_holds(#[case] whole: bool) {
+#[case::both_full(true)]
+#[case::first_is_incremental(false)]
+fn later_of_two_lists_in_one_chunk_applies(#[case] full: bool) {
     let (first, second, third) = (Member::start(), Member::start(), Member::start());
-    let (router, mut watch, _) = told(&[("s-a", &first)]);
-    let one = list(42, whole, &[at("s-a", &first, "draining"), at("s-b", &second, "ready")]);
-    let two = list(43, true, &[at("s-c", &third, "ready")]);
-    tell(&router, &mut watch, &format!("{one}\n{two}"));
-    goes_to(&router, &third, "i1");
+    let (router, mut watch, _) = router_with_list(&[("s-a", &first)]);
+    let one =
+        list(42, full, &[member_entry("s-a", &first, "draining"), member_entry("s-b", &second, "ready")]);
+    let two = list(43, true, &[member_entry("s-c", &third, "ready")]);
+    apply_list(&router, &mut watch, &format!("{one}\n{two}"));
+    assert_next_write_at(&router, &third, "i1");
 }
 
-/// Who drained is up again, and who took its place drains.
+/// The member that was draining is ready again, and the member that replaced it drains.
 #[rstest]
-fn a_list_told_whole_again_behind_changes_holds() {
+fn full_list_after_incremental_changes_applies() {
     let (first, second) = (Member::start(), Member::start());
-    let (router, mut watch, _) = told(&[("s-a", &first)]);
-    tell(
+    let (router, mut watch, _) = router_with_list(&[("s-a", &first)]);
+    apply_list(
         &router,
         &mut watch,
-        &list(42, false, &[at("s-a", &first, "draining"), at("s-b", &second, "ready")]),
+        &list(42, false, &[member_entry("s-a", &first, "draining"), member_entry("s-b", &second, "ready")]),
     );
-    goes_to(&router, &second, "i1");
-    tell(&router, &mut watch, &list(43, true, &[at("s-a", &first, "ready"), at("s-b", &second, "draining")]));
-    goes_to(&router, &first, "i2");
-    assert!(router.discovery.never_asked(), "the watch is kept");
+    assert_next_write_at(&router, &second, "i1");
+    apply_list(
+        &router,
+        &mut watch,
+        &list(43, true, &[member_entry("s-a", &first, "ready"), member_entry("s-b", &second, "draining")]),
+    );
+    assert_next_write_at(&router, &first, "i2");
+    assert!(router.discovery.never_asked(), "the router opened another watch");
 }
