--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -215,7 +215,7 @@
     let log = || std::fs::read_to_string(routers.folder.join("r2.log")).expect("the log is readable");
     let before = log().len();
     routers.act(1, Act::Continue);
-    let high_levels = ["6 of 8", "7 of 8", "8 of 8"].map(|level| format!("doubts itself: {level}"));
+    let high_levels = ["6 of 8", "7 of 8", "8 of 8"].map(|level| format!("local health of this router: {level}"));
     routers.wait_until("r2 lowers the trust in its own probes", LIMIT, || {
         high_levels.iter().any(|m| log()[before..].contains(m))
     });
