--- a/crates/router/tests/common/control.rs
+++ b/crates/router/tests/common/control.rs
@@ -1,5 +1,5 @@
-//! `vetchkeel-control`, as tests of this package start it. Where UNCHECKED is set it publishes whatever it is given, as one of
-//! another version of the program might.
+//! `vetchkeel-control`, as the tests of this package start it. With UNCHECKED set it publishes settings without checking them,
+//! as a control machine of another version may do.
 
 use std::process::ExitCode;
 use vetchkeel_control::{check, program};
--- a/crates/router/tests/common/draw.rs
+++ b/crates/router/tests/common/draw.rs
@@ -1,25 +1,26 @@
-//! Random numbers from a seed.
+//! A seeded pseudo-random number generator.
 
-pub struct Draw(u64);
+pub struct Rng(u64);
 
-impl Draw {
-    pub fn new(seed: u64) -> Draw {
-        Draw(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
+impl Rng {
+    pub fn new(seed: u64) -> Rng {
+        Rng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
     }
 
-    /// A number from 0 up to, but not including, `most`.
-    pub fn below(&mut self, most: u64) -> u64 {
+    /// Returns a number from 0 up to, but not including, `limit`.
+    pub fn below(&mut self, limit: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
-        (self.0.wrapping_mul(0x2545_f491_4f6c_dd1d) >> 33) % most.max(1)
+        (self.0.wrapping_mul(0x2545_f491_4f6c_dd1d) >> 33) % limit.max(1)
     }
 
-    /// Some of these, about one in `of`, at least one.
-    pub fn some(&mut self, count: usize, of: u64) -> Vec<usize> {
+    /// Chooses a subset of the indices below `count`: about one in `one_in`, and at least one.
+    pub fn subset(&mut self, count: usize, one_in: u64) -> Vec<usize> {
         let first = self.below(count as u64) as usize;
-        let mut some: Vec<usize> = (0..count).filter(|at| *at == first || self.below(of) == 0).collect();
-        some.sort_unstable();
-        some
+        let mut subset: Vec<usize> =
+            (0..count).filter(|at| *at == first || self.below(one_in) == 0).collect();
+        subset.sort_unstable();
+        subset
     }
 }
--- a/crates/router/tests/common/faults.rs
+++ b/crates/router/tests/common/faults.rs
@@ -1,4 +1,4 @@
-//! System calls of the program that fail when a test says so (`examples/faults`).
+//! Fault injection: makes system calls of the router fail at a set rate, through the library in `examples/faults`.
 
 #[path = "../../examples/faults/layout.rs"]
 mod layout;
@@ -14,10 +14,10 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// One in so many calls fails, as the library counts it.
+/// The rate, in a million calls, at which every call fails.
 pub const ALWAYS: u64 = 1_000_000;
 
-/// The control file of one or more processes.
+/// The control file of the fault-injection library, shared with one or more processes.
 pub struct Faults {
     path: PathBuf,
     words: &'static [AtomicU64; WORDS],
@@ -31,7 +31,7 @@
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(&path);
         let file = file.expect("a temporary file");
         file.set_len(WORDS as u64 * 8).expect("a length");
-        // SAFETY: the file is that long, and the mapping stays for as long as the test's process.
+        // SAFETY: the file is that long, and the mapping lives until the test process ends.
         let words = unsafe {
             let (access, any) = (libc::PROT_READ | libc::PROT_WRITE, std::ptr::null_mut());
             let at = libc::mmap(any, WORDS * 8, access, libc::MAP_SHARED, file.as_raw_fd(), 0);
@@ -42,41 +42,42 @@
         Faults { path, words }
     }
 
-    /// From now on so many calls in a million meet this fault.
-    pub fn set(&self, fault: Fault, in_a_million: u64) {
-        self.words[fault as usize].store(in_a_million, Relaxed);
+    /// Sets the rate at which calls meet this fault, in a million calls.
+    pub fn set(&self, fault: Fault, per_million: u64) {
+        self.words[fault as usize].store(per_million, Relaxed);
     }
 
     pub fn none(&self) {
         self.words[..INJECTED].iter().for_each(|word| word.store(0, Relaxed));
     }
 
-    /// How often it has come.
+    /// How often the fault has been injected.
     pub fn injected(&self, fault: Fault) -> u64 {
         self.words[INJECTED + fault as usize].load(Relaxed)
     }
 
-    /// Waits until it has come.
+    /// Waits until the fault has been injected at least once.
     pub fn met(&self, fault: Fault) {
         let began = Instant::now();
         while self.injected(fault) == 0 {
-            assert!(began.elapsed() < super::WAIT, "{fault:?} has not come");
+            assert!(began.elapsed() < super::WAIT, "{fault:?} was not injected in time");
             sleep(Duration::from_millis(1));
         }
     }
 
-    /// From now on the wall clock is wrong by so much, in milliseconds.
+    /// Sets the offset of the wall clock, in milliseconds.
     pub fn step_wall_clock(&self, by: i64) {
         self.words[WALL_CLOCK].store((by * 1_000) as u64, Relaxed);
     }
 
-    /// What the environment of a process must hold.
+    /// The environment variables that load the library into a process.
     pub fn variables(&self) -> [(&'static str, PathBuf); 2] {
         [("LD_PRELOAD", library().clone()), ("FAULT_CONTROL", self.path.clone())]
     }
 }
 
-/// The library, beside the program. Cargo builds examples for a test of the whole package, but not for one test file of it.
+/// The path of the library, next to the program. Cargo builds the examples when it tests the whole package, but not for a
+/// single test file, so the library is built here if it is missing.
 fn library() -> &'static PathBuf {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
@@ -85,7 +86,7 @@
         if !library.exists() {
             build();
         }
-        assert!(library.exists(), "built: {}", library.display());
+        assert!(library.exists(), "the fault-injection library is missing: {}", library.display());
         library
     })
 }
@@ -97,7 +98,7 @@
         .args(["--profile", profile])
         .current_dir(env!("CARGO_MANIFEST_DIR"))
         .status();
-    assert!(built.is_ok_and(|status| status.success()), "the library of failing system calls is built");
+    assert!(built.is_ok_and(|status| status.success()), "building the fault-injection library failed");
 }
 
 impl Drop for Faults {
--- a/crates/router/tests/common/history.rs
+++ b/crates/router/tests/common/history.rs
@@ -1,26 +1,27 @@
-//! What a member had applied when, and what it had told which router of its role: the judge of reads that must see new
-//! data, as the operators' protocol page has it.
+//! The course of one simulated member: its replication position over time, and which routers have received an answer with its
+//! replica role. It decides whether a read violates its freshness requirement, by the rules of the operators' protocol page.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// What the page grants over a bound, and how long what an answer tells may be on its way to the router.
+/// The protocol page allows a bound to be exceeded by `AGE_SLACK`, and gives a router `ROLE_DELIVERY_SLACK` to receive the role
+/// that an answer carries.
 const AGE_SLACK: Duration = Duration::from_millis(50);
-const NEWS_SLACK: Duration = Duration::from_millis(100);
+const ROLE_DELIVERY_SLACK: Duration = Duration::from_millis(100);
 
-/// An arrival is dated by the system's clock of ticks, and may be that much too early.
+/// Arrival times come from the kernel's tick clock and may be too early by up to one tick.
 const TICK: Duration = Duration::from_millis(10);
 
-/// Which data a read has to see.
+/// The data that a read is required to see.
 #[derive(Clone, Copy, Debug)]
 pub enum Need {
-    /// No older than this.
-    Within(Duration),
-    /// All that was committed by then.
-    UpTo(Instant),
+    /// Data that is no older than this.
+    MaxAge(Duration),
+    /// Everything that was committed up to this time.
+    CommittedBy(Instant),
 }
 
-/// From when until when; open at the end as long as it lasts.
+/// A span of time; `to` is `None` while the span still lasts.
 #[derive(Clone, Copy, Debug)]
 struct Span {
     from: Instant,
@@ -28,7 +29,7 @@
 }
 
 impl Span {
-    fn holds(&self, at: Instant) -> bool {
+    fn contains(&self, at: Instant) -> bool {
         self.from <= at && self.to.is_none_or(|to| at < to)
     }
 }
@@ -43,76 +44,80 @@
     spans.iter_mut().filter(|span| span.to.is_none()).for_each(|span| span.to = Some(at));
 }
 
-/// One member's course.
+/// The roles, pauses and announced roles of one member over time.
 pub struct History {
-    /// How far behind it is as a replica that applies.
+    /// Replication lag while the member is a replica that applies changes.
     lag: Duration,
-    /// When it was the primary, and when it did not apply.
-    reigns: Vec<Span>,
+    /// When the member was the primary, and when it applied no changes.
+    primary_spans: Vec<Span>,
     pauses: Vec<Span>,
-    /// When each router was first handed an answer that calls it a replica, since it was the primary.
-    told_replica: BTreeMap<usize, Instant>,
+    /// When each router first received an answer with the replica role since the member was last the primary.
+    replica_role_received: BTreeMap<usize, Instant>,
 }
 
 impl History {
     pub fn new(lag: Duration) -> History {
-        History { lag, reigns: Vec::new(), pauses: Vec::new(), told_replica: BTreeMap::new() }
+        History { lag, primary_spans: Vec::new(), pauses: Vec::new(), replica_role_received: BTreeMap::new() }
     }
 
-    /// It is the primary from now on, and applies.
-    pub fn begin_reign(&mut self, now: Instant) {
+    /// Makes the member the primary and ends any pause.
+    pub fn become_primary(&mut self, now: Instant) {
         end(&mut self.pauses, now);
-        begin(&mut self.reigns, now);
+        begin(&mut self.primary_spans, now);
     }
 
-    /// It is a replica from now on.
-    pub fn end_reign(&mut self, now: Instant) {
-        end(&mut self.reigns, now);
-        self.told_replica.clear();
+    /// Makes the member a replica.
+    pub fn step_down(&mut self, now: Instant) {
+        end(&mut self.primary_spans, now);
+        self.replica_role_received.clear();
     }
 
-    /// It applies nothing from now on.
+    /// Stops applying changes.
     pub fn pause(&mut self, now: Instant) {
         begin(&mut self.pauses, now);
     }
 
-    pub fn go_on(&mut self, now: Instant) {
+    pub fn resume(&mut self, now: Instant) {
         end(&mut self.pauses, now);
     }
 
     pub fn is_primary(&self, at: Instant) -> bool {
-        self.reigns.iter().any(|reign| reign.holds(at))
+        self.primary_spans.iter().any(|span| span.contains(at))
     }
 
-    /// Up to when it has applied all. What it had as the primary it keeps.
+    /// The time up to which the member has applied all changes. It keeps what it had as the primary.
     pub fn position(&self, at: Instant) -> Instant {
         if self.is_primary(at) {
             return at;
         }
-        let pause = self.pauses.iter().find(|pause| pause.holds(at));
+        let pause = self.pauses.iter().find(|pause| pause.contains(at));
         let applied = pause.map_or(at, |pause| pause.from) - self.lag;
-        let reigned = self.reigns.iter().filter_map(|reign| reign.to).filter(|to| *to <= at).max();
-        reigned.map_or(applied, |to| applied.max(to))
+        let last_step_down =
+            self.primary_spans.iter().filter_map(|span| span.to).filter(|to| *to <= at).max();
+        last_step_down.map_or(applied, |to| applied.max(to))
     }
 
-    /// A router is handed an answer that calls it a replica, worked out at `worked_out`. What was worked out before it
-    /// was the primary last tells nothing of the time since.
-    pub fn tells_replica(&mut self, router: usize, worked_out: Instant, handed: Instant) {
-        let reign = self.reigns.last().and_then(|reign| reign.to);
-        if reign.is_some_and(|to| worked_out >= to) {
-            self.told_replica.entry(router).or_insert(handed);
+    /// Records that a router received an answer with the replica role, computed at `computed_at`. An answer from before the
+    /// member's last time as the primary is ignored: it proves nothing about its role since then.
+    pub fn replica_role_sent(&mut self, router: usize, computed_at: Instant, delivered_at: Instant) {
+        let last_step_down = self.primary_spans.last().and_then(|span| span.to);
+        if last_step_down.is_some_and(|to| computed_at >= to) {
+            self.replica_role_received.entry(router).or_insert(delivered_at);
         }
     }
 
-    /// How old its data was for a router's read that came then, if that breaks the rule.
+    /// The age of the data for a read of `router` that arrived at `at`, if it violates `need`.
     pub fn stale(&self, router: usize, at: Instant, need: Need) -> Option<Duration> {
         let position = self.position(at);
-        let lacks = match need {
-            Need::Within(bound) => at > self.position(at + TICK) + bound + AGE_SLACK,
-            Need::UpTo(commit) => !self.is_primary(at) && self.position(at + TICK) < commit,
+        let is_stale = match need {
+            Need::MaxAge(bound) => at > self.position(at + TICK) + bound + AGE_SLACK,
+            Need::CommittedBy(commit) => !self.is_primary(at) && self.position(at + TICK) < commit,
         };
-        let reigned = self.reigns.iter().any(|reign| reign.from <= at);
-        let told = self.told_replica.get(&router).is_some_and(|told| at > *told + NEWS_SLACK);
-        (lacks && (told || !reigned)).then_some(at - position)
+        let was_primary = self.primary_spans.iter().any(|span| span.from <= at);
+        let replica_known = self
+            .replica_role_received
+            .get(&router)
+            .is_some_and(|received| at > *received + ROLE_DELIVERY_SLACK);
+        (is_stale && (replica_known || !was_primary)).then_some(at - position)
     }
 }
--- a/crates/router/tests/common/member.rs
+++ b/crates/router/tests/common/member.rs
@@ -1,19 +1,21 @@
-//! A member whose every step is the test's.
+//! A member whose every step the test performs itself.
 
 use super::*;
 use socket2::SockRef;
 use std::thread::sleep;
 
+/// A listening member; it accepts and answers only when the test calls for it.
 pub struct Member {
     pub listener: TcpListener,
     pub address: SocketAddr,
 }
 
-/// A connection of the router to a member.
+/// A connection from the router to a member.
 pub struct Link {
     pub stream: TcpStream,
 }
 
+/// The messages that complete a startup: AuthenticationOk and ReadyForQuery.
 pub fn greeting() -> Vec<u8> {
     [&b"R\0\0\0\x08\0\0\0\0"[..], &ready()].concat()
 }
@@ -23,7 +25,7 @@
         Member::listening(Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket"))
     }
 
-    /// One that takes little at a time.
+    /// A member with the smallest receive buffer and small segments, so that the router's writes to it are partial.
     pub fn narrow() -> Member {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.set_recv_buffer_size(1).expect("a size");
@@ -32,20 +34,20 @@
             let size = std::ptr::from_ref(&536i32).cast();
             libc::setsockopt(socket.as_raw_fd(), libc::IPPROTO_TCP, libc::TCP_MAXSEG, size, 4)
         };
-        assert_eq!(set, 0, "a size of segments");
+        assert_eq!(set, 0, "setting the segment size failed");
         Member::listening(socket)
     }
 
     pub fn listening(socket: Socket) -> Member {
         let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
         socket.bind(&any.into()).and_then(|()| socket.listen(64)).expect("a port");
-        // Accepting waits for that long as well.
+        // This also limits how long accept() waits.
         socket.set_read_timeout(Some(WAIT)).expect("a time-out");
         let listener = TcpListener::from(socket);
         Member { address: listener.local_addr().expect("bound"), listener }
     }
 
-    /// The router's next connection: it has opened it and is not greeted yet.
+    /// Accepts the router's next connection and reads its startup packet, without a reply.
     pub fn dialled(&self) -> Link {
         let (mut stream, _) = self.listener.accept().expect("a connection");
         stream.set_read_timeout(Some(WAIT)).expect("a time-out");
@@ -53,6 +55,7 @@
         Link { stream }
     }
 
+    /// Accepts the router's next connection and completes its startup.
     pub fn met(&self) -> Link {
         let mut link = self.dialled();
         link.greet();
@@ -61,8 +64,9 @@
 }
 
 impl Link {
+    /// Sends these bytes and waits until the router's host has received them.
     pub fn say(&mut self, bytes: &[u8]) {
-        self.stream.write_all(bytes).expect("the router reads");
+        self.stream.write_all(bytes).expect("the connection is open");
         delivered(&self.stream);
     }
 
@@ -70,7 +74,7 @@
         self.say(&greeting());
     }
 
-    /// The next statement, read whole; None at the connection's end.
+    /// Reads the next statement in full; `None` at the end of the connection.
     pub fn asked(&mut self) -> Option<String> {
         let (_, body) = read_packet(&mut self.stream, false)?;
         Some(String::from_utf8_lossy(&body).into_owned())
@@ -80,30 +84,33 @@
         self.say(&[parameter("role", "primary"), row(value), ready()].concat());
     }
 
-    /// Serves the next statement, which has to hold this.
+    /// Answers the next statement, which must contain `text`.
     pub fn serve(&mut self, text: &str, value: &str) {
         let statement = self.asked().expect("a statement");
-        assert!(statement.contains(text), "{statement}");
+        assert!(statement.contains(text), "expected a statement with '{text}', got: {statement}");
         self.answer(value);
     }
 
-    /// Waits for the router to end it; how many bytes came before that.
+    /// Waits for the router to close the connection; returns how many bytes arrived before that.
     pub fn ended(&mut self) -> usize {
         let mut all = Vec::new();
         match self.stream.read_to_end(&mut all) {
-            Err(e) if e.kind() != ErrorKind::ConnectionReset => panic!("not ended: {e}"),
+            Err(e) if e.kind() != ErrorKind::ConnectionReset => {
+                panic!("the router did not close the connection: {e}")
+            }
             _ => all.len(),
         }
     }
 
-    /// Ends it, with a reset or as one that has no more to say, and waits until that has come to the router.
+    /// Closes the connection, with a reset or by shutting down the writing side, and waits until the router's host has
+    /// received that.
     pub fn end(self, reset: bool) {
         if !reset {
             self.stream.shutdown(Shutdown::Write).expect("open");
             return delivered(&self.stream);
         }
-        // A reset is not acknowledged, but the router's end then leaves the table; which is not read in one piece,
-        // and may leave one out.
+        // A reset is not acknowledged, but it removes the router's socket from the table of connections. The table is not
+        // read atomically and may miss an entry, so the socket must be absent from three reads in a row.
         let ends = [self.stream.peer_addr(), self.stream.local_addr()];
         let ends = ends.map(|end| format!(":{:04X}", end.expect("connected").port()));
         SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).expect("an option");
@@ -112,15 +119,15 @@
             let fields: Vec<&str> = line.split_whitespace().collect();
             fields[1].ends_with(&ends[0]) && fields[2].ends_with(&ends[1]) && fields[3] == "01"
         };
-        let (began, mut gone) = (Instant::now(), 0);
-        while gone < 3 && began.elapsed() < WAIT {
+        let (began, mut absences) = (Instant::now(), 0);
+        while absences < 3 && began.elapsed() < WAIT {
             sleep(Duration::from_millis(100));
             let table = std::fs::read_to_string("/proc/net/tcp").expect("readable");
-            gone = if table.lines().any(open) { 0 } else { gone + 1 };
+            absences = if table.lines().any(open) { 0 } else { absences + 1 };
         }
     }
 
-    /// All that the router has written and its system has not sent yet comes too.
+    /// Reads everything that the router has written so far, including what its kernel has not sent yet.
     pub fn take_all(&mut self) -> Vec<u8> {
         let ends = [self.stream.peer_addr(), self.stream.local_addr()];
         let ends = ends.map(|end| format!(":{:04X}", end.expect("connected").port()));
@@ -134,7 +141,7 @@
         loop {
             let table = std::fs::read_to_string("/proc/net/tcp").expect("readable");
             let all = table.lines().any(sent);
-            assert!(began.elapsed() < WAIT, "the system still holds some");
+            assert!(began.elapsed() < WAIT, "the send queue of the router's socket is not empty");
             let before = came.len();
             _ = self.stream.read_to_end(&mut came);
             if all && came.len() == before {
@@ -144,34 +151,35 @@
         }
     }
 
+    /// Whether no bytes have arrived on the connection.
     pub fn heard_nothing(&self) -> bool {
         self.stream.set_nonblocking(true).expect("an option");
         self.stream.peek(&mut [0]).map_or(true, |bytes| bytes == 0)
     }
 }
 
-/// Without probes; a dial and a drain's grace last longer than any test.
+/// Starts a router that sends no probes, with a dial timeout and a drain grace longer than any test.
 pub fn without_probes(members: &[(&str, &Member)]) -> Router {
     without_probes_but(members, &[])
 }
 
-/// With these pieces of the settings' text in place of others as well.
+/// The same, with further replacements in the text of the settings.
 pub fn without_probes_but(members: &[(&str, &Member)], pieces: &[(&str, &str)]) -> Router {
-    let (discovery, text) = unprobed(members, pieces);
+    let (discovery, text) = probeless_configuration(members, pieces);
     Router::beside(discovery, &text, None)
 }
 
-/// The same with system calls that fail.
+/// The same, with fault injection.
 pub fn without_probes_failing(
     members: &[(&str, &Member)],
     pieces: &[(&str, &str)],
     faults: &faults::Faults,
 ) -> Router {
-    let (discovery, text) = unprobed(members, pieces);
+    let (discovery, text) = probeless_configuration(members, pieces);
     Router::failing(discovery, &text, faults)
 }
 
-fn unprobed(members: &[(&str, &Member)], pieces: &[(&str, &str)]) -> (Discovery, String) {
+fn probeless_configuration(members: &[(&str, &Member)], pieces: &[(&str, &str)]) -> (Discovery, String) {
     let entries: Vec<String> =
         members.iter().map(|(id, m)| entry_at(id, m.address, "ready", "primary")).collect();
     let known = list(41, true, &entries);
@@ -179,11 +187,12 @@
         asked.begin();
         asked.send(&known);
     });
-    let alone = [
+    let overrides = [
         (r#""may_probe":true"#, r#""may_probe":false"#),
         (r#""dial_timeout_ms":1000.0"#, r#""dial_timeout_ms":50000.0"#),
         (r#""drain_grace_ms":500.0"#, r#""drain_grace_ms":50000.0"#),
     ];
-    let text = with_pieces(configuration(discovery.address, 1024, 192, "null"), &[&alone, pieces].concat());
+    let text =
+        with_pieces(configuration(discovery.address, 1024, 192, "null"), &[&overrides, pieces].concat());
     (discovery, text)
 }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for discovery and nodes on loopback ports that the system picks, a client, and the program itself.
-//! Everything waits for events; a wait that lasts ten seconds fails the test.
+//! Simulated discovery and nodes on loopback ports that the system picks, a client, and the router process itself.
+//! The helpers wait for events; a wait of ten seconds fails the test.
 
-// Each test file uses its part.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 pub mod draw;
@@ -23,6 +23,7 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// How long any helper waits for an event before the test fails.
 pub const WAIT: Duration = Duration::from_secs(10);
 
 pub fn unix_ms() -> u128 {
@@ -36,7 +37,7 @@
     out
 }
 
-/// A row of one column with its description before and its completion behind it.
+/// The messages of a result with one row of one column: RowDescription, DataRow and CommandComplete.
 pub fn row(value: &str) -> Vec<u8> {
     let description =
         [&[0, 1][..], b"v\0", &[0, 0, 0, 0, 0, 0, 0, 0, 0, 17, 255, 255, 255, 255, 255, 255, 0, 1]];
@@ -44,65 +45,69 @@
     [framed(b'T', &description.concat()), framed(b'D', &data.concat()), framed(b'C', b"SELECT 1\0")].concat()
 }
 
+/// A ParameterStatus message.
 pub fn parameter(name: &str, value: &str) -> Vec<u8> {
     framed(b'S', format!("{name}\0{value}\0").as_bytes())
 }
 
+/// An ErrorResponse with this SQLSTATE.
 pub fn code(code: &str) -> Vec<u8> {
     framed(b'E', format!("SERROR\0C{code}\0Mstand-in\0\0").as_bytes())
 }
 
+/// A ReadyForQuery message.
 pub fn ready() -> Vec<u8> {
     framed(b'Z', b"I")
 }
 
-/// What a node stand-in does with a statement.
+/// How a simulated node replies to a statement.
 pub enum Reply {
-    /// These bytes and ReadyForQuery.
+    /// Sends these bytes and ReadyForQuery.
     Send(Vec<u8>),
-    /// These bytes alone; the connection stays open.
+    /// Sends these bytes only; the connection stays open.
     Raw(Vec<u8>),
-    /// These bytes; then the connection is closed.
+    /// Sends these bytes and closes the connection.
     Close(Vec<u8>),
-    /// Nothing: the connection stays open until the router ends it.
+    /// Sends nothing; the connection stays open until the router closes it.
     Silence,
 }
 
-/// What a node stand-in has seen.
+/// An event at a simulated node.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Seen {
     Statement(String),
-    /// A connection that had carried a command was ended, by the router or by `Reply::Close`.
+    /// A connection that had carried a command was closed, by the router or by `Reply::Close`.
     Ended,
 }
 
+/// A simulated node, which answers probes and commands in threads of its own.
 pub struct Node {
     pub address: SocketAddr,
     pub seen: Receiver<Seen>,
 }
 
-/// Waits until all bytes lie at the other end: a busy machine delivers them late. A reset counts: who resets has seen them,
-/// and the system goes on to count bytes that were never acknowledged.
+/// Waits until the other end's host has acknowledged all bytes, which can take a while on a busy machine. A reset counts as
+/// well: after one, the kernel still counts bytes that were never acknowledged.
 pub fn delivered(stream: &TcpStream) {
-    let (mut left, began): (libc::c_int, _) = (1, Instant::now());
-    while left > 0 && !is_reset(stream) {
-        assert!(began.elapsed() < WAIT, "not delivered");
+    let (mut unacked, began): (libc::c_int, _) = (1, Instant::now());
+    while unacked > 0 && !is_reset(stream) {
+        assert!(began.elapsed() < WAIT, "bytes were not acknowledged within {WAIT:?}");
         thread::sleep(Duration::from_millis(1));
         // SAFETY: the system writes one number.
-        let asked = unsafe { libc::ioctl(stream.as_raw_fd(), libc::TIOCOUTQ, &mut left) };
-        assert_eq!(asked, 0, "how much is not delivered");
+        let result = unsafe { libc::ioctl(stream.as_raw_fd(), libc::TIOCOUTQ, &mut unacked) };
+        assert_eq!(result, 0, "reading the size of the send queue failed");
     }
 }
 
-/// The other end has reset the connection; nothing is read.
+/// Whether the other end has reset the connection; reads nothing from it.
 fn is_reset(stream: &TcpStream) -> bool {
-    let mut asked = libc::pollfd { fd: stream.as_raw_fd(), events: 0, revents: 0 };
+    let mut entry = libc::pollfd { fd: stream.as_raw_fd(), events: 0, revents: 0 };
     // SAFETY: the system reads and writes this one value.
-    unsafe { libc::poll(&mut asked, 1, 0) };
-    asked.revents & libc::POLLERR != 0
+    unsafe { libc::poll(&mut entry, 1, 0) };
+    entry.revents & libc::POLLERR != 0
 }
 
-/// How long ago the last byte came, as the system knows it: a busy machine wakes a stand-in's thread late.
+/// The time since the last byte arrived, according to the kernel: on a busy machine the thread that reads it wakes up late.
 pub fn since_last_byte(stream: &TcpStream) -> Duration {
     let mut info = MaybeUninit::<libc::tcp_info>::zeroed();
     let mut size = size_of::<libc::tcp_info>() as libc::socklen_t;
@@ -115,21 +120,21 @@
     Duration::from_millis(info.tcpi_last_data_recv.into())
 }
 
-/// Fills the buffer; None at the connection's end, which silence is not.
+/// Fills the buffer; `None` at the end of the connection. A read time-out fails the test instead.
 fn read_whole(stream: &mut impl Read, buffer: &mut [u8]) -> Option<()> {
     let read = stream.read_exact(buffer);
-    let silent =
+    let timed_out =
         read.as_ref().is_err_and(|e| matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut));
-    assert!(!silent, "nothing came in {WAIT:?}");
+    assert!(!timed_out, "nothing arrived within {WAIT:?}");
     read.ok()
 }
 
-/// A message's kind (0 for an opening) and body; None at the connection's end.
-pub fn read_packet(stream: &mut impl Read, opening: bool) -> Option<(u8, Vec<u8>)> {
+/// Reads a message's kind (0 for a startup packet) and body; `None` at the end of the connection.
+pub fn read_packet(stream: &mut impl Read, startup: bool) -> Option<(u8, Vec<u8>)> {
     let mut head = [0; 5];
-    let head = if opening { &mut head[1..] } else { &mut head[..] };
+    let head = if startup { &mut head[1..] } else { &mut head[..] };
     read_whole(stream, head)?;
-    let kind = if opening { 0 } else { head[0] };
+    let kind = if startup { 0 } else { head[0] };
     let length = u32::from_be_bytes(head[head.len() - 4..].try_into().ok()?);
     let mut body = vec![0; length as usize - 4];
     read_whole(stream, &mut body)?;
@@ -137,26 +142,27 @@
 }
 
 impl Node {
-    /// Answers probes as `role` with a position of now, and commands as `reply` says. A `mute` one never gets as
-    /// far as that, a `deaf` one does not answer probes, an `early` one answers before it is asked.
+    /// Starts a node that answers probes as `role` with the current time as its position, and commands through `reply`.
+    /// Special roles: `mute` never completes a startup, `deaf` does not answer probes, and `early` sends an answer
+    /// right after the startup, before any statement.
     pub fn start(role: &'static str, reply: impl Fn(&str) -> Reply + Send + Sync + 'static) -> Node {
-        let deaf = role == "deaf";
+        let ignores_probes = role == "deaf";
         Node::probed(role, move |statement| match statement {
-            "SHOW load" => deaf.then_some(Reply::Silence),
+            "SHOW load" => ignores_probes.then_some(Reply::Silence),
             command => Some(reply(command)),
         })
     }
 
-    /// The same, with probes and commands answered as `reply` says; probes of which it says nothing as by `start`.
+    /// Starts a node that answers probes and commands through `reply`; where it returns `None`, probes are answered as by `start`.
     pub fn probed(role: &'static str, reply: impl Fn(&str) -> Option<Reply> + Send + Sync + 'static) -> Node {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
-        let (tell, seen) = channel();
+        let (sender, seen) = channel();
         let reply = Arc::new(reply);
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (tell, reply) = (tell.clone(), reply.clone());
-                thread::spawn(move || Node::serve(stream.ok()?, role, &tell, &*reply));
+                let (sender, reply) = (sender.clone(), reply.clone());
+                thread::spawn(move || Node::serve(stream.ok()?, role, &sender, &*reply));
             }
         });
         Node { address, seen }
@@ -165,7 +171,7 @@
     fn serve(
         mut stream: TcpStream,
         role: &str,
-        tell: &Sender<Seen>,
+        sender: &Sender<Seen>,
         reply: &(dyn Fn(&str) -> Option<Reply> + Send + Sync),
     ) -> Option<()> {
         read_packet(&mut stream, true)?;
@@ -174,12 +180,12 @@
         }
         let early = if role == "early" { [row("early"), ready()].concat() } else { Vec::new() };
         stream.write_all(&[framed(b'R', &[0; 4]), ready(), early].concat()).ok()?;
-        let mut carried = false;
+        let mut had_command = false;
         while let Some((b'Q', body)) = read_packet(&mut stream, false) {
             let statement = String::from_utf8_lossy(&body[..body.len() - 1]).into_owned();
             if statement != "SHOW load" {
-                carried = true;
-                tell.send(Seen::Statement(statement.clone())).ok()?;
+                had_command = true;
+                sender.send(Seen::Statement(statement.clone())).ok()?;
             }
             let answer = reply(&statement).unwrap_or_else(|| {
                 let report = format!("x0={:.3},x1={}", unix_ms() as f64 / 1000.0, (role == "primary") as u8);
@@ -192,23 +198,24 @@
                 Reply::Close(bytes) => {
                     stream.write_all(&bytes).ok()?;
                     stream.shutdown(Shutdown::Both).ok()?;
-                    return tell.send(Seen::Ended).ok();
+                    return sender.send(Seen::Ended).ok();
                 }
                 Reply::Raw(bytes) => stream.write_all(&bytes).ok()?,
                 Reply::Silence => {}
             }
         }
-        if carried {
-            tell.send(Seen::Ended).ok()?;
+        if had_command {
+            sender.send(Seen::Ended).ok()?;
         }
         Some(())
     }
 
+    /// The next event at the node.
     pub fn next(&self) -> Seen {
-        self.seen.recv_timeout(WAIT).expect("news of the node")
+        self.seen.recv_timeout(WAIT).expect("no event at the node")
     }
 
-    /// The next statement, but for connections that end.
+    /// The next statement; skips the ends of connections.
     pub fn statement(&self) -> String {
         loop {
             if let Seen::Statement(statement) = self.next() {
@@ -218,7 +225,7 @@
     }
 }
 
-/// What the discovery stand-in was asked, when, and the connection to answer on.
+/// A watch at the simulated discovery: the path and time of its request, and the connection for the response.
 pub struct Asked {
     pub path: String,
     pub at: Instant,
@@ -226,22 +233,24 @@
 }
 
 impl Asked {
-    /// The head of an answer in chunks.
+    /// Sends the head of a chunked response.
     pub fn begin(&mut self) {
         self.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
+    /// Sends this text without chunk framing.
     pub fn raw(&mut self, text: &str) {
-        // The router may have ended this watch.
+        // Fails if the router has already closed this watch, which is not an error here.
         let _ = self.stream.write_all(text.as_bytes());
     }
 
+    /// Sends this text and a newline as one chunk.
     pub fn send(&mut self, text: &str) {
         let chunk = format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
         self.stream.write_all(chunk.as_bytes()).expect("the watch is open");
     }
 
-    /// Waits until what was sent lies at the router.
+    /// Waits until the router's host has received everything that was sent.
     pub fn delivered(&self) {
         delivered(&self.stream);
     }
@@ -256,37 +265,39 @@
         Asked { path: self.path.clone(), at: self.at, stream }
     }
 
-    /// When the last handle is dropped the router is told of a reset, and what it has not read lies before that.
+    /// Makes the drop of the last handle send a reset. Bytes that the router has not read yet stay readable before it.
     pub fn will_reset(&self) {
         socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).expect("a connection");
     }
 
-    /// Waits for the router to end this watch.
+    /// Waits for the router to close this watch; false if it sent something or reset the connection instead.
     pub fn ended(&mut self) -> bool {
         self.stream.set_read_timeout(Some(WAIT)).expect("a time-out");
         matches!(self.stream.read(&mut [0]), Ok(0))
     }
 }
 
+/// A simulated discovery service.
 pub struct Discovery {
     pub address: SocketAddr,
     asked: Receiver<Asked>,
 }
 
 impl Discovery {
-    /// Begins each answer and leaves the rest to the test.
+    /// Sends the head of each response and leaves the rest to the test.
     pub fn start() -> Discovery {
         Discovery::acting(|_, asked| asked.begin())
     }
 
-    /// Does this with each watch, counted from 0, and hands it to the test.
+    /// Calls `act` with each watch and its number, from 0, and then passes the watch to the test.
     pub fn acting(act: impl FnMut(usize, &mut Asked) + Send + 'static) -> Discovery {
         Discovery::at(TcpListener::bind("127.0.0.1:0").expect("a port"), act)
     }
 
+    /// The same, on this listener.
     pub fn at(listener: TcpListener, mut act: impl FnMut(usize, &mut Asked) + Send + 'static) -> Discovery {
         let address = listener.local_addr().expect("bound");
-        let (tell, asked) = channel();
+        let (sender, asked) = channel();
         thread::spawn(move || {
             for (number, stream) in listener.incoming().flatten().enumerate() {
                 let mut lines = BufReader::new(stream.try_clone().expect("a handle")).lines();
@@ -294,22 +305,24 @@
                 while lines.next().and_then(Result::ok).is_some_and(|line| !line.is_empty()) {}
                 let mut asked = Asked { path, at: Instant::now(), stream };
                 act(number, &mut asked);
-                let _ = tell.send(asked);
+                let _ = sender.send(asked);
             }
         });
         Discovery { address, asked }
     }
 
+    /// Waits for the next watch.
     pub fn asked(&self) -> Asked {
-        self.asked.recv_timeout(WAIT).expect("a watch")
+        self.asked.recv_timeout(WAIT).expect("no watch was opened")
     }
 
+    /// Whether no further watch has been opened since the last one taken.
     pub fn never_asked(&self) -> bool {
         self.asked.try_recv().is_err()
     }
 }
 
-/// A port of this process that refuses whoever comes, until it is opened.
+/// A bound port that refuses connections until it is opened.
 pub struct Refusing(socket2::Socket);
 
 impl Refusing {
@@ -330,7 +343,7 @@
     }
 }
 
-/// An entry of the list, as discovery spells it.
+/// An entry of the member list, in the format of discovery.
 pub fn entry(id: &str, node: &Node, state: &str, role: &str) -> String {
     entry_at(id, node.address, state, role)
 }
@@ -341,6 +354,7 @@
     )
 }
 
+/// A member list in the format of discovery; full, or a change to the one before.
 pub fn list(version: u32, full: bool, entries: &[String]) -> String {
     format!(r#"{{"version":{version},"full":{full},"servers":[{}]}}"#, entries.join(","))
 }
@@ -356,6 +370,7 @@
         {"name":"look","semantics":"pure","hard_limit_ms":60000.0,"aim_ms":60000.0,"importance":1.0},
         {"name":"order","semantics":"side_effect","hard_limit_ms":60000.0,"aim_ms":60000.0,"importance":6.0}]}"#;
 
+/// The start document of a router.
 pub fn configuration(discovery: SocketAddr, sockets: u32, memory_mb: u32, known: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
@@ -363,42 +378,42 @@
     )
 }
 
-/// The configuration with this as the longest wait, in milliseconds.
+/// The configuration with this longest client timeout, in milliseconds.
 pub fn waiting(text: &str, longest_wait: &str) -> String {
     text.replace("\"hard_limit_ms\":60000.0", &format!("\"hard_limit_ms\":{longest_wait}"))
 }
 
-/// Commands are worth sending for as long as their client waits.
+/// Gives an answer full benefit until the client timeout, so that commands are dispatched for as long as their client waits.
 pub const WORTH: (&str, &str) = ("\"aim_ms\":60000.0", "\"late_value\":1.0,\"aim_ms\":2000.0");
-/// With that, a member may take its time to connect, as stand-ins on a busy machine do.
+/// The same, with long dial and drain limits, because simulated members connect slowly on a busy machine.
 pub const PATIENT: [(&str, &str); 3] = [
     WORTH,
     ("\"dial_timeout_ms\":1000.0", "\"dial_timeout_ms\":60000.0"),
     ("\"drain_grace_ms\":500.0", "\"drain_grace_ms\":60000.0"),
 ];
 
-/// The configuration with these pieces in place of others.
+/// The configuration with pieces of its text replaced, each given as old and new.
 pub fn with_pieces(mut text: String, pieces: &[(&str, &str)]) -> String {
     for (piece, other) in pieces {
-        assert!(text.contains(piece), "settings hold {piece}");
+        assert!(text.contains(piece), "the settings do not contain {piece}");
         text = text.replace(piece, other);
     }
     text
 }
 
-/// The built program, with its log.
+/// A running router process and its log.
 pub struct Router {
     child: Child,
     config: PathBuf,
     pub address: SocketAddr,
     log: Receiver<String>,
-    /// What it logs is not read for as long as this is set.
+    /// While this is set, nothing is read from the pipe that the process logs to.
     pub log_unread: Arc<AtomicBool>,
     pub discovery: Discovery,
 }
 
 impl Router {
-    /// Starts the program with this list as the one it had most recently, which the agent tells as well.
+    /// Starts the router with this list as its last known one; discovery sends the same list to the first watch.
     pub fn start(entries: &[String]) -> Router {
         Router::with_sockets(entries, 1024)
     }
@@ -411,18 +426,18 @@
         Router::spawned(entries, sockets, memory_mb, None, &[])
     }
 
-    /// With this as the longest that a client may wait, in milliseconds.
+    /// With this longest client timeout, in milliseconds.
     pub fn with_longest_wait(entries: &[String], sockets: u32, ms: &str) -> Router {
         let piece = format!("\"hard_limit_ms\":{ms}");
         Router::spawned(entries, sockets, 192, None, &[("\"hard_limit_ms\":60000.0", &piece)])
     }
 
-    /// With a variable of its environment that names a file.
+    /// With an environment variable that names a file.
     pub fn with_variable(entries: &[String], name: &str, file: &Path) -> Router {
         Router::spawned(entries, 1024, 192, Some((name, file)), &[])
     }
 
-    /// With these pieces of the settings' text in place of others.
+    /// With pieces of the text of the settings replaced, each given as old and new.
     pub fn with_settings(entries: &[String], pieces: &[(&str, &str)]) -> Router {
         Router::spawned(entries, 1024, 192, None, pieces)
     }
@@ -435,23 +450,23 @@
         pieces: &[(&str, &str)],
     ) -> Router {
         let known = list(41, true, entries);
-        let told = known.clone();
+        let first_list = known.clone();
         let discovery = Discovery::acting(move |number, asked| {
             asked.begin();
             if number == 0 {
-                asked.send(&told);
+                asked.send(&first_list);
             }
         });
         let text = with_pieces(configuration(discovery.address, sockets, memory_mb, &known), pieces);
         Router::beside(discovery, &text, variable)
     }
 
-    /// Beside this agent, with this configuration.
+    /// Starts the router with this discovery and this configuration.
     pub fn beside(discovery: Discovery, text: &str, variable: Option<(&str, &Path)>) -> Router {
         Router::with_variables(discovery, text, variable.as_slice())
     }
 
-    /// With system calls that fail.
+    /// The same, with fault injection.
     pub fn failing(discovery: Discovery, text: &str, faults: &faults::Faults) -> Router {
         let variables = faults.variables();
         Router::with_variables(discovery, text, &variables.each_ref().map(|(name, file)| (*name, &**file)))
@@ -468,7 +483,7 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("the program starts");
-        let (tell, log) = channel();
+        let (sender, log) = channel();
         let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
         let log_unread = Arc::new(AtomicBool::new(false));
         let unread = log_unread.clone();
@@ -477,7 +492,7 @@
                 while unread.load(Relaxed) {
                     thread::sleep(Duration::from_millis(1));
                 }
-                tell.send(line)
+                sender.send(line)
             })
         });
         let mut router = Router { child, config, address: discovery.address, log, log_unread, discovery };
@@ -486,25 +501,26 @@
         router
     }
 
-    /// Replaces the configuration and asks for it to be read.
+    /// Replaces the configuration and signals the router to reload it.
     pub fn reload(&self, text: &str) {
         std::fs::write(&self.config, text).expect("a temporary file");
         self.signal("-HUP");
     }
 
-    /// The next line of the log that holds this text. Lines that go on without it don't put the end off.
+    /// Waits for the next log line with this text. Other lines do not extend the total time allowed.
     pub fn logged(&self, text: &str) -> String {
         let began = Instant::now();
         loop {
             let left = (2 * WAIT).saturating_sub(began.elapsed()).min(WAIT);
-            let line = self.log.recv_timeout(left).unwrap_or_else(|e| panic!("a line with '{text}': {e}"));
+            let line =
+                self.log.recv_timeout(left).unwrap_or_else(|e| panic!("no log line with '{text}': {e}"));
             if line.contains(text) {
                 return line;
             }
         }
     }
 
-    /// The lines of the log that nobody has asked for yet.
+    /// The log lines that have not been taken yet.
     pub fn log_so_far(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
@@ -514,26 +530,26 @@
         assert!(Command::new("kill").args([name, &pid]).status().expect("kill").success());
     }
 
-    /// Returns once it has heard all that lay there before.
+    /// Returns once the event loop has processed everything that had arrived before this call.
     pub fn turn(&self) {
-        // SAFETY: a number is given and none is kept.
+        // SAFETY: only numbers are passed.
         let sent = unsafe { libc::kill(self.child.id() as libc::pid_t, libc::SIGUSR1) };
-        assert_eq!(sent, 0, "a signal");
+        assert_eq!(sent, 0, "sending SIGUSR1 failed");
         self.logged("counters commands:");
     }
 
-    /// How many descriptors the system lets it hold from now on; more may be granted again.
-    pub fn limit_descriptors(&self, most: u32) {
-        let [pid, most] = [format!("--pid={}", self.child.id()), format!("--nofile={most}:")];
-        assert!(Command::new("prlimit").args([pid, most]).status().expect("prlimit").success());
+    /// Sets the soft limit of open descriptors of the process; it can be raised again.
+    pub fn limit_descriptors(&self, limit: u32) {
+        let [pid, limit] = [format!("--pid={}", self.child.id()), format!("--nofile={limit}:")];
+        assert!(Command::new("prlimit").args([pid, limit]).status().expect("prlimit").success());
     }
 
-    /// How many it holds.
+    /// The number of open descriptors of the process.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("a process").count()
     }
 
-    /// Stops it, and waits until it stands still.
+    /// Stops the process with SIGSTOP and waits until it has stopped.
     pub fn stop(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
@@ -542,7 +558,7 @@
         }
     }
 
-    /// The counters of the line whose name this is.
+    /// Waits for the next counters line with this name and returns its counters.
     pub fn counters(&self, line: &str) -> BTreeMap<String, u64> {
         let text = self.logged(&format!("counters {line}:"));
         text.split_whitespace()
@@ -564,17 +580,18 @@
     }
 }
 
-/// What a client was answered.
+/// The answer that a client received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     Row(String),
     Empty,
-    /// The SQLSTATE, and the field D if there is one.
+    /// The SQLSTATE, and the detail field (D) if there is one.
     Error(String, Option<String>),
-    /// The connection has ended.
+    /// The connection was closed.
     Closed,
 }
 
+/// A client connection to the router.
 pub struct Client {
     pub stream: TcpStream,
 }
@@ -583,11 +600,12 @@
     framed(b'Q', format!("{statement}\0").as_bytes())
 }
 
-/// A read and a write as clients word them, with an id of their own.
+/// A read of the request class `look` with this id and client timeout.
 pub fn look(id: &str, wait: u32) -> String {
     format!("SELECT v FROM records WHERE k = 'k1' /* id={id},c=look,t=acme,d={wait},cluster=2 */")
 }
 
+/// A write of the request class `order` with this id and client timeout.
 pub fn order(id: &str, wait: u32) -> String {
     format!(
         r"INSERT INTO records (k, v) VALUES ('k1', '\x01') RETURNING v /* id={id},c=order,t=acme,d={wait},cluster=2 */"
@@ -595,6 +613,7 @@
 }
 
 impl Client {
+    /// A connection without a startup.
     pub fn raw(router: &Router) -> Client {
         Client::raw_at(router.address)
     }
@@ -605,7 +624,7 @@
         Client { stream }
     }
 
-    /// Ready for queries; not much fits between the router and what it has read.
+    /// Ready for queries, with a small receive buffer and small segments, so that few unread bytes fit in the kernel's buffers.
     pub fn narrow(router: &Router) -> Client {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.set_recv_buffer_size(8 * 1024).expect("an open socket");
@@ -615,7 +634,7 @@
             let (from, size) = ((&raw const segment).cast(), size_of_val(&segment) as libc::socklen_t);
             libc::setsockopt(socket.as_raw_fd(), libc::IPPROTO_TCP, libc::TCP_MAXSEG, from, size)
         };
-        assert_eq!(failed, 0, "small segments, for which the system holds less");
+        assert_eq!(failed, 0, "setting the segment size failed");
         socket.connect(&router.address.into()).expect("the router listens");
         socket.set_read_timeout(Some(WAIT)).expect("a time-out");
         Client { stream: socket.into() }.opened()
@@ -629,7 +648,7 @@
         Client::raw_at(address).opened()
     }
 
-    /// Ready for queries, and what a cancel must say to mean it.
+    /// Ready for queries; also returns the key that a cancel request must carry to name this client.
     pub fn keyed(router: &Router) -> (Client, Vec<u8>) {
         let mut client = Client::raw(router);
         client.send(&startup(3 << 16));
@@ -643,12 +662,12 @@
         }
     }
 
-    /// Asks for a cancel on a connection of its own; it lies at the router.
+    /// Sends a cancel request on a connection of its own and waits until the router's host has received it.
     pub fn cancel(router: &Router, key: &[u8]) -> Client {
-        let mut asks = Client::raw(router);
-        asks.send(&[&16u32.to_be_bytes(), &80_877_102u32.to_be_bytes(), key].concat());
-        delivered(&asks.stream);
-        asks
+        let mut canceller = Client::raw(router);
+        canceller.send(&[&16u32.to_be_bytes(), &80_877_102u32.to_be_bytes(), key].concat());
+        delivered(&canceller.stream);
+        canceller
     }
 
     fn opened(mut self) -> Client {
@@ -658,7 +677,7 @@
     }
 
     pub fn send(&mut self, bytes: &[u8]) {
-        self.stream.write_all(bytes).expect("the router reads");
+        self.stream.write_all(bytes).expect("the connection is open");
     }
 
     pub fn query(&mut self, statement: &str) -> Answer {
@@ -666,7 +685,7 @@
         self.answer()
     }
 
-    /// Everything up to the next ReadyForQuery or the end; `Empty` if it held neither row nor error.
+    /// Reads up to the next ReadyForQuery or the end of the connection; `Empty` if there was neither a row nor an error.
     pub fn answer(&mut self) -> Answer {
         let mut answer = Answer::Empty;
         loop {
@@ -688,6 +707,7 @@
     }
 }
 
+/// A startup packet with this protocol version.
 pub fn startup(version: u32) -> Vec<u8> {
     let body = [&version.to_be_bytes()[..], b"user\0svc\0database\0main\0\0"].concat();
     framed(0, &body)[1..].to_vec()
--- a/crates/router/tests/freshness/main.rs
+++ b/crates/router/tests/freshness/main.rs
@@ -1,16 +1,16 @@
-//! Reads of the built program that must see new data, beside replicas that stop applying, primaries that are handed over,
-//! answers that come late, clocks that are wrong and a router that is held up: none is answered from data that is too old.
+//! Freshness of reads through a real router, with replicas that pause applying, primary handovers, delayed answers, wall clock
+//! offsets and a stalled router: no read may be answered from data older than its requirement allows.
 //!
 //!     FRESHNESS_SEEDS=1..51 cargo test --release -p vetchkeel-router --test freshness -- storm --nocapture
 //!
-//! With `VETCHKEEL_LOG=all` the log's lines on each old answer are printed.
+//! With `VETCHKEEL_LOG=all` the log lines about each stale answer are printed.
 
 mod cluster;
 #[path = "../common/mod.rs"]
 mod common;
 
-use cluster::{Cluster, Habits};
-use common::draw::Draw;
+use cluster::{Cluster, ClusterOptions};
+use common::draw::Rng;
 use common::faults::*;
 use common::history::{History, Need};
 use common::*;
@@ -20,22 +20,23 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const SPAN: Duration = Duration::from_secs(6);
+/// How long the faults of one run last, and the number of its clients and members.
+const RUN_TIME: Duration = Duration::from_secs(6);
 const CLIENTS: usize = 12;
 const MEMBERS: usize = 3;
-/// The number of the first set, as the list has it.
+/// The number of the first database set in the member list.
 const FIRST_SET: usize = 2;
-/// How long clients wait, in milliseconds.
-const PATIENT: [u64; 2] = [2_000, 2_001];
-const IMPATIENT: [u64; 2] = [150, 900];
+/// Ranges of the client timeout, in milliseconds.
+const LONG_TIMEOUTS_MS: [u64; 2] = [2_000, 2_001];
+const SHORT_TIMEOUTS_MS: [u64; 2] = [150, 900];
 
 fn milliseconds(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-/// The settings' text for classes that read within a bound, what their session wrote, and all that is committed.
-fn settings(habits: Habits, semantics: &str) -> [(String, String); 4] {
-    let bound = habits.bound.as_millis();
+/// Replacements in the text of the settings for request classes with bounded, session and fresh reads.
+fn settings(options: ClusterOptions, semantics: &str) -> [(String, String); 4] {
+    let bound = options.bound.as_millis();
     let classes = format!(
         r#""lag_allowed_ms":[{bound}.0,0.0,0.0,0.0],"class_read":["bounded","write","session","fresh"]"#
     );
@@ -57,10 +58,10 @@
     ]
 }
 
-/// A router beside the clusters, each a set of its own, whose list never tells of a new primary.
-fn router(
+/// Starts a router for the clusters, each a database set of its own. The member list never announces a new primary.
+fn start_router(
     clusters: &[&Cluster],
-    habits: Habits,
+    options: ClusterOptions,
     semantics: &str,
     faults: &Faults,
     extra: &[(&str, &str)],
@@ -75,51 +76,53 @@
     };
     let entries: Vec<String> = clusters.iter().enumerate().flat_map(of_set).collect();
     let known = list(41, true, &entries);
-    let discovery = Discovery::acting(move |_, asked| {
-        asked.begin();
-        asked.send(&known);
+    let discovery = Discovery::acting(move |_, watch| {
+        watch.begin();
+        watch.send(&known);
     });
-    let of_test = settings(habits, semantics);
-    let of_test = of_test.iter().map(|(piece, other)| (&**piece, &**other));
-    let pieces: Vec<(&str, &str)> = [WORTH].into_iter().chain(of_test).chain(extra.iter().copied()).collect();
+    let replacements = settings(options, semantics);
+    let replacements = replacements.iter().map(|(piece, other)| (&**piece, &**other));
+    let pieces: Vec<(&str, &str)> =
+        [WORTH].into_iter().chain(replacements).chain(extra.iter().copied()).collect();
     let text = with_pieces(configuration(discovery.address, 1024, 192, "null"), &pieces);
     Router::failing(discovery, &text, faults)
 }
 
 #[derive(Debug, Default)]
 struct Outcome {
-    asked: usize,
+    sent: usize,
     served: usize,
-    at_replicas: u64,
+    reads_at_replicas: u64,
     stale: Vec<String>,
 }
 
-/// One client and its session: mostly reads, some writes, each after the answer to the one before.
+/// One client session: mostly reads and some writes, each sent after the answer to the previous one.
 struct Session<'a> {
     router: SocketAddr,
     cluster: &'a Cluster,
     set: usize,
     bound: Duration,
-    waits: [u64; 2],
+    client_timeouts: [u64; 2],
     number: usize,
-    draw: Draw,
+    rng: Rng,
     last_write: Option<Instant>,
 }
 
 impl Session<'_> {
-    /// The next statement, with its id and whether it writes.
-    fn statement(&mut self, asked: usize) -> (String, bool, String) {
-        let id = format!("c{}-{asked}", self.number);
+    /// The next statement: its id, whether it is a write, and its text.
+    fn statement(&mut self, sent: usize) -> (String, bool, String) {
+        let id = format!("c{}-{sent}", self.number);
         let class = ["order", "order", "mine", "now", "look", "look", "look", "look", "look", "look"]
-            [self.draw.below(10) as usize];
+            [self.rng.below(10) as usize];
         let need = match class {
-            "look" => Some(Need::Within(self.bound)),
-            "mine" => self.last_write.map(Need::UpTo),
-            "now" => self.cluster.last_commit().map(Need::UpTo),
+            "look" => Some(Need::MaxAge(self.bound)),
+            "mine" => self.last_write.map(Need::CommittedBy),
+            "now" => self.cluster.last_commit().map(Need::CommittedBy),
             _ => None,
         };
-        need.into_iter().for_each(|need| self.cluster.expect(&id, need));
-        let wait = self.waits[0] + self.draw.below(self.waits[1] - self.waits[0]);
+        need.into_iter().for_each(|need| self.cluster.require(&id, need));
+        let wait =
+            self.client_timeouts[0] + self.rng.below(self.client_timeouts[1] - self.client_timeouts[0]);
         let set = self.set;
         let comment = format!("/* id={id},c={class},t=acme,d={wait},cluster={set} */");
         let key = format!("k{}", self.number);
@@ -131,12 +134,12 @@
         (id, class == "order", statement)
     }
 
-    fn run(mut self, ends: &AtomicBool) -> Outcome {
+    fn run(mut self, finished: &AtomicBool) -> Outcome {
         let mut outcome = Outcome::default();
         let mut client = Client::at(self.router);
-        while !ends.load(Relaxed) {
-            outcome.asked += 1;
-            let (id, write, statement) = self.statement(outcome.asked);
+        while !finished.load(Relaxed) {
+            outcome.sent += 1;
+            let (id, write, statement) = self.statement(outcome.sent);
             match client.query(&statement) {
                 Answer::Row(value) => {
                     outcome.served += 1;
@@ -147,257 +150,271 @@
                 Answer::Closed => client = Client::at(self.router),
                 _ => {}
             }
-            thread::sleep(milliseconds(self.draw.below(8)));
+            thread::sleep(milliseconds(self.rng.below(8)));
         }
         outcome
     }
 }
 
-/// Clients at the router for as long as `trouble` goes on.
-fn play(
+/// Runs clients at the router until `disturbance` returns.
+fn run_clients(
     router: &Router,
     clusters: &[&Cluster],
-    habits: Habits,
-    waits: [u64; 2],
-    trouble: impl FnOnce(Instant),
+    options: ClusterOptions,
+    client_timeouts: [u64; 2],
+    disturbance: impl FnOnce(Instant),
 ) -> Outcome {
-    let (ends, address) = (AtomicBool::new(false), router.address);
+    let (finished, address) = (AtomicBool::new(false), router.address);
     let session = |number: usize| Session {
         router: address,
         cluster: clusters[number % clusters.len()],
         set: FIRST_SET + number % clusters.len(),
-        bound: habits.bound,
-        waits,
+        bound: options.bound,
+        client_timeouts,
         number,
-        draw: Draw::new(number as u64 + 1),
+        rng: Rng::new(number as u64 + 1),
         last_write: None,
     };
     let outcome = thread::scope(|scope| {
         let clients: Vec<_> = (0..CLIENTS)
             .map(|number| {
-                let (session, ends) = (session(number), &ends);
-                scope.spawn(move || session.run(ends))
+                let (session, finished) = (session(number), &finished);
+                scope.spawn(move || session.run(finished))
             })
             .collect();
-        trouble(Instant::now() + SPAN);
-        ends.store(true, Relaxed);
-        let at_replicas = clusters.iter().map(|cluster| cluster.at_replicas.load(Relaxed)).sum();
-        let mut all = Outcome { at_replicas, ..Outcome::default() };
+        disturbance(Instant::now() + RUN_TIME);
+        finished.store(true, Relaxed);
+        let reads_at_replicas = clusters.iter().map(|cluster| cluster.reads_at_replicas.load(Relaxed)).sum();
+        let mut all = Outcome { reads_at_replicas, ..Outcome::default() };
         for client in clients {
             let one = client.join().expect("no panic");
-            (all.asked, all.served) = (all.asked + one.asked, all.served + one.served);
+            (all.sent, all.served) = (all.sent + one.sent, all.served + one.served);
             all.stale.extend(one.stale);
         }
         all
     });
     println!("{outcome:?}");
-    explain(router, &outcome.stale);
+    print_log_lines(router, &outcome.stale);
     outcome
 }
 
-/// What the router's log has on stale reads; with `VETCHKEEL_LOG=all` it names every one.
-fn explain(router: &Router, stale: &[String]) {
-    let ids: Vec<&str> = stale.iter().filter_map(|story| story.split('@').next()).collect();
-    let named = |line: &String| ids.iter().any(|id| line.contains(&format!("command {id}:")));
-    let of_members = |line: &String| !ids.is_empty() && (line.contains("node ") || line.contains("clock"));
-    let lines = router.log_so_far().into_iter().filter(|line| named(line) || of_members(line));
+/// Prints the router's log lines about stale reads; with `VETCHKEEL_LOG=all` the log names every command.
+fn print_log_lines(router: &Router, stale: &[String]) {
+    let ids: Vec<&str> = stale.iter().filter_map(|summary| summary.split('@').next()).collect();
+    let names_command = |line: &String| ids.iter().any(|id| line.contains(&format!("command {id}:")));
+    let is_about_members =
+        |line: &String| !ids.is_empty() && (line.contains("node ") || line.contains("clock"));
+    let lines = router.log_so_far().into_iter().filter(|line| names_command(line) || is_about_members(line));
     lines.for_each(|line| println!("{line}"));
 }
 
-/// Replicas by turns stop applying for longer than the bound, and apply again.
+/// Pauses the replicas one after another, each for longer than the bound.
 fn pause_replicas(cluster: &Cluster, bound: Duration, until: Instant) {
     while Instant::now() < until {
         for member in &cluster.members[1..] {
             member.pause();
             thread::sleep(bound + milliseconds(150));
-            member.go_on();
+            member.resume();
             thread::sleep(milliseconds(60));
         }
     }
 }
 
-/// The primary is handed round, and each former one applies nothing for a while.
-fn hand_round(cluster: &Cluster, every: Duration, until: Instant) {
-    let mut draw = Draw::new(7);
+/// Hands the primary role over repeatedly; each former primary applies nothing until it is the primary again.
+fn hand_over_repeatedly(cluster: &Cluster, every: Duration, until: Instant) {
+    let mut rng = Rng::new(7);
     let mut primary = 0;
     while Instant::now() < until {
-        thread::sleep(every + milliseconds(draw.below(every.as_millis() as u64)));
-        let next = (primary + 1 + draw.below(MEMBERS as u64 - 1) as usize) % MEMBERS;
+        thread::sleep(every + milliseconds(rng.below(every.as_millis() as u64)));
+        let next = (primary + 1 + rng.below(MEMBERS as u64 - 1) as usize) % MEMBERS;
         cluster.hand_over(primary, next);
         primary = next;
     }
 }
 
-/// The primary hangs by turns, while its probes are answered, and others are elected.
+/// Hangs the current primary again and again while its probes are still answered; another member is elected each time.
 fn hang_primaries(cluster: &Cluster, seed: u64, until: Instant) {
-    let mut draw = Draw::new(seed);
-    draw.below(1);
+    let mut rng = Rng::new(seed);
+    rng.below(1);
     let mut primary = 0;
     while Instant::now() < until {
-        thread::sleep(milliseconds(300 + draw.below(400)));
-        let to = (primary + 1 + draw.below(MEMBERS as u64 - 1) as usize) % MEMBERS;
-        let [detected, lasts, catches_up] = [1_500 + draw.below(2_000), draw.below(1_500), draw.below(600)];
-        let lasts = milliseconds(detected + lasts);
-        cluster.hang(primary, to, milliseconds(detected), lasts, milliseconds(catches_up));
+        thread::sleep(milliseconds(300 + rng.below(400)));
+        let to = (primary + 1 + rng.below(MEMBERS as u64 - 1) as usize) % MEMBERS;
+        let [detection_time, duration, catch_up_time] =
+            [1_500 + rng.below(2_000), rng.below(1_500), rng.below(600)];
+        let duration = milliseconds(detection_time + duration);
+        cluster.hang(primary, to, milliseconds(detection_time), duration, milliseconds(catch_up_time));
         primary = to;
     }
 }
 
-/// The report from before the hang says what is no longer so, and its age is not known. Another set's primary hangs a little
-/// later, so that nobody tells the time.
+/// Guards against stale reads from replicas after the primary hangs. The primary still answers probes with a report from
+/// before the hang, whose age is unknown. The primary of a second set hangs shortly after, so that no member
+/// provides current time.
 #[rstest]
-#[case::commits_alone_tell_positions(300, false, 0)]
-#[case::positions_told(300, true, 0)]
-#[case::late_answers(150, true, 300)]
-fn a_primary_that_hangs_makes_no_replica_look_fresh(
+#[case::position_only_after_commits(300, false, 0)]
+#[case::position_in_every_answer(300, true, 0)]
+#[case::delayed_answers(150, true, 300)]
+fn hung_primary_does_not_make_replicas_look_fresh(
     #[case] bound: u64,
-    #[case] tells_position: bool,
-    #[case] held_back: u64,
+    #[case] position_in_every_answer: bool,
+    #[case] max_answer_delay: u64,
 ) {
-    let habits = Habits {
+    let options = ClusterOptions {
         bound: milliseconds(bound),
-        held_back: milliseconds(held_back),
-        tells_position,
-        ..Habits::default()
+        max_answer_delay: milliseconds(max_answer_delay),
+        position_in_every_answer,
+        ..ClusterOptions::default()
     };
-    let (one, other) = (Cluster::start(MEMBERS, habits), Cluster::start(MEMBERS, habits));
+    let (one, other) = (Cluster::start(MEMBERS, options), Cluster::start(MEMBERS, options));
     let (clusters, faults) = ([&*one, &*other], Faults::new(1));
-    let router = router(&clusters, habits, "pure", &faults, &[]);
-    let outcome = play(&router, &clusters, habits, IMPATIENT, |until| {
-        let until = until + SPAN;
+    let router = start_router(&clusters, options, "pure", &faults, &[]);
+    let outcome = run_clients(&router, &clusters, options, SHORT_TIMEOUTS_MS, |until| {
+        let until = until + RUN_TIME;
         thread::scope(|scope| {
             scope.spawn(|| hang_primaries(&one, 1, until));
             hang_primaries(&other, 2, until);
         });
     });
     assert!(outcome.stale.is_empty(), "{:?}", outcome.stale);
-    assert!(outcome.served * 10 >= outcome.asked * 4, "{outcome:?}");
+    assert!(outcome.served * 10 >= outcome.sent * 4, "{outcome:?}");
 }
 
-/// The primary stands still again and again, for less time than its failure takes to be seen, and is handed over now and then.
-fn stand_still_by_turns(cluster: &Cluster, until: Instant) {
-    let mut draw = Draw::new(5);
-    draw.below(1);
+/// Freezes the primary repeatedly, each time for too short to be detected as failed, and sometimes hands the role over.
+fn freeze_primaries(cluster: &Cluster, until: Instant) {
+    let mut rng = Rng::new(5);
+    rng.below(1);
     let mut primary = 0;
     while Instant::now() < until {
-        for _ in 0..1 + draw.below(3) {
-            thread::sleep(milliseconds(50 + draw.below(100)));
-            cluster.stand_still(primary, milliseconds(100 + draw.below(200)));
+        for _ in 0..1 + rng.below(3) {
+            thread::sleep(milliseconds(50 + rng.below(100)));
+            cluster.freeze(primary, milliseconds(100 + rng.below(200)));
         }
-        let next = (primary + 1 + draw.below(MEMBERS as u64 - 1) as usize) % MEMBERS;
+        let next = (primary + 1 + rng.below(MEMBERS as u64 - 1) as usize) % MEMBERS;
         cluster.hand_over(primary, next);
         primary = next;
     }
 }
 
-/// All replicas together stop applying for longer than the bound, so that reads go to the primary.
+/// Pauses all replicas together for longer than the bound, so that reads go to the primary.
 fn pause_all_replicas(cluster: &Cluster, bound: Duration, until: Instant) {
     while Instant::now() < until {
         cluster.members.iter().for_each(|member| member.pause());
         thread::sleep(bound + milliseconds(400));
-        cluster.members.iter().for_each(|member| member.go_on());
+        cluster.members.iter().for_each(|member| member.resume());
         thread::sleep(milliseconds(150));
     }
 }
 
-/// Answers tell the position of when the read was taken, in a pause that of its beginning.
+/// Guards against stale reads from replicas while a primary freezes. Answers carry the position at the receipt of the read, or
+/// at the start of the freeze.
 #[rstest]
-fn a_primary_that_stands_still_makes_no_replica_look_fresh() {
-    let habits = Habits {
+fn frozen_primary_does_not_make_replicas_look_fresh() {
+    let options = ClusterOptions {
         bound: milliseconds(300),
-        tells_position: true,
-        position_as_taken: true,
-        ..Habits::default()
+        position_in_every_answer: true,
+        position_at_receipt: true,
+        ..ClusterOptions::default()
     };
-    let (cluster, faults) = (Cluster::start(MEMBERS, habits), Faults::new(1));
-    let router = router(&[&cluster], habits, "pure", &faults, &[]);
-    let outcome = play(&router, &[&cluster], habits, PATIENT, |until| {
+    let (cluster, faults) = (Cluster::start(MEMBERS, options), Faults::new(1));
+    let router = start_router(&[&cluster], options, "pure", &faults, &[]);
+    let outcome = run_clients(&router, &[&cluster], options, LONG_TIMEOUTS_MS, |until| {
         thread::scope(|scope| {
-            scope.spawn(|| pause_all_replicas(&cluster, habits.bound, until + SPAN));
-            stand_still_by_turns(&cluster, until + SPAN);
+            scope.spawn(|| pause_all_replicas(&cluster, options.bound, until + RUN_TIME));
+            freeze_primaries(&cluster, until + RUN_TIME);
         });
     });
     assert!(outcome.stale.is_empty(), "{:?}", outcome.stale);
-    assert!(outcome.served * 10 >= outcome.asked * 8, "{outcome:?}");
+    assert!(outcome.served * 10 >= outcome.sent * 8, "{outcome:?}");
 }
 
-/// The judge's own: a read that came just behind an election, dated up to a tick before it, saw what the new primary had; one
-/// that came earlier did not.
+/// Tests the checker itself: a read that arrives just after an election may be dated up to one clock tick before it, and counts
+/// as having seen the data of the new primary. A read that arrives earlier counts as stale.
 #[rstest]
-#[case::in_the_tick(4, false)]
-#[case::before(11, true)]
-fn an_arrival_is_judged_within_the_tick_by_which_it_is_dated(#[case] early: u64, #[case] stale: bool) {
+#[case::within_one_tick(4, false)]
+#[case::earlier_than_one_tick(11, true)]
+fn arrival_time_tolerance_is_one_clock_tick(#[case] ms_early: u64, #[case] stale: bool) {
     let begun = Instant::now();
     let mut history = History::new(milliseconds(5));
     history.pause(begun);
     let elected = begun + milliseconds(2_000);
-    history.begin_reign(elected);
-    let found = history.stale(0, elected - milliseconds(early), Need::Within(milliseconds(300)));
-    assert_eq!(found.is_some(), stale, "{found:?}");
+    history.become_primary(elected);
+    let age = history.stale(0, elected - milliseconds(ms_early), Need::MaxAge(milliseconds(300)));
+    assert_eq!(age.is_some(), stale, "{age:?}");
 }
 
-/// The router waits before one in so many of its writes to members.
+/// Guards against stale reads when the router stalls between its decision and the write to the member. One write in eight
+/// is delayed.
 #[rstest]
 #[case::pure("pure", 300, false)]
-#[case::unsafe_reads("side_effect", 300, false)]
-#[case::positions_told("pure", 200, true)]
-fn a_router_held_up_before_it_writes_serves_nothing_stale(
+#[case::side_effect_reads("side_effect", 300, false)]
+#[case::position_in_every_answer("pure", 200, true)]
+fn router_stalled_before_a_write_serves_no_stale_reads(
     #[case] semantics: &str,
     #[case] bound: u64,
-    #[case] tells_position: bool,
+    #[case] position_in_every_answer: bool,
 ) {
-    let habits = Habits { bound: milliseconds(bound), tells_position, ..Habits::default() };
-    let (cluster, faults) = (Cluster::start(MEMBERS, habits), Faults::new(1));
-    let router = router(&[&cluster], habits, semantics, &faults, &[]);
+    let options =
+        ClusterOptions { bound: milliseconds(bound), position_in_every_answer, ..ClusterOptions::default() };
+    let (cluster, faults) = (Cluster::start(MEMBERS, options), Faults::new(1));
+    let router = start_router(&[&cluster], options, semantics, &faults, &[]);
     faults.set(Fault::HeldSend, 125_000);
-    let outcome =
-        play(&router, &[&cluster], habits, PATIENT, |until| pause_replicas(&cluster, habits.bound, until));
+    let outcome = run_clients(&router, &[&cluster], options, LONG_TIMEOUTS_MS, |until| {
+        pause_replicas(&cluster, options.bound, until)
+    });
     assert!(outcome.stale.is_empty(), "{:?}", outcome.stale);
-    assert!(outcome.served * 10 >= outcome.asked * 8, "{outcome:?}");
+    assert!(outcome.served * 10 >= outcome.sent * 8, "{outcome:?}");
 }
 
-/// Answers are in order on each connection, and out of order between two.
+/// Guards against taking a replica for the primary because of an old answer. Answers arrive in order on each connection, but
+/// out of order between connections, while the primary role is handed over.
 #[rstest]
 #[case::short_bound(100, 600, false)]
 #[case::long_bound(200, 1_000, false)]
-#[case::positions_told(200, 800, true)]
-fn an_answer_that_comes_late_makes_no_primary_of_a_replica(
+#[case::position_in_every_answer(200, 800, true)]
+fn delayed_answer_does_not_make_a_replica_the_primary(
     #[case] bound: u64,
-    #[case] held_back: u64,
-    #[case] tells_position: bool,
+    #[case] max_answer_delay: u64,
+    #[case] position_in_every_answer: bool,
 ) {
-    let habits = Habits {
+    let options = ClusterOptions {
         bound: milliseconds(bound),
-        held_back: milliseconds(held_back),
-        tells_position,
-        ..Habits::default()
+        max_answer_delay: milliseconds(max_answer_delay),
+        position_in_every_answer,
+        ..ClusterOptions::default()
     };
-    let (cluster, faults) = (Cluster::start(MEMBERS, habits), Faults::new(1));
-    let router = router(&[&cluster], habits, "pure", &faults, &[]);
-    let outcome = play(&router, &[&cluster], habits, PATIENT, |until| {
-        hand_round(&cluster, milliseconds(500), until);
+    let (cluster, faults) = (Cluster::start(MEMBERS, options), Faults::new(1));
+    let router = start_router(&[&cluster], options, "pure", &faults, &[]);
+    let outcome = run_clients(&router, &[&cluster], options, LONG_TIMEOUTS_MS, |until| {
+        hand_over_repeatedly(&cluster, milliseconds(500), until);
     });
     assert!(outcome.stale.is_empty(), "{:?}", outcome.stale);
-    assert!(outcome.served * 10 >= outcome.asked * 5, "{outcome:?}");
+    assert!(outcome.served * 10 >= outcome.sent * 5, "{outcome:?}");
 }
 
-/// The wall clock is read while it is wrong; it stays usable by what writes' answers prove.
+/// Guards against stale reads, and against unused replicas, when the router's wall clock is off. The positions in the answers
+/// to writes are what lets the router correct it.
 #[rstest]
-#[case::right(0)]
-#[case::a_little_behind(-60)]
+#[case::exact(0)]
+#[case::slightly_behind(-60)]
 #[case::behind(-150)]
 #[case::ahead(300)]
 #[case::far_ahead(5_000)]
-fn a_wall_clock_that_is_a_little_wrong_costs_no_replica_and_no_fresh_data(#[case] wrong: i64) {
-    let habits = Habits { bound: milliseconds(300), tells_position: false, ..Habits::default() };
-    let (cluster, faults) = (Cluster::start(MEMBERS, habits), Faults::new(1));
-    faults.step_wall_clock(wrong);
-    let router = router(&[&cluster], habits, "pure", &faults, &[]);
-    let outcome =
-        play(&router, &[&cluster], habits, PATIENT, |until| pause_replicas(&cluster, habits.bound, until));
+fn small_clock_offset_keeps_replicas_usable_and_reads_fresh(#[case] offset_ms: i64) {
+    let options = ClusterOptions {
+        bound: milliseconds(300),
+        position_in_every_answer: false,
+        ..ClusterOptions::default()
+    };
+    let (cluster, faults) = (Cluster::start(MEMBERS, options), Faults::new(1));
+    faults.step_wall_clock(offset_ms);
+    let router = start_router(&[&cluster], options, "pure", &faults, &[]);
+    let outcome = run_clients(&router, &[&cluster], options, LONG_TIMEOUTS_MS, |until| {
+        pause_replicas(&cluster, options.bound, until)
+    });
     assert!(outcome.stale.is_empty(), "{:?}", outcome.stale);
-    assert!(outcome.served * 10 >= outcome.asked * 9, "{outcome:?}");
-    assert!(outcome.at_replicas as usize * 10 >= outcome.served * 4, "{outcome:?}");
+    assert!(outcome.served * 10 >= outcome.sent * 9, "{outcome:?}");
+    assert!(outcome.reads_at_replicas as usize * 10 >= outcome.served * 4, "{outcome:?}");
 }
 
 fn seeds() -> std::ops::Range<u64> {
@@ -406,78 +423,78 @@
     first.parse().expect("a number")..end.parse().expect("a number")
 }
 
-/// All of it at once, drawn from a seed; true if nothing old was served.
-fn storm(seed: u64) -> bool {
-    let mut draw = Draw::new(seed);
-    draw.below(1);
-    let mut habits = Habits {
-        bound: milliseconds([100, 150, 200, 300, 500][draw.below(5) as usize]),
-        held_back: milliseconds([0, 200, 600, 1_000][draw.below(4) as usize]),
-        tells_position: draw.below(2) == 0,
-        position_as_taken: seed.is_multiple_of(2),
-        greets_with_role: false,
+/// Runs a combination of all these faults, drawn from a seed; true if no stale read was served.
+fn random_faults(seed: u64) -> bool {
+    let mut rng = Rng::new(seed);
+    rng.below(1);
+    let mut options = ClusterOptions {
+        bound: milliseconds([100, 150, 200, 300, 500][rng.below(5) as usize]),
+        max_answer_delay: milliseconds([0, 200, 600, 1_000][rng.below(4) as usize]),
+        position_in_every_answer: rng.below(2) == 0,
+        position_at_receipt: seed.is_multiple_of(2),
+        role_in_greeting: false,
     };
     let faults = Faults::new(seed);
-    let wrong = [0, 0, -150, 300, -1_000][draw.below(5) as usize];
-    let semantics = ["pure", "pure", "side_effect"][draw.below(3) as usize];
+    let offset_ms = [0, 0, -150, 300, -1_000][rng.below(5) as usize];
+    let semantics = ["pure", "pure", "side_effect"][rng.below(3) as usize];
     let variants: [&[(&str, &str)]; 4] = [
         &[],
         &[(r#""cancel":true"#, r#""cancel":false"#)],
         &[(r#""max_attempts":6"#, r#""max_attempts":2"#)],
         &[(r#""token_mode":"remembered""#, r#""token_mode":"remembered","progress_told":true"#)],
     ];
-    let extra = variants[draw.below(4) as usize];
-    let waits = [PATIENT, IMPATIENT][draw.below(2) as usize];
-    let sends = [0, 30_000, 125_000][draw.below(3) as usize];
-    let clocks = [0, 300][draw.below(2) as usize];
-    let receives = [0, 300_000][draw.below(2) as usize];
-    let short_sends = [0, 300_000][draw.below(2) as usize];
-    let (pauses, hands, stops) = (draw.below(3) > 0, draw.below(3) > 0, draw.below(3) == 0);
-    let every = milliseconds([300, 600, 1_500][draw.below(3) as usize]);
-    habits.greets_with_role = draw.below(2) == 0;
-    let trouble = draw.below(4);
-    let cluster = Cluster::start(MEMBERS, habits);
+    let extra = variants[rng.below(4) as usize];
+    let client_timeouts = [LONG_TIMEOUTS_MS, SHORT_TIMEOUTS_MS][rng.below(2) as usize];
+    let send_delays = [0, 30_000, 125_000][rng.below(3) as usize];
+    let clock_stalls = [0, 300][rng.below(2) as usize];
+    let short_receives = [0, 300_000][rng.below(2) as usize];
+    let short_sends = [0, 300_000][rng.below(2) as usize];
+    let (pauses, handovers, stop_signals) = (rng.below(3) > 0, rng.below(3) > 0, rng.below(3) == 0);
+    let every = milliseconds([300, 600, 1_500][rng.below(3) as usize]);
+    options.role_in_greeting = rng.below(2) == 0;
+    let disturbance = rng.below(4);
+    let cluster = Cluster::start(MEMBERS, options);
     println!(
-        "seed {seed}: {habits:?}, trouble {trouble}, wall clock {wrong} ms, {semantics}, {extra:?}, waits {waits:?}"
+        "seed {seed}: {options:?}, disturbance {disturbance}, wall clock offset {offset_ms} ms, {semantics}, {extra:?}, client timeouts {client_timeouts:?}"
     );
-    faults.step_wall_clock(wrong);
-    let router = router(&[&cluster], habits, semantics, &faults, extra);
-    faults.set(Fault::HeldSend, sends);
-    faults.set(Fault::HeldUp, clocks);
-    faults.set(Fault::ShortReceive, receives);
+    faults.step_wall_clock(offset_ms);
+    let router = start_router(&[&cluster], options, semantics, &faults, extra);
+    faults.set(Fault::HeldSend, send_delays);
+    faults.set(Fault::HeldUp, clock_stalls);
+    faults.set(Fault::ShortReceive, short_receives);
     faults.set(Fault::ShortSend, short_sends);
-    let outcome = play(&router, &[&cluster], habits, waits, |until| {
+    let outcome = run_clients(&router, &[&cluster], options, client_timeouts, |until| {
         thread::scope(|scope| {
             scope.spawn(|| {
                 if pauses {
-                    pause_replicas(&cluster, habits.bound, until)
+                    pause_replicas(&cluster, options.bound, until)
                 }
             });
             scope.spawn(|| {
-                if hands {
-                    match trouble {
+                if handovers {
+                    match disturbance {
                         0 => hang_primaries(&cluster, seed, until),
-                        1 => stand_still_by_turns(&cluster, until),
-                        _ => hand_round(&cluster, every, until),
+                        1 => freeze_primaries(&cluster, until),
+                        _ => hand_over_repeatedly(&cluster, every, until),
                     }
                 }
             });
             while Instant::now() < until {
-                thread::sleep(milliseconds(50 + draw.below(300)));
-                if stops {
+                thread::sleep(milliseconds(50 + rng.below(300)));
+                if stop_signals {
                     router.signal("-STOP");
-                    thread::sleep(milliseconds(draw.below(200)));
+                    thread::sleep(milliseconds(rng.below(200)));
                     router.signal("-CONT");
                 }
             }
         });
     });
-    println!("seed {seed}: {} of {} served, {} stale", outcome.served, outcome.asked, outcome.stale.len());
+    println!("seed {seed}: {} of {} served, {} stale", outcome.served, outcome.sent, outcome.stale.len());
     outcome.stale.is_empty()
 }
 
 #[rstest]
-fn a_storm_of_all_this_serves_nothing_stale() {
-    let broken: Vec<u64> = seeds().filter(|seed| !storm(*seed)).collect();
-    assert!(broken.is_empty(), "seeds: {broken:?}");
+fn fault_storm_serves_no_stale_reads() {
+    let failed: Vec<u64> = seeds().filter(|seed| !random_faults(*seed)).collect();
+    assert!(failed.is_empty(), "seeds with stale reads: {failed:?}");
 }
--- a/crates/router/tests/soak/clients.rs
+++ b/crates/router/tests/soak/clients.rs
@@ -1,6 +1,6 @@
 //! Clients of one router: honest ones, impatient ones, ones that stop in the middle and ones that send several at once.
 
-use super::common::draw::Draw;
+use super::common::draw::Rng;
 use super::common::faults::Fault;
 use super::common::{Answer, Client, query_bytes, startup};
 use super::ledger::{Class, Ledger, Outcome};
@@ -68,17 +68,17 @@
 
 impl Clients {
     pub fn run(&self, seed: u64) {
-        let (mut draw, mut number, mut session) = (Draw::new(seed), 0, None);
+        let (mut rng, mut number, mut session) = (Rng::new(seed), 0, None);
         while !self.ends.load(Relaxed) {
             number += 1;
-            thread::sleep(Duration::from_millis(10 + draw.below(40)));
+            thread::sleep(Duration::from_millis(10 + rng.below(40)));
             let Some(open) = session.take().or_else(|| self.open()) else { continue };
-            session = match draw.below(100) {
+            session = match rng.below(100) {
                 0..3 => self.stop_in_the_middle(open),
-                3..10 => self.leave(open, number, &mut draw),
-                _ => self.ask(open, number, &mut draw),
+                3..10 => self.leave(open, number, &mut rng),
+                _ => self.ask(open, number, &mut rng),
             };
-            if draw.below(15) == 0 {
+            if rng.below(15) == 0 {
                 session = None;
             }
         }
@@ -96,10 +96,10 @@
         (opened == Answer::Empty).then_some(Session { client, answers: 0, killed, broken })
     }
 
-    fn statement(&self, number: usize, draw: &mut Draw) -> (String, Class, Duration, String) {
-        let (id, set) = (format!("{}-{number}", self.name), draw.below(SETS as u64));
-        let wait = 300 + draw.below(1_100);
-        let (class, name) = match draw.below(10) {
+    fn statement(&self, number: usize, rng: &mut Rng) -> (String, Class, Duration, String) {
+        let (id, set) = (format!("{}-{number}", self.name), rng.below(SETS as u64));
+        let wait = 300 + rng.below(1_100);
+        let (class, name) = match rng.below(10) {
             0..5 => (Class::View, "view"),
             5..7 => (Class::Look, "look"),
             7 => (Class::Save, "save"),
@@ -109,7 +109,7 @@
         let text = match class {
             Class::Order | Class::Save => {
                 // Some are longer than a socket takes at once.
-                let value = "01".repeat(if draw.below(8) == 0 { 20_000 } else { 1 });
+                let value = "01".repeat(if rng.below(8) == 0 { 20_000 } else { 1 });
                 format!(r"INSERT INTO records (k, v) VALUES ('k', '\x{value}') RETURNING v {comment}")
             }
             _ => format!("SELECT v FROM records WHERE k = 'k' {comment}"),
@@ -117,8 +117,8 @@
         (id, class, Duration::from_millis(wait), text)
     }
 
-    fn ask(&self, mut open: Session, number: usize, draw: &mut Draw) -> Option<Session> {
-        let (id, class, wait, text) = self.statement(number, draw);
+    fn ask(&self, mut open: Session, number: usize, rng: &mut Rng) -> Option<Session> {
+        let (id, class, wait, text) = self.statement(number, rng);
         self.ledger.sends(&id, class, self.router.number, wait);
         if open.client.stream.write_all(&query_bytes(&text)).is_err() {
             return self.unanswered(&open, &id);
@@ -151,11 +151,11 @@
         None
     }
 
-    fn leave(&self, mut open: Session, number: usize, draw: &mut Draw) -> Option<Session> {
-        let (id, class, wait, text) = self.statement(number, draw);
+    fn leave(&self, mut open: Session, number: usize, rng: &mut Rng) -> Option<Session> {
+        let (id, class, wait, text) = self.statement(number, rng);
         self.ledger.sends(&id, class, self.router.number, wait);
         let _ = open.client.stream.write_all(&query_bytes(&text));
-        let until = Instant::now() + Duration::from_millis(draw.below(60));
+        let until = Instant::now() + Duration::from_millis(rng.below(60));
         while Instant::now() < until && !self.leaves.load(Relaxed) {
             thread::sleep(Duration::from_millis(1));
         }
--- a/crates/router/tests/soak/main.rs
+++ b/crates/router/tests/soak/main.rs
@@ -105,13 +105,13 @@
 
 /// A course whose short waits are refused at its end, where a tight bound meets few descriptors and no leave to cancel.
 #[rstest]
-fn short_waits_are_served_after_slow_times() {
+fn short_timeouts_are_served_after_a_slow_period() {
     let violations = play(39, 8, Duration::from_secs(10));
     assert!(violations.is_empty(), "{violations:?}");
 }
 
 #[rstest]
-fn troubles_that_overlap_break_no_rule() {
+fn overlapping_faults_break_no_rule() {
     let count = number("SOAK_ROUTERS", 8) as usize;
     let span = Duration::from_secs(number("SOAK_SECONDS", 8));
     let mut broken = Vec::new();
--- a/crates/router/tests/soak/members.rs
+++ b/crates/router/tests/soak/members.rs
@@ -69,7 +69,7 @@
             ledger,
         });
         if number.is_multiple_of(OF_A_SET) {
-            member.history().begin_reign(member.clock.0);
+            member.history().become_primary(member.clock.0);
         }
         let serving = member.clone();
         thread::spawn(move || {
@@ -94,7 +94,7 @@
     pub fn pauses(&self, span: Duration) {
         self.history().pause(Instant::now());
         thread::sleep(span);
-        self.history().go_on(Instant::now());
+        self.history().resume(Instant::now());
     }
 
     /// A proxy has opened a router's connection from there.
@@ -103,8 +103,8 @@
     }
 
     /// A router has been handed an answer that calls it a replica.
-    pub fn tells_replica(&self, router: usize, worked_out: Instant) {
-        self.history().tells_replica(router, worked_out, Instant::now());
+    pub fn replica_role_sent(&self, router: usize, computed_at: Instant) {
+        self.history().replica_role_sent(router, computed_at, Instant::now());
     }
 
     fn unix_ms(&self, at: Instant) -> u128 {
@@ -160,7 +160,7 @@
         let (id, told) = (field("id")?, field("d")?.parse().ok()?);
         let link = self.links.lock().expect("no panic").get(&stream.peer_addr().ok()?.port())?.clone();
         let arrived = link.last_byte();
-        let stale = self.history().stale(link.router, arrived, Need::Within(self.ledger.bound));
+        let stale = self.history().stale(link.router, arrived, Need::MaxAge(self.ledger.bound));
         let (told, drains) = (Duration::from_millis(told), self.faults.drains.load(Relaxed));
         let number = self.ledger.delivered(&id, Delivered { member: self.number, told, stale, drains });
         let write = statement.starts_with("INSERT");
--- a/crates/router/tests/soak/proxy.rs
+++ b/crates/router/tests/soak/proxy.rs
@@ -2,7 +2,7 @@
 //! middle of what passes, and passes all else on as it comes. It keeps what the judge needs: whose connection it is, when
 //! the last byte of a request came, and when an answer was handed over that calls the member a replica.
 
-use super::common::draw::Draw;
+use super::common::draw::Rng;
 use super::common::since_last_byte;
 use super::members::Member;
 use socket2::SockRef;
@@ -60,9 +60,9 @@
     let member = member.clone();
     thread::spawn(move || {
         for (number, stream) in listener.incoming().flatten().enumerate() {
-            let mut draw = Draw::new((number * 1_000 + router + 1) as u64);
-            draw.below(1);
-            let held = if draw.below(10) < HELD_IN_TEN { draw.below(1_000) } else { 0 };
+            let mut rng = Rng::new((number * 1_000 + router + 1) as u64);
+            rng.below(1);
+            let held = if rng.below(10) < HELD_IN_TEN { rng.below(1_000) } else { 0 };
             let link = Arc::new(Link { router, last_byte: Mutex::new(Instant::now()), held });
             let _ = join(stream, &member, &link);
         }
@@ -103,11 +103,11 @@
                 Ok(read) => read,
                 Err(_) => return reset(&from, &to),
             };
-            let worked_out = Instant::now();
+            let computed_at = Instant::now();
             if self.answers {
                 thread::sleep(self.delay());
             } else {
-                *self.link.last_byte.lock().expect("no panic") = worked_out - since_last_byte(&from);
+                *self.link.last_byte.lock().expect("no panic") = computed_at - since_last_byte(&from);
             }
             if self.member.way.cuts_this() {
                 let _ = to.write_all(&piece[..read / 2]);
@@ -117,7 +117,7 @@
                 return reset(&from, &to);
             }
             if self.answers && calls_itself_replica(&piece[..read]) {
-                self.member.tells_replica(self.link.router, worked_out);
+                self.member.replica_role_sent(self.link.router, computed_at);
             }
         }
     }
--- a/crates/router/tests/soak/troubles.rs
+++ b/crates/router/tests/soak/troubles.rs
@@ -1,6 +1,6 @@
 //! Troubles that overlap in time, drawn from a seed: each begins, lasts for a while and ends.
 
-use super::common::draw::Draw;
+use super::common::draw::Rng;
 use super::common::faults::Fault;
 use super::members::{MEMBERS, Member, OF_A_SET, SETS};
 use super::routers::Router;
@@ -116,7 +116,7 @@
 /// How long a replica applies between two pauses, a set has no primary, and a primary stays one.
 const APPLIES: Duration = Duration::from_millis(80);
 const HANDOVER: Duration = Duration::from_millis(30);
-const REIGN: Duration = Duration::from_millis(400);
+const PRIMARY_SPAN: Duration = Duration::from_millis(400);
 /// A primary that hangs is given up after this and more.
 const DETECTED: Duration = Duration::from_millis(1_200);
 
@@ -126,31 +126,31 @@
 
 fn demote(primary: &Member) {
     let (now, mut history) = (Instant::now(), primary.history());
-    history.end_reign(now);
+    history.step_down(now);
     history.pause(now);
 }
 
 impl World {
     /// Plays troubles, two or three at a time, until the span is over; all have ended then.
     pub fn play(&self, seed: u64, span: Duration) {
-        let (begun, mut draw) = (Instant::now(), Draw::new(seed ^ 0x50a6));
+        let (begun, mut rng) = (Instant::now(), Rng::new(seed ^ 0x50a6));
         thread::scope(|scope| {
             while begun.elapsed() < span {
-                let kinds = if draw.below(2) == 0 { &ALL } else { FOCUS[seed as usize % FOCUS.len()] };
-                let trouble = kinds[draw.below(kinds.len() as u64) as usize];
-                let of_it = draw.below(u64::MAX);
-                scope.spawn(move || self.one(trouble, Draw::new(of_it), begun));
-                thread::sleep(Duration::from_millis(250 + draw.below(500)));
+                let kinds = if rng.below(2) == 0 { &ALL } else { FOCUS[seed as usize % FOCUS.len()] };
+                let trouble = kinds[rng.below(kinds.len() as u64) as usize];
+                let of_it = rng.below(u64::MAX);
+                scope.spawn(move || self.one(trouble, Rng::new(of_it), begun));
+                thread::sleep(Duration::from_millis(250 + rng.below(500)));
             }
         });
     }
 
-    fn one(&self, trouble: Trouble, mut draw: Draw, begun: Instant) {
-        let lasts = Duration::from_millis(300 + draw.below(1_500));
+    fn one(&self, trouble: Trouble, mut rng: Rng, begun: Instant) {
+        let lasts = Duration::from_millis(300 + rng.below(1_500));
         let routers: Vec<&Arc<Router>> =
-            draw.some(self.routers.len(), 3).into_iter().map(|at| &self.routers[at]).collect();
+            rng.subset(self.routers.len(), 3).into_iter().map(|at| &self.routers[at]).collect();
         let members: Vec<&Arc<Member>> =
-            draw.some(MEMBERS, 4).into_iter().map(|at| &self.members[at]).collect();
+            rng.subset(MEMBERS, 4).into_iter().map(|at| &self.members[at]).collect();
         println!(
             "{:>6} ms {trouble:?} for {lasts:?}: routers {:?}, members {:?}",
             begun.elapsed().as_millis(),
@@ -164,7 +164,7 @@
         };
         match trouble {
             Trouble::SystemCalls => {
-                let calls = [CALLS[draw.below(14) as usize], CALLS[draw.below(14) as usize]];
+                let calls = [CALLS[rng.below(14) as usize], CALLS[rng.below(14) as usize]];
                 let set = |often: bool| {
                     for (router, (fault, rate)) in routers.iter().flat_map(|r| calls.map(|c| (r, c))) {
                         router.faults.set(fault, if often { rate } else { 0 });
@@ -177,7 +177,7 @@
             }
             Trouble::WallClock => {
                 let steps = [-3_600_000, -2_000, -1_000, 0, 1_000, 2_000, 3_600_000];
-                routers.iter().for_each(|r| r.faults.step_wall_clock(steps[draw.below(7) as usize]));
+                routers.iter().for_each(|r| r.faults.step_wall_clock(steps[rng.below(7) as usize]));
             }
             Trouble::HeldUp => {
                 routers.iter().for_each(|r| r.faults.set(Fault::HeldUp, 2_000));
@@ -192,7 +192,7 @@
             Trouble::Stopped => {
                 for router in &routers {
                     router.signal(libc::SIGSTOP);
-                    thread::sleep(Duration::from_millis(draw.below(150)));
+                    thread::sleep(Duration::from_millis(rng.below(150)));
                     router.signal(libc::SIGCONT);
                 }
             }
@@ -200,13 +200,13 @@
                 routers.iter().take(2).for_each(|r| r.restart());
             }
             Trouble::Kill => {
-                let later = Duration::from_millis(draw.below(300));
+                let later = Duration::from_millis(rng.below(300));
                 routers.iter().take(2).for_each(|r| r.crash(later));
             }
             Trouble::Reload => {
-                for _ in 0..1 + draw.below(4) {
+                for _ in 0..1 + rng.below(4) {
                     routers.iter().for_each(|r| r.reload());
-                    thread::sleep(Duration::from_millis(draw.below(300)));
+                    thread::sleep(Duration::from_millis(rng.below(300)));
                 }
             }
             Trouble::AgentSilent | Trouble::AgentResets => {
@@ -237,7 +237,7 @@
                     Trouble::LateAnswersOfSome => m.way.delay_of_some.store(2 * ms, Relaxed),
                     _ => m.faults.late.store(ms, Relaxed),
                 };
-                members.iter().for_each(|m| of(m, 50 + draw.below(400)));
+                members.iter().for_each(|m| of(m, 50 + rng.below(400)));
                 thread::sleep(lasts);
                 members.iter().for_each(|m| of(m, 0));
             }
@@ -251,7 +251,7 @@
                 };
                 thread::scope(|scope| {
                     for member in &members {
-                        let span = Duration::from_millis(200 + draw.below(1_300));
+                        let span = Duration::from_millis(200 + rng.below(1_300));
                         scope.spawn(move || pauses(member, span));
                     }
                 });
@@ -267,9 +267,9 @@
                 thread::sleep(lasts);
                 set(false);
             }
-            Trouble::Failover => self.failover(draw.below(SETS as u64) as usize, lasts),
-            Trouble::HangFailover => self.hang_failover(draw.below(SETS as u64) as usize, lasts),
-            Trouble::Handovers => self.handovers(draw.below(SETS as u64) as usize, lasts),
+            Trouble::Failover => self.failover(rng.below(SETS as u64) as usize, lasts),
+            Trouble::HangFailover => self.hang_failover(rng.below(SETS as u64) as usize, lasts),
+            Trouble::Handovers => self.handovers(rng.below(SETS as u64) as usize, lasts),
             Trouble::Leave => {
                 self.leaves.store(true, Relaxed);
                 thread::sleep(Duration::from_millis(50));
@@ -289,11 +289,11 @@
         }
         demote(old);
         thread::sleep(lasts / 2);
-        next.history().begin_reign(Instant::now());
+        next.history().become_primary(Instant::now());
         thread::sleep(lasts / 2);
         old.faults.down.store(false, Relaxed);
         thread::sleep(Duration::from_millis(500));
-        old.history().go_on(Instant::now());
+        old.history().resume(Instant::now());
     }
 
     /// The primary hangs while its probes are answered with its report from before; a replica takes over after a while, and the
@@ -306,11 +306,11 @@
         old.hang(true);
         demote(old);
         thread::sleep(DETECTED + lasts / 2);
-        next.history().begin_reign(Instant::now());
+        next.history().become_primary(Instant::now());
         thread::sleep(lasts / 2);
         old.hang(false);
         thread::sleep(Duration::from_millis(500));
-        old.history().go_on(Instant::now());
+        old.history().resume(Instant::now());
     }
 
     /// The primary is handed on again and again; each former one applies nothing until the next.
@@ -323,9 +323,9 @@
             let (old, next) = (&of_set[at], &of_set[(at + 1) % OF_A_SET]);
             demote(old);
             thread::sleep(HANDOVER);
-            next.history().begin_reign(Instant::now());
-            thread::sleep(REIGN);
-            old.history().go_on(Instant::now());
+            next.history().become_primary(Instant::now());
+            thread::sleep(PRIMARY_SPAN);
+            old.history().resume(Instant::now());
         }
     }
 }
