--- a/crates/router/tests/soak/agents.rs
+++ b/crates/router/tests/soak/agents.rs
@@ -1,8 +1,8 @@
-//! The discovery agent of one router, at two addresses: what it tells, and how it fails.
+//! A simulated discovery agent for one router, on two addresses, with injectable failures.
 
 use super::common::{entry_at, list};
 use super::ledger::Ledger;
-use super::members::{Member, OF_A_SET};
+use super::members::{MEMBERS_PER_SET, Member};
 use super::proxy;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,24 +11,25 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const EMPTY_LINE: Duration = Duration::from_secs(2);
-const LOOK: Duration = Duration::from_millis(10);
+/// How often an idle watch gets an empty line.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 pub struct Agent {
     router: usize,
     pub addresses: Vec<SocketAddr>,
-    /// Says nothing; ends every watch.
+    /// While `silent` is set the agent sends nothing; while `resets` is set it closes every watch.
     pub silent: AtomicBool,
     pub resets: AtomicBool,
     version: Arc<AtomicU32>,
     members: Vec<Arc<Member>>,
-    /// Of this router's proxies before them.
+    /// The addresses of this router's proxies, one for each member.
     proxies: Vec<SocketAddr>,
     ledger: Arc<Ledger>,
 }
 
 impl Agent {
-    /// `version` counts the changes of the list.
+    /// Starts the agent; `version` counts the changes of the member list.
     pub fn start(
         router: usize,
         members: &[Arc<Member>],
@@ -47,8 +48,8 @@
             proxies: members.iter().map(|member| proxy::start(router, member)).collect(),
             ledger: ledger.clone(),
         });
-        let learning = agent.clone();
-        thread::spawn(move || learning.learn());
+        let tracking = agent.clone();
+        thread::spawn(move || tracking.track_list());
         for listener in listeners {
             let serving = agent.clone();
             thread::spawn(move || {
@@ -61,61 +62,65 @@
         agent
     }
 
+    /// The member list, and which members drain in it.
     fn list(&self, version: u32) -> (String, Vec<bool>) {
-        let drains: Vec<bool> = self.members.iter().map(|m| m.faults.drains.load(Relaxed)).collect();
+        let draining: Vec<bool> = self.members.iter().map(|m| m.faults.draining.load(Relaxed)).collect();
         let entry = |member: &Arc<Member>| {
-            let state = if drains[member.number] { "draining" } else { "ready" };
-            let role = if member.number.is_multiple_of(OF_A_SET) { "primary" } else { "replica" };
+            let state = if draining[member.number] { "draining" } else { "ready" };
+            let role = if member.number.is_multiple_of(MEMBERS_PER_SET) { "primary" } else { "replica" };
             let text = entry_at(&format!("m{}", member.number), self.proxies[member.number], state, role);
-            text.replace(r#""cell":2"#, &format!(r#""cell":{}"#, member.number / OF_A_SET))
+            text.replace(r#""cell":2"#, &format!(r#""cell":{}"#, member.number / MEMBERS_PER_SET))
         };
         let entries: Vec<String> = self.members.iter().map(entry).collect();
-        (list(version, true, &entries), drains)
+        (list(version, true, &entries), draining)
     }
 
-    /// What the agent has counts as told, whether or not a watch is open; while it is silent it learns nothing, and while it
-    /// ends every watch unanswered it can't be reached.
-    fn learn(&self) {
-        let mut had = 0;
+    /// Records in the ledger which members drain, from the moment the agent has the list, whether or not a watch is open. While
+    /// the agent is silent or closes every watch it receives no new list.
+    fn track_list(&self) {
+        let mut known = 0;
         loop {
             let version = self.version.load(Relaxed);
-            let reached = !self.silent.load(Relaxed) && !self.resets.load(Relaxed);
-            if version != had && reached {
-                let (_, drains) = self.list(version);
-                drains.iter().enumerate().for_each(|(m, drains)| self.ledger.told(self.router, m, *drains));
-                had = version;
+            let reachable = !self.silent.load(Relaxed) && !self.resets.load(Relaxed);
+            if version != known && reachable {
+                let (_, draining) = self.list(version);
+                draining
+                    .iter()
+                    .enumerate()
+                    .for_each(|(m, draining)| self.ledger.draining_announced(self.router, m, *draining));
+                known = version;
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Tells one watch until it ends.
+    /// Serves one watch until it is closed.
     fn watch(&self, mut stream: TcpStream) -> Option<()> {
         let mut lines = BufReader::new(stream.try_clone().ok()?).lines();
         while lines.next()?.is_ok_and(|line| !line.is_empty()) {}
-        let (mut told, mut said, mut begun) = (0, Instant::now(), false);
+        let (mut sent_version, mut last_sent, mut begun) = (0, Instant::now(), false);
         loop {
             if self.resets.load(Relaxed) {
                 return None;
             }
             let version = self.version.load(Relaxed);
             if self.silent.load(Relaxed) {
-                thread::sleep(LOOK);
+                thread::sleep(POLL_INTERVAL);
                 continue;
             }
             if !begun {
                 stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
                 begun = true;
             }
-            if version != told {
+            if version != sent_version {
                 let (text, _) = self.list(version);
                 stream.write_all(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes()).ok()?;
-                (told, said) = (version, Instant::now());
-            } else if said.elapsed() > EMPTY_LINE {
+                (sent_version, last_sent) = (version, Instant::now());
+            } else if last_sent.elapsed() > HEARTBEAT_INTERVAL {
                 stream.write_all(b"1\r\n\n\r\n").ok()?;
-                said = Instant::now();
+                last_sent = Instant::now();
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 }
--- a/crates/router/tests/soak/clients.rs
+++ b/crates/router/tests/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of one router: honest ones, impatient ones, ones that stop in the middle and ones that send several at once.
+//! Clients of one router: some wait for their answers, some disconnect early, and some stop in the middle of a message.
 
 use super::common::draw::Rng;
 use super::common::faults::Fault;
@@ -14,28 +14,30 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Bad clients are owed an error or the end within this.
-const BAD_MOST: Duration = Duration::from_millis(3_000);
-const MACHINE: Duration = Duration::from_millis(500);
-/// Idle clients of a crowd at one router, and how long between two of them.
+/// A client that stops in the middle of a message must get an error, or be disconnected, within this time.
+const MALFORMED_LIMIT: Duration = Duration::from_millis(3_000);
+/// Tolerance for threads that a busy machine wakes up late.
+const SCHEDULING_SLACK: Duration = Duration::from_millis(500);
+/// The number of idle clients at one router, and the interval between two of their connections.
 const CROWD: usize = 150;
-const CROWD_APART: Duration = Duration::from_millis(5);
+const CROWD_INTERVAL: Duration = Duration::from_millis(5);
 
+/// The settings of one client thread.
 pub struct Clients {
     pub router: Arc<Router>,
     pub ledger: Arc<Ledger>,
     pub name: String,
-    pub ends: Arc<AtomicBool>,
-    /// All who wait leave at once.
-    pub leaves: Arc<AtomicBool>,
+    pub finished: Arc<AtomicBool>,
+    /// While this is set, every client that is about to disconnect does so at once.
+    pub disconnect_now: Arc<AtomicBool>,
 }
 
-/// Idle clients at one router, more than its descriptors are for: they open, say who they are, and rest until they are
-/// ended. They come again.
-pub fn crowd(router: Arc<Router>, ends: Arc<AtomicBool>) -> thread::JoinHandle<()> {
+/// Keeps more idle clients at one router than its descriptors allow. Each connects, sends its startup packet and stays idle until
+/// the router disconnects it; then another one connects.
+pub fn crowd(router: Arc<Router>, finished: Arc<AtomicBool>) -> thread::JoinHandle<()> {
     thread::spawn(move || {
         let mut idle: Vec<TcpStream> = Vec::new();
-        while !ends.load(Relaxed) {
+        while !finished.load(Relaxed) {
             idle.retain(|stream| !has_ended(stream));
             if idle.len() < CROWD
                 && let Ok(mut stream) = TcpStream::connect(router.address)
@@ -44,12 +46,12 @@
                 let _ = stream.write_all(&startup(3 << 16));
                 idle.push(stream);
             }
-            thread::sleep(CROWD_APART);
+            thread::sleep(CROWD_INTERVAL);
         }
     })
 }
 
-/// The other end has closed; what it had sent is read away.
+/// Whether the other end has closed the connection; reads and discards what it sent.
 fn has_ended(mut stream: &TcpStream) -> bool {
     match stream.read(&mut [0; 512]) {
         Ok(read) => read == 0,
@@ -57,25 +59,26 @@
     }
 }
 
-/// One client's connection, and whether it has carried an answer.
+/// One client's connection, and the number of answers that it has carried.
 struct Session {
     client: Client,
     answers: usize,
+    /// How often the router had been killed when this connection was opened.
     killed: u32,
-    /// How many connections the library of system calls had broken under the router as this one was opened.
+    /// How many connections of the router fault injection had broken when this one was opened.
     broken: u64,
 }
 
 impl Clients {
     pub fn run(&self, seed: u64) {
         let (mut rng, mut number, mut session) = (Rng::new(seed), 0, None);
-        while !self.ends.load(Relaxed) {
+        while !self.finished.load(Relaxed) {
             number += 1;
             thread::sleep(Duration::from_millis(10 + rng.below(40)));
             let Some(open) = session.take().or_else(|| self.open()) else { continue };
             session = match rng.below(100) {
                 0..3 => self.stop_in_the_middle(open),
-                3..10 => self.leave(open, number, &mut rng),
+                3..10 => self.disconnect_early(open, number, &mut rng),
                 _ => self.ask(open, number, &mut rng),
             };
             if rng.below(15) == 0 {
@@ -92,7 +95,7 @@
         let mut client = Client { stream };
         client.stream.write_all(&startup(3 << 16)).ok()?;
         let opened = catch_unwind(AssertUnwindSafe(|| client.answer())).unwrap_or(Answer::Closed);
-        // A start that was killed, or that ends, lets nobody in.
+        // The startup fails if the router was killed or is shutting down.
         (opened == Answer::Empty).then_some(Session { client, answers: 0, killed, broken })
     }
 
@@ -108,7 +111,7 @@
         let comment = format!("/* id={id},c={name},d={wait},cluster={set} */");
         let text = match class {
             Class::Order | Class::Save => {
-                // Some are longer than a socket takes at once.
+                // Some values are longer than one write to a socket.
                 let value = "01".repeat(if rng.below(8) == 0 { 20_000 } else { 1 });
                 format!(r"INSERT INTO records (k, v) VALUES ('k', '\x{value}') RETURNING v {comment}")
             }
@@ -119,7 +122,7 @@
 
     fn ask(&self, mut open: Session, number: usize, rng: &mut Rng) -> Option<Session> {
         let (id, class, wait, text) = self.statement(number, rng);
-        self.ledger.sends(&id, class, self.router.number, wait);
+        self.ledger.command_sent(&id, class, self.router.number, wait);
         if open.client.stream.write_all(&query_bytes(&text)).is_err() {
             return self.unanswered(&open, &id);
         }
@@ -127,51 +130,52 @@
         match answer {
             Ok(Answer::Row(value)) => {
                 let delivery = value.split(':').next().and_then(|number| number.parse().ok());
-                self.ledger.served(&id, delivery.unwrap_or(usize::MAX));
+                self.ledger.command_served(&id, delivery.unwrap_or(usize::MAX));
             }
             Ok(Answer::Error(code, _)) if matches!(&*code, "53300" | "57P03") => {
-                self.ledger.ends(&id, Outcome::Refused);
+                self.ledger.command_ended(&id, Outcome::Refused);
             }
-            Ok(Answer::Error(..)) => self.ledger.ends(&id, Outcome::Failed),
+            Ok(Answer::Error(..)) => self.ledger.command_ended(&id, Outcome::Failed),
             _ => return self.unanswered(&open, &id),
         }
         open.answers += 1;
         Some(open)
     }
 
-    /// The connection ended without an answer. Between requests a router may close it; a killed one owes nothing, nor
-    /// one whose connection may have been broken under it.
+    /// The connection was closed without an answer. That is allowed between requests, which the ledger decides, and excused if the
+    /// router was killed or fault injection may have broken the connection.
     fn unanswered(&self, open: &Session, id: &str) -> Option<Session> {
         let broken = self.router.faults.injected(Fault::BrokenReceive) != open.broken;
         if broken || self.router.killed.load(Relaxed) != open.killed {
-            self.ledger.ends(id, Outcome::Excused);
+            self.ledger.command_ended(id, Outcome::Excused);
         } else {
-            self.ledger.lost(id, open.answers == 0);
+            self.ledger.connection_lost(id, open.answers == 0);
         }
         None
     }
 
-    fn leave(&self, mut open: Session, number: usize, rng: &mut Rng) -> Option<Session> {
+    fn disconnect_early(&self, mut open: Session, number: usize, rng: &mut Rng) -> Option<Session> {
         let (id, class, wait, text) = self.statement(number, rng);
-        self.ledger.sends(&id, class, self.router.number, wait);
+        self.ledger.command_sent(&id, class, self.router.number, wait);
         let _ = open.client.stream.write_all(&query_bytes(&text));
         let until = Instant::now() + Duration::from_millis(rng.below(60));
-        while Instant::now() < until && !self.leaves.load(Relaxed) {
+        while Instant::now() < until && !self.disconnect_now.load(Relaxed) {
             thread::sleep(Duration::from_millis(1));
         }
-        self.ledger.leaves(&id);
+        self.ledger.client_disconnects(&id);
         None
     }
 
-    /// Half a message, and then nothing: it is told, or ended.
+    /// Sends half a message and nothing more; the router must report an error or close the connection.
     fn stop_in_the_middle(&self, mut open: Session) -> Option<Session> {
         let killed = open.killed;
         let _ = open.client.stream.write_all(&query_bytes("SELECT 1")[..7]);
         let begun = Instant::now();
         let _ = catch_unwind(AssertUnwindSafe(|| open.client.answer()));
-        if begun.elapsed() > BAD_MOST + MACHINE && self.router.killed.load(Relaxed) == killed {
+        if begun.elapsed() > MALFORMED_LIMIT + SCHEDULING_SLACK && self.router.killed.load(Relaxed) == killed
+        {
             self.ledger.violation(format!(
-                "router {}: half a message stays {:?}",
+                "router {}: a client with half a message stayed connected for {:?}",
                 self.router.number,
                 begun.elapsed()
             ));
--- a/crates/router/tests/soak/ledger.rs
+++ b/crates/router/tests/soak/ledger.rs
@@ -1,30 +1,31 @@
-//! What passed at clients, members and agents, and whether it kept the rules. It knows nothing of the routers' insides.
+//! Records what clients, members and discovery agents observe, and checks it against the rules. It does not use any state of
+//! the routers.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// What the operators' pages grant beside a rule's own figure: for sockets, for a router held up, for this machine.
+/// Tolerances that the operators' pages allow on top of a rule's limit, for delays in sockets and for a stalled router.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-const LEAVING_SLACK: Duration = Duration::from_millis(100);
-const TOLD_SLACK: Duration = Duration::from_millis(150);
+const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
+const TIME_LEFT_SLACK: Duration = Duration::from_millis(150);
 const DRAIN_SLACK: Duration = Duration::from_millis(200);
-/// A busy machine wakes threads late, the judge's as well.
-const MACHINE: Duration = Duration::from_millis(250);
+/// Tolerance for threads, including the ones that record here, that a busy machine wakes up late.
+const SCHEDULING_SLACK: Duration = Duration::from_millis(250);
 pub const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// For how long a set drops repeats, and by how much a router that is held up may be late.
-pub const WINDOW: Duration = Duration::from_millis(400);
-const WINDOW_SLACK: Duration = Duration::from_millis(150);
+/// How long a set drops repeats of a keyed command, and the tolerance for a stalled router.
+pub const REPEAT_WINDOW: Duration = Duration::from_millis(400);
+const REPEAT_WINDOW_SLACK: Duration = Duration::from_millis(150);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// Any member may answer it.
+    /// A read that any member may answer.
     Look,
-    /// Its data may be as old as the ledger's bound.
+    /// A bounded read; its data may be as old as the ledger's `bound`.
     View,
-    /// The primary alone takes it, once.
+    /// A write that only the primary accepts, and that must run once at most.
     Order,
-    /// The primary alone takes it; it drops a repeat for `WINDOW`.
+    /// A keyed write that only the primary accepts; a repeat is dropped within `REPEAT_WINDOW`.
     Save,
 }
 
@@ -34,185 +35,190 @@
     Served,
     Refused,
     Failed,
-    /// The client left.
+    /// The client disconnected.
     Left,
-    /// The connection ended before the command was read, or with a router that was killed.
+    /// The connection was closed before the command was read, or because its router was killed.
     Excused,
 }
 
+/// One delivery of a command to a member.
 struct Delivery {
     at: Instant,
     member: usize,
     ran: bool,
-    /// How old its data was, if that was too old for a bounded read.
+    /// The age of the member's data, if it was too old for a bounded read.
     stale: Option<Duration>,
 }
 
-/// A member has the last byte of a command.
-pub struct Delivered {
+/// What a member knows of a command when its last byte has arrived.
+pub struct DeliveryInfo {
     pub member: usize,
-    /// The time that it was told.
-    pub told: Duration,
-    /// How old its data is, where that breaks the rule of a bounded read.
+    /// The remaining time that the statement carried.
+    pub time_left: Duration,
+    /// The age of the member's data, if it is too old for a bounded read.
     pub stale: Option<Duration>,
-    /// It drains still, as writes that were held for it come the moment it is ready again.
-    pub drains: bool,
+    /// Whether the member still drains. Held writes arrive the moment it is ready again, which is allowed.
+    pub draining: bool,
 }
 
 struct Command {
     class: Class,
     router: usize,
     sent: Instant,
-    wait: Duration,
+    timeout: Duration,
     left: Option<Instant>,
     outcome: Option<(Instant, Outcome)>,
     deliveries: Vec<Delivery>,
 }
 
 #[derive(Default)]
-struct Books {
+struct Records {
     commands: HashMap<String, Command>,
-    /// When a router was told that a member drains.
+    /// Since when a router has been informed that a member drains, by router and member.
     draining: BTreeMap<(usize, usize), Instant>,
     violations: Vec<String>,
     outcomes: BTreeMap<Outcome, u64>,
 }
 
 pub struct Ledger {
-    /// How old a bounded read's data may be.
+    /// The staleness bound of bounded reads.
     pub bound: Duration,
-    /// Idle clients fill the descriptors: new connections may be shut unread.
-    pub crowded: bool,
-    books: Mutex<Books>,
+    /// Whether idle clients use up the descriptors, so that the router may close new connections before reading them.
+    pub has_idle_crowd: bool,
+    records: Mutex<Records>,
 }
 
 impl Ledger {
-    pub fn new(bound: Duration, crowded: bool) -> Ledger {
-        Ledger { bound, crowded, books: Mutex::default() }
+    pub fn new(bound: Duration, has_idle_crowd: bool) -> Ledger {
+        Ledger { bound, has_idle_crowd, records: Mutex::default() }
     }
 
-    fn books(&self) -> std::sync::MutexGuard<'_, Books> {
-        self.books.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    fn records(&self) -> std::sync::MutexGuard<'_, Records> {
+        self.records.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     pub fn violation(&self, text: String) {
-        self.books().violations.push(text);
+        self.records().violations.push(text);
     }
 
     pub fn violations(&self) -> Vec<String> {
-        self.books().violations.clone()
+        self.records().violations.clone()
     }
 
     pub fn outcomes(&self) -> BTreeMap<Outcome, u64> {
-        self.books().outcomes.clone()
+        self.records().outcomes.clone()
     }
 
     // ---- clients ----
 
-    pub fn sends(&self, id: &str, class: Class, router: usize, wait: Duration) {
+    /// A client sends a command.
+    pub fn command_sent(&self, id: &str, class: Class, router: usize, timeout: Duration) {
         let sent = Instant::now();
         let command =
-            Command { class, router, sent, wait, left: None, outcome: None, deliveries: Vec::new() };
-        self.books().commands.insert(id.to_owned(), command);
+            Command { class, router, sent, timeout, left: None, outcome: None, deliveries: Vec::new() };
+        self.records().commands.insert(id.to_owned(), command);
     }
 
-    /// Called just before the client closes.
-    pub fn leaves(&self, id: &str) {
-        if let Some(command) = self.books().commands.get_mut(id) {
+    /// The client disconnects without waiting for an answer; called just before it closes the connection.
+    pub fn client_disconnects(&self, id: &str) {
+        if let Some(command) = self.records().commands.get_mut(id) {
             command.left = Some(Instant::now());
         }
-        self.ends(id, Outcome::Left);
+        self.command_ended(id, Outcome::Left);
     }
 
-    pub fn ends(&self, id: &str, outcome: Outcome) {
+    /// A command ends for its client.
+    pub fn command_ended(&self, id: &str, outcome: Outcome) {
         let now = Instant::now();
-        let mut books = self.books();
-        *books.outcomes.entry(outcome).or_default() += 1;
-        let Some(command) = books.commands.get_mut(id) else { return };
+        let mut records = self.records();
+        *records.outcomes.entry(outcome).or_default() += 1;
+        let Some(command) = records.commands.get_mut(id) else { return };
         let before = command.outcome.replace((now, outcome));
-        let late = now > command.sent + command.wait + ANSWER_SLACK + MACHINE;
+        let is_late = now > command.sent + command.timeout + ANSWER_SLACK + SCHEDULING_SLACK;
         let ran = command.deliveries.iter().filter(|d| d.ran).count();
-        let story = format!(
-            "command {id} ({:?}) at router {}: {outcome:?} after {:?} of {:?}, {} deliveries, {ran} ran",
+        let summary = format!(
+            "command {id} ({:?}) at router {}: {outcome:?} after {:?} of a timeout of {:?}, {} deliveries, {ran} executed",
             command.class,
             command.router,
             now - command.sent,
-            command.wait,
+            command.timeout,
             command.deliveries.len(),
         );
         if before.is_some() {
-            books.violations.push(format!("two final answers: {story}"));
-        } else if late && !matches!(outcome, Outcome::Left | Outcome::Excused) {
-            books.violations.push(format!("answered late: {story}"));
-        } else if outcome == Outcome::Refused && ran > 0 && books.commands[id].class == Class::Order {
-            books.violations.push(format!("refused though it ran: {story}"));
+            records.violations.push(format!("ended twice for its client: {summary}"));
+        } else if is_late && !matches!(outcome, Outcome::Left | Outcome::Excused) {
+            records.violations.push(format!("answered late: {summary}"));
+        } else if outcome == Outcome::Refused && ran > 0 && records.commands[id].class == Class::Order {
+            records.violations.push(format!("refused although it was executed: {summary}"));
         }
     }
 
-    /// It was served, by the delivery of this number.
-    pub fn served(&self, id: &str, delivery: usize) {
-        let mut books = self.books();
-        let command = books.commands.get(id).filter(|command| command.class == Class::View);
+    /// A command was answered with the result of this delivery.
+    pub fn command_served(&self, id: &str, delivery: usize) {
+        let mut records = self.records();
+        let command = records.commands.get(id).filter(|command| command.class == Class::View);
         let found = command.and_then(|c| c.deliveries.get(delivery).map(|d| (c.router, d.member, d.stale)));
         if let Some((router, member, Some(age))) = found {
-            let text = format!("a stale read: command {id} of router {router} at member {member}, {age:?}");
-            books.violations.push(text);
+            let text =
+                format!("stale read: command {id} of router {router} at member {member}, data {age:?} old");
+            records.violations.push(text);
         }
-        drop(books);
-        self.ends(id, Outcome::Served);
+        drop(records);
+        self.command_ended(id, Outcome::Served);
     }
 
-    /// Its connection ended with no answer, and nobody was killed.
-    pub fn lost(&self, id: &str, first: bool) {
-        let mut books = self.books();
-        let Some(command) = books.commands.get(id) else { return };
-        let read = !command.deliveries.is_empty();
-        if read || (first && !self.crowded) {
-            let what = if read { "after it was sent on" } else { "on a new connection" };
-            let story = format!("lost {what}: command {id} at router {}", command.router);
-            books.violations.push(story);
+    /// The connection of a command was closed without an answer, although its router was not killed. `first` tells that the
+    /// connection had not carried an answer yet.
+    pub fn connection_lost(&self, id: &str, first: bool) {
+        let mut records = self.records();
+        let Some(command) = records.commands.get(id) else { return };
+        let was_dispatched = !command.deliveries.is_empty();
+        if was_dispatched || (first && !self.has_idle_crowd) {
+            let what = if was_dispatched { "after its dispatch" } else { "on a new connection" };
+            let summary = format!("connection lost {what}: command {id} at router {}", command.router);
+            records.violations.push(summary);
         }
-        drop(books);
-        self.ends(id, Outcome::Excused);
+        drop(records);
+        self.command_ended(id, Outcome::Excused);
     }
 
     // ---- members ----
 
-    /// A member has the last byte of a command; which delivery of it this is.
-    pub fn delivered(&self, id: &str, delivered: Delivered) -> usize {
-        let Delivered { member, told, stale, drains } = delivered;
+    /// The last byte of a command arrives at a member; returns the number of this delivery.
+    pub fn command_delivered(&self, id: &str, info: DeliveryInfo) -> usize {
+        let DeliveryInfo { member, time_left, stale, draining } = info;
         let now = Instant::now();
-        let mut books = self.books();
-        let Some(command) = books.commands.get(id) else { return 0 };
+        let mut records = self.records();
+        let Some(command) = records.commands.get(id) else { return 0 };
         let (router, class) = (command.router, command.class);
-        let deadline = command.sent + command.wait;
+        let deadline = command.sent + command.timeout;
         let mut found = Vec::new();
-        if command.left.is_some_and(|left| now > left + LEAVING_SLACK + MACHINE) {
-            found.push("begun after its client left");
+        if command.left.is_some_and(|left| now > left + DISCONNECT_SLACK + SCHEDULING_SLACK) {
+            found.push("dispatched after its client disconnected");
         }
-        if now + told > deadline + TOLD_SLACK + MACHINE {
-            found.push("told more time than its client has left");
+        if now + time_left > deadline + TIME_LEFT_SLACK + SCHEDULING_SLACK {
+            found.push("carries more time than its client has left");
         }
         if class == Class::Order && command.deliveries.iter().any(|d| d.ran) {
-            found.push("sent again after it ran");
+            found.push("sent again after it was executed");
         }
-        let since = books.draining.get(&(router, member)).filter(|_| drains);
-        if since.is_some_and(|told| now > *told + DRAIN_GRACE + DRAIN_SLACK + MACHINE) {
-            found.push("sent to a member that drains");
+        let since = records.draining.get(&(router, member)).filter(|_| draining);
+        if since.is_some_and(|announced| now > *announced + DRAIN_GRACE + DRAIN_SLACK + SCHEDULING_SLACK) {
+            found.push("sent to a draining member");
         }
         for what in found {
             let text = format!("{what}: command {id} ({class:?}) of router {router} at member {member}");
-            books.violations.push(text);
+            records.violations.push(text);
         }
-        let deliveries = &mut books.commands.get_mut(id).expect("found above").deliveries;
+        let deliveries = &mut records.commands.get_mut(id).expect("found above").deliveries;
         deliveries.push(Delivery { at: now, member, ran: false, stale });
         deliveries.len() - 1
     }
 
-    /// It takes effect there.
-    pub fn runs(&self, id: &str, member: usize) {
-        let mut books = self.books();
-        let Some(command) = books.commands.get_mut(id) else { return };
+    /// A member executes a command.
+    pub fn command_executed(&self, id: &str, member: usize) {
+        let mut records = self.records();
+        let Some(command) = records.commands.get_mut(id) else { return };
         if let Some(delivery) = command.deliveries.iter_mut().rev().find(|d| d.member == member) {
             delivery.ran = true;
         }
@@ -221,25 +227,27 @@
         let first = runs.iter().map(|(_, at)| *at).min();
         let last = runs.iter().map(|(_, at)| *at).max();
         let apart = first.zip(last).map_or(Duration::ZERO, |(first, last)| last - first);
-        let twice = match command.class {
+        let repeated = match command.class {
             Class::Order => runs.len() > 1,
-            Class::Save => apart > WINDOW + WINDOW_SLACK + MACHINE,
+            Class::Save => apart > REPEAT_WINDOW + REPEAT_WINDOW_SLACK + SCHEDULING_SLACK,
             Class::Look | Class::View => false,
         };
-        if twice {
-            let text = format!("an effect twice: command {id} of router {}: {runs:?}", command.router);
-            books.violations.push(text);
+        if repeated {
+            let text =
+                format!("executed more than once: command {id} of router {}: {runs:?}", command.router);
+            records.violations.push(text);
         }
     }
 
     // ---- agents ----
 
-    pub fn told(&self, router: usize, member: usize, drains: bool) {
-        let mut books = self.books();
-        if drains {
-            books.draining.entry((router, member)).or_insert_with(Instant::now);
+    /// A router's agent has received whether a member drains.
+    pub fn draining_announced(&self, router: usize, member: usize, draining: bool) {
+        let mut records = self.records();
+        if draining {
+            records.draining.entry((router, member)).or_insert_with(Instant::now);
         } else {
-            books.draining.remove(&(router, member));
+            records.draining.remove(&(router, member));
         }
     }
 }
--- a/crates/router/tests/soak/main.rs
+++ b/crates/router/tests/soak/main.rs
@@ -1,9 +1,10 @@
-//! A soak of real routers on loopback under troubles that overlap, judged by what passed at clients, members and agents
-//! and by the routers' own checks. One seed, one course of troubles.
+//! A soak test of real routers on loopback under overlapping disturbances. The results are checked by what clients, members and
+//! discovery agents observed, and by the routers' own invariant checks. A seed determines the course of disturbances.
 //!
 //!     SOAK_SEEDS=1..51 SOAK_ROUTERS=24 SOAK_SECONDS=30 cargo test --release -p vetchkeel-router --test soak
 //!
-//! `SOAK_PROGRAM` plays another build's router. `SOAK_KEEP` keeps the routers' logs; with `VETCHKEEL_LOG=all` these name every command.
+//! `SOAK_PROGRAM` runs the router of another build. `SOAK_KEEP` keeps the routers' logs; with `VETCHKEEL_LOG=all` these name
+//! every command.
 
 mod agents;
 mod clients;
@@ -25,18 +26,19 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering::Relaxed};
 use std::thread;
 use std::time::Duration;
-use troubles::World;
+use troubles::Environment;
 
+/// Active clients at each router.
 const CLIENTS: usize = 5;
-/// How old a bounded read's data may be, in milliseconds; one by the seed.
+/// Staleness bounds of bounded reads, in milliseconds; the seed chooses one.
 const BOUNDS: [u64; 4] = [500, 300, 200, 120];
-/// One seed in so many has a crowd of idle clients.
-const CROWD_ONE_IN: u64 = 5;
-/// After the last trouble all is well again within this, and stays so for the next.
-const RECOVERS: Duration = Duration::from_secs(6);
-const WELL: Duration = Duration::from_secs(2);
-/// Of the commands of that time, so many in a hundred are served.
-const SERVED_LEAST: u64 = 97;
+/// Seeds that are a multiple of this add a crowd of idle clients.
+const CROWD_SEED_INTERVAL: u64 = 5;
+/// After the last disturbance the routers have this long to recover; the results of the time after it are checked.
+const RECOVERY_TIME: Duration = Duration::from_secs(6);
+const OBSERVATION_TIME: Duration = Duration::from_secs(2);
+/// The share of the commands in `OBSERVATION_TIME` that must be served, in percent.
+const MIN_SERVED_PERCENT: u64 = 97;
 
 fn number(name: &str, or: u64) -> u64 {
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(or)
@@ -48,11 +50,11 @@
     first.parse().expect("a number")..end.parse().expect("a number")
 }
 
-/// Plays one seed; what broke a rule.
-fn play(seed: u64, count: usize, span: Duration) -> Vec<String> {
+/// Runs one seed; returns the rules that were violated.
+fn run_seed(seed: u64, count: usize, span: Duration) -> Vec<String> {
     let bound = Duration::from_millis(BOUNDS[seed as usize % BOUNDS.len()]);
-    let crowded = seed.is_multiple_of(CROWD_ONE_IN);
-    let ledger = Arc::new(Ledger::new(bound, crowded));
+    let has_idle_crowd = seed.is_multiple_of(CROWD_SEED_INTERVAL);
+    let ledger = Arc::new(Ledger::new(bound, has_idle_crowd));
     let version = Arc::new(AtomicU32::new(1));
     let members: Vec<_> = (0..MEMBERS).map(|number| Member::start(number, ledger.clone())).collect();
     let start = |number| {
@@ -60,53 +62,62 @@
         Router::start(number, seed, agent, ledger.clone())
     };
     let routers: Vec<Arc<Router>> = (0..count).map(start).collect();
-    let (ends, leaves) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+    let (finished, disconnect_now) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
     let mut threads = Vec::new();
     for (router, client) in routers.iter().flat_map(|r| (0..CLIENTS).map(move |client| (r, client))) {
         let name = format!("s{seed}r{}c{client}", router.number);
-        let of_it = seed * 10_000 + (router.number * CLIENTS + client) as u64;
-        let (ends, leaves) = (ends.clone(), leaves.clone());
-        let clients = Clients { router: router.clone(), ledger: ledger.clone(), name, ends, leaves };
-        threads.push(thread::spawn(move || clients.run(of_it)));
+        let seed_of_it = seed * 10_000 + (router.number * CLIENTS + client) as u64;
+        let (finished, disconnect_now) = (finished.clone(), disconnect_now.clone());
+        let clients =
+            Clients { router: router.clone(), ledger: ledger.clone(), name, finished, disconnect_now };
+        threads.push(thread::spawn(move || clients.run(seed_of_it)));
     }
-    let watched = (routers.clone(), ends.clone());
+    let monitored = (routers.clone(), finished.clone());
     threads.push(thread::spawn(move || {
-        while !watched.1.load(Relaxed) {
-            watched.0.iter().for_each(|router| router.check());
+        while !monitored.1.load(Relaxed) {
+            monitored.0.iter().for_each(|router| router.check());
             thread::sleep(Duration::from_millis(50));
         }
     }));
     thread::sleep(Duration::from_secs(1));
-    if crowded {
-        threads.extend(routers.iter().map(|router| clients::crowd(router.clone(), ends.clone())));
+    if has_idle_crowd {
+        threads.extend(routers.iter().map(|router| clients::crowd(router.clone(), finished.clone())));
     }
-    let held_sends = troubles::held_sends(seed);
-    let changing = Default::default();
-    let world = World { routers: routers.clone(), members, version, leaves, held_sends, changing };
-    world.play(seed, span);
-    thread::sleep(RECOVERS);
+    let send_delay_rate = troubles::send_delay_rate(seed);
+    let role_changes = Default::default();
+    let environment = Environment {
+        routers: routers.clone(),
+        members,
+        version,
+        disconnect_now,
+        send_delay_rate,
+        role_changes,
+    };
+    environment.run(seed, span);
+    thread::sleep(RECOVERY_TIME);
     let before = ledger.outcomes();
-    thread::sleep(WELL);
+    thread::sleep(OBSERVATION_TIME);
     let after = ledger.outcomes();
-    ends.store(true, Relaxed);
+    finished.store(true, Relaxed);
     threads.into_iter().for_each(|thread| thread.join().expect("no panic"));
     thread::scope(|scope| routers.iter().for_each(|router| _ = scope.spawn(|| router.stop())));
-    let of = |outcome| after.get(&outcome).unwrap_or(&0) - before.get(&outcome).unwrap_or(&0);
-    let served = of(Outcome::Served);
-    let all = served + of(Outcome::Refused) + of(Outcome::Failed);
-    println!("seed {seed}: {:?}; at the end {served} of {all} served", ledger.outcomes());
+    let count_of = |outcome| after.get(&outcome).unwrap_or(&0) - before.get(&outcome).unwrap_or(&0);
+    let served = count_of(Outcome::Served);
+    let all = served + count_of(Outcome::Refused) + count_of(Outcome::Failed);
+    println!("seed {seed}: {:?}; after recovery {served} of {all} served", ledger.outcomes());
     let mut violations = ledger.violations();
     violations.extend(routers.iter().flat_map(|router| router.own_violations()));
-    if served * 100 < all * SERVED_LEAST || all == 0 {
-        violations.push(format!("not well at the end: {served} of {all} served"));
+    if served * 100 < all * MIN_SERVED_PERCENT || all == 0 {
+        violations.push(format!("not recovered: {served} of {all} commands served"));
     }
     violations
 }
 
-/// A course whose short waits are refused at its end, where a tight bound meets few descriptors and no leave to cancel.
+/// Guards against throttling commands with a short client timeout after slow members have recovered. This seed combines a tight
+/// staleness bound with few descriptors and no permission to cancel.
 #[rstest]
 fn short_timeouts_are_served_after_a_slow_period() {
-    let violations = play(39, 8, Duration::from_secs(10));
+    let violations = run_seed(39, 8, Duration::from_secs(10));
     assert!(violations.is_empty(), "{violations:?}");
 }
 
@@ -114,14 +125,14 @@
 fn overlapping_faults_break_no_rule() {
     let count = number("SOAK_ROUTERS", 8) as usize;
     let span = Duration::from_secs(number("SOAK_SECONDS", 8));
-    let mut broken = Vec::new();
+    let mut failed = Vec::new();
     for seed in seeds() {
-        let violations = play(seed, count, span);
+        let violations = run_seed(seed, count, span);
         violations.iter().take(20).for_each(|violation| println!("seed {seed}: {violation}"));
         println!("seed {seed}: {} violations", violations.len());
         if !violations.is_empty() {
-            broken.push((seed, violations.len()));
+            failed.push((seed, violations.len()));
         }
     }
-    assert!(broken.is_empty(), "seeds and their violations: {broken:?}");
+    assert!(failed.is_empty(), "seeds and their number of violations: {failed:?}");
 }
--- a/crates/router/tests/soak/members.rs
+++ b/crates/router/tests/soak/members.rs
@@ -1,9 +1,9 @@
-//! Sets of a primary and replicas on loopback, whose faults a test switches on and off.
+//! Simulated members on loopback, in sets of a primary and replicas, with faults that the test switches on and off.
 
 use super::common::history::{History, Need};
 use super::common::{code, parameter, read_packet, ready, row};
-use super::ledger::{Delivered, Ledger};
-use super::proxy::{Link, ProxyFaults};
+use super::ledger::{DeliveryInfo, Ledger};
+use super::proxy::{Connection, ProxyFaults};
 use socket2::SockRef;
 use std::collections::HashMap;
 use std::io::Write;
@@ -14,41 +14,43 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 pub const SETS: usize = 3;
-pub const OF_A_SET: usize = 3;
-pub const MEMBERS: usize = SETS * OF_A_SET;
-/// How far behind a replica is that applies.
+pub const MEMBERS_PER_SET: usize = 3;
+pub const MEMBERS: usize = SETS * MEMBERS_PER_SET;
+/// Replication lag of a replica that applies changes.
 const LAG: Duration = Duration::from_millis(20);
 
-/// What is wrong with a member just now.
+/// The faults that a member currently has.
 #[derive(Default)]
 pub struct Faults {
-    /// Takes work and answers nothing; probes are answered with the report from before.
+    /// Accepts commands without answering them; probes are answered with the report from before the hang.
     pub hung: AtomicBool,
-    /// Answers so much later, in milliseconds.
+    /// The delay of command execution, in milliseconds.
     pub slow: AtomicU64,
-    /// Resets connections under requests.
+    /// Resets connections in reply to some commands.
     pub resets: AtomicBool,
-    /// Its process is down: whoever connects is reset.
+    /// The member is down: connections are reset.
     pub down: AtomicBool,
-    /// Turns all away, as it drains.
-    pub drains: AtomicBool,
-    /// New connections come up so much later, in milliseconds.
-    pub late: AtomicU64,
-    /// Answers are spoilt.
-    pub garbles: AtomicBool,
+    /// Rejects all commands because it is draining.
+    pub draining: AtomicBool,
+    /// The delay before the startup of a new connection, in milliseconds.
+    pub connect_delay: AtomicU64,
+    /// Answers are malformed.
+    pub malformed: AtomicBool,
 }
 
+/// A simulated member.
 pub struct Member {
     pub number: usize,
-    /// Its own; routers know those of their proxies before it.
+    /// Its own address; routers know it by the addresses of their proxies.
     pub address: SocketAddr,
-    pub way: ProxyFaults,
+    pub proxy_faults: ProxyFaults,
     pub faults: Faults,
     history: Mutex<History>,
-    /// When the report was made that it hands on while it hangs.
-    report_made: Mutex<Option<Instant>>,
-    /// Whose its connections are, by the port that they come from.
-    links: Mutex<HashMap<u16, Arc<Link>>>,
+    /// When the report was computed that is repeated during a hang.
+    report_made_at: Mutex<Option<Instant>>,
+    /// Its proxied connections, by the port that they come from.
+    connections: Mutex<HashMap<u16, Arc<Connection>>>,
+    /// The start of the member, by the monotonic clock and as Unix time.
     clock: (Instant, Duration),
     ledger: Arc<Ledger>,
 }
@@ -60,15 +62,15 @@
         let member = Arc::new(Member {
             number,
             address: listener.local_addr().expect("bound"),
-            way: ProxyFaults::default(),
+            proxy_faults: ProxyFaults::default(),
             faults: Faults::default(),
             history: Mutex::new(History::new(LAG)),
-            report_made: Mutex::default(),
-            links: Mutex::default(),
+            report_made_at: Mutex::default(),
+            connections: Mutex::default(),
             clock: (Instant::now(), unix),
             ledger,
         });
-        if number.is_multiple_of(OF_A_SET) {
+        if number.is_multiple_of(MEMBERS_PER_SET) {
             member.history().become_primary(member.clock.0);
         }
         let serving = member.clone();
@@ -90,19 +92,19 @@
         self.history().is_primary(Instant::now())
     }
 
-    /// It applies nothing for as long.
-    pub fn pauses(&self, span: Duration) {
+    /// Applies no changes for this long.
+    pub fn pause_for(&self, span: Duration) {
         self.history().pause(Instant::now());
         thread::sleep(span);
         self.history().resume(Instant::now());
     }
 
-    /// A proxy has opened a router's connection from there.
-    pub fn connected(&self, from: SocketAddr, link: Arc<Link>) {
-        self.links.lock().expect("no panic").insert(from.port(), link);
+    /// A proxy has opened a connection for a router, from this address.
+    pub fn connected(&self, from: SocketAddr, connection: Arc<Connection>) {
+        self.connections.lock().expect("no panic").insert(from.port(), connection);
     }
 
-    /// A router has been handed an answer that calls it a replica.
+    /// A router has received an answer with the replica role.
     pub fn replica_role_sent(&self, router: usize, computed_at: Instant) {
         self.history().replica_role_sent(router, computed_at, Instant::now());
     }
@@ -117,7 +119,7 @@
         if self.faults.down.load(Relaxed) {
             return reset(&stream);
         }
-        thread::sleep(Duration::from_millis(self.faults.late.load(Relaxed)));
+        thread::sleep(Duration::from_millis(self.faults.connect_delay.load(Relaxed)));
         read_packet(&mut stream, true)?;
         stream.write_all(&[&b"R\0\0\0\x08\0\0\0\0"[..], &ready()].concat()).ok()?;
         loop {
@@ -133,61 +135,64 @@
     }
 
     fn report(&self) -> Vec<u8> {
-        let made = self.report_made();
+        let computed_at = self.report_made_at();
         let history = self.history();
-        let position = self.unix_ms(history.position(made));
-        let primary = history.is_primary(made) as u8;
+        let position = self.unix_ms(history.position(computed_at));
+        let primary = history.is_primary(computed_at) as u8;
         [row(&format!("x0={}.{:03},x1={primary}", position / 1000, position % 1000)), ready()].concat()
     }
 
-    /// It hangs, or works again.
+    /// Starts or ends a hang.
     pub fn hang(&self, hangs: bool) {
-        *self.report_made.lock().expect("no panic") = hangs.then(Instant::now);
+        *self.report_made_at.lock().expect("no panic") = hangs.then(Instant::now);
         self.faults.hung.store(hangs, Relaxed);
     }
 
-    fn report_made(&self) -> Instant {
-        self.report_made.lock().expect("no panic").unwrap_or_else(Instant::now)
+    fn report_made_at(&self) -> Instant {
+        self.report_made_at.lock().expect("no panic").unwrap_or_else(Instant::now)
     }
 
-    /// The answer to a command; None where the connection ends instead.
+    /// The answer to a command; `None` where the connection is reset instead.
     fn execute(&self, statement: &str, stream: &TcpStream) -> Option<Vec<u8>> {
         let (_, comment) = statement.split_once("/* ")?;
         let field = |name: &str| {
             let pairs = comment.split([',', ' ']).filter_map(|pair| pair.split_once('='));
             pairs.into_iter().find(|(found, _)| *found == name).map(|(_, value)| value.to_owned())
         };
-        let (id, told) = (field("id")?, field("d")?.parse().ok()?);
-        let link = self.links.lock().expect("no panic").get(&stream.peer_addr().ok()?.port())?.clone();
-        let arrived = link.last_byte();
-        let stale = self.history().stale(link.router, arrived, Need::MaxAge(self.ledger.bound));
-        let (told, drains) = (Duration::from_millis(told), self.faults.drains.load(Relaxed));
-        let number = self.ledger.delivered(&id, Delivered { member: self.number, told, stale, drains });
+        let (id, time_left) = (field("id")?, field("d")?.parse().ok()?);
+        let connection =
+            self.connections.lock().expect("no panic").get(&stream.peer_addr().ok()?.port())?.clone();
+        let arrived_at = connection.last_byte();
+        let stale = self.history().stale(connection.router, arrived_at, Need::MaxAge(self.ledger.bound));
+        let (time_left, draining) = (Duration::from_millis(time_left), self.faults.draining.load(Relaxed));
+        let number = self
+            .ledger
+            .command_delivered(&id, DeliveryInfo { member: self.number, time_left, stale, draining });
         let write = statement.starts_with("INSERT");
-        if drains {
+        if draining {
             return Some([code("53300"), ready()].concat());
         }
         if self.faults.resets.load(Relaxed) && id.len().is_multiple_of(2) {
             return reset(stream).map(|()| Vec::new());
         }
         if write && !self.is_primary() {
-            return Some([self.note(), code("25006"), ready()].concat());
+            return Some([self.role_and_position(), code("25006"), ready()].concat());
         }
         thread::sleep(Duration::from_millis(2 + self.faults.slow.load(Relaxed)));
-        self.ledger.runs(&id, self.number);
+        self.ledger.command_executed(&id, self.number);
         while self.faults.hung.load(Relaxed) {
             thread::sleep(Duration::from_millis(20));
         }
-        let value = if self.faults.garbles.load(Relaxed) {
+        let value = if self.faults.malformed.load(Relaxed) {
             b"D\0\0\0\x05x".to_vec()
         } else {
             row(&format!("{number}:{}", "v".repeat(if id.ends_with('7') { 50_000 } else { 1 })))
         };
-        Some([self.note(), value, ready()].concat())
+        Some([self.role_and_position(), value, ready()].concat())
     }
 
-    /// Role and position, as they are now.
-    fn note(&self) -> Vec<u8> {
+    /// The parameters that carry the current role and position.
+    fn role_and_position(&self) -> Vec<u8> {
         let (now, history) = (Instant::now(), self.history());
         let role = if history.is_primary(now) { "primary" } else { "replica" };
         let applied = self.unix_ms(history.position(now)).to_string();
@@ -195,7 +200,7 @@
     }
 }
 
-/// Ends a connection with a reset.
+/// Closes a connection with a reset.
 fn reset(stream: &TcpStream) -> Option<()> {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
     None
--- a/crates/router/tests/soak/routers.rs
+++ b/crates/router/tests/soak/routers.rs
@@ -1,5 +1,5 @@
-//! Real routers: started, told to end, killed and started again at their address, each with a control file of its own
-//! for system calls that fail.
+//! Real router processes, which are started, stopped, killed and restarted on the same address, each with a control file of its
+//! own for fault injection.
 
 use super::agents::Agent;
 use super::common::faults::Faults;
@@ -16,10 +16,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// SIGKILL follows SIGTERM after the longest wait and this.
-const LONGEST_WAIT: Duration = Duration::from_millis(1_500);
-const STILL_COMING: Duration = Duration::from_millis(700);
-const READY_MOST: Duration = Duration::from_secs(10);
+/// A router that has not exited after SIGTERM within the longest client timeout and this slack is killed.
+const MAX_CLIENT_TIMEOUT: Duration = Duration::from_millis(1_500);
+const SHUTDOWN_SLACK: Duration = Duration::from_millis(700);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
 const SETTINGS: &str = r#"{"me":0,"balancers":12,"tick_ms":5.0,"membership_mode":"automatic",
     "family_info":{"class_read":["any","bounded","write","write"],"lag_allowed_ms":[0.0,BOUND.0,0.0,0.0],"server_checks":"none",
@@ -36,8 +36,8 @@
         {"name":"save","semantics":"token","group":"all","window_ms":400.0,"hard_limit_ms":1500.0,"aim_ms":600.0,
             "late_value":0.5,"importance":3.0}]}"#;
 
-/// What a fleet may be told instead, drawn by the seed of its play: nothing, no leave to cancel, none to probe, and
-/// few descriptors without leave to cancel.
+/// Changes to the settings, chosen by the seed: none; no permission to cancel and few attempts; no permission to probe; and few
+/// descriptors without permission to cancel.
 const VARIANTS: [&[(&str, &str)]; 4] = [
     &[],
     &[(r#""cancel":true"#, r#""cancel":false"#), (r#""max_attempts":6"#, r#""max_attempts":2"#)],
@@ -45,16 +45,17 @@
     &[(r#""cancel":true"#, r#""cancel":false"#), (r#""sockets":1024"#, r#""sockets":56"#)],
 ];
 
+/// A router process and its configuration.
 pub struct Router {
     pub number: usize,
     pub address: SocketAddr,
     pub agent: Arc<Agent>,
     pub faults: Faults,
     variant: &'static [(&'static str, &'static str)],
-    /// Counts its processes that were killed: what these had in hand is excused.
+    /// Counts the processes that were killed or crashed; commands in flight at that time are excused.
     pub killed: AtomicU32,
     process: Mutex<Option<Child>>,
-    /// Held while its process is replaced.
+    /// Held while the process is being replaced.
     replacing: Mutex<()>,
     config: PathBuf,
     log: PathBuf,
@@ -63,17 +64,17 @@
 }
 
 impl Router {
-    pub fn start(number: usize, play: u64, agent: Arc<Agent>, ledger: Arc<Ledger>) -> Arc<Router> {
+    pub fn start(number: usize, seed: u64, agent: Arc<Agent>, ledger: Arc<Ledger>) -> Arc<Router> {
         let free = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
-        // Two plays may run in one process.
+        // Numbered across runs, because two runs of the soak may share one process.
         static STARTED: AtomicU32 = AtomicU32::new(0);
         let name = format!("vetchkeel-soak-{}-{}", std::process::id(), STARTED.fetch_add(1, Relaxed));
         let router = Arc::new(Router {
             number,
             address: free,
             agent,
-            faults: Faults::new(play * 1_000 + number as u64),
-            variant: VARIANTS[play as usize % VARIANTS.len()],
+            faults: Faults::new(seed * 1_000 + number as u64),
+            variant: VARIANTS[seed as usize % VARIANTS.len()],
             killed: AtomicU32::new(0),
             process: Mutex::new(None),
             replacing: Mutex::new(()),
@@ -111,8 +112,8 @@
         *self.process.lock().expect("no panic") = Some(child);
         let begun = Instant::now();
         while TcpStream::connect(self.address).is_err() {
-            if begun.elapsed() > READY_MOST {
-                return self.ledger.violation(format!("router {} does not start", self.number));
+            if begun.elapsed() > START_TIMEOUT {
+                return self.ledger.violation(format!("router {} does not accept connections", self.number));
             }
             thread::sleep(Duration::from_millis(5));
         }
@@ -120,29 +121,29 @@
 
     pub fn signal(&self, signal: libc::c_int) {
         if let Some(child) = self.process.lock().expect("no panic").as_ref() {
-            // SAFETY: a number is given; the child is not waited for yet.
+            // SAFETY: only numbers are passed, and the child has not been waited for yet, so its process id is valid.
             unsafe { libc::kill(child.id() as libc::pid_t, signal) };
         }
     }
 
-    /// Told to end, by signals in series; it has to be gone, with nothing owed, before it is killed. Clients go on sending on
-    /// open connections until then.
+    /// Stops the process with a series of signals. It must exit successfully before it is killed, while clients continue to send
+    /// on open connections.
     pub fn stop(&self) {
         let Some(mut child) = self.process.lock().expect("no panic").take() else { return };
         // SAFETY: as above.
         unsafe { libc::kill(child.id() as libc::pid_t, libc::SIGTERM) };
         let begun = Instant::now();
-        let mut series = [libc::SIGHUP, libc::SIGTERM, libc::SIGUSR1, libc::SIGTERM].into_iter();
+        let mut signals = [libc::SIGHUP, libc::SIGTERM, libc::SIGUSR1, libc::SIGTERM].into_iter();
         let status = loop {
             if let Some(status) = child.try_wait().expect("a child") {
                 break status;
             }
-            if begun.elapsed() > STILL_COMING + LONGEST_WAIT {
-                self.ledger.violation(format!("router {} is killed before it ends", self.number));
+            if begun.elapsed() > SHUTDOWN_SLACK + MAX_CLIENT_TIMEOUT {
+                self.ledger.violation(format!("router {} did not exit in time and was killed", self.number));
                 let _ = child.kill();
                 break child.wait().expect("a child");
             }
-            if let Some(signal) = series.next() {
+            if let Some(signal) = signals.next() {
                 // SAFETY: as above.
                 unsafe { libc::kill(child.id() as libc::pid_t, signal) };
             }
@@ -150,7 +151,7 @@
         };
         if !status.success() {
             self.ledger.violation(format!(
-                "router {} ended with {status}: {}",
+                "router {} exited with {status}: {}",
                 self.number,
                 self.last_lines()
             ));
@@ -164,29 +165,29 @@
         let _ = child.wait();
     }
 
-    /// Told to end, and started again once it has.
+    /// Stops the process and starts it again.
     pub fn restart(&self) {
         let _replacing = self.replacing.lock().expect("no panic");
         self.stop();
         self.run();
     }
 
-    /// Killed, and started again so much later.
-    pub fn crash(&self, later: Duration) {
+    /// Kills the process and starts it again after `delay`.
+    pub fn crash(&self, delay: Duration) {
         let _replacing = self.replacing.lock().expect("no panic");
         self.kill();
-        thread::sleep(later);
+        thread::sleep(delay);
         self.run();
     }
 
-    /// Discovery moves to the agent's other address.
+    /// Reloads a configuration with the agent's other address.
     pub fn reload(&self) {
         self.reloads.fetch_add(1, Relaxed);
         self.configure();
         self.signal(libc::SIGHUP);
     }
 
-    /// Has its process ended by itself?
+    /// Records a violation if the process has exited by itself, and restarts it.
     pub fn check(&self) {
         let Ok(_replacing) = self.replacing.try_lock() else { return };
         let mut process = self.process.lock().expect("no panic");
@@ -199,6 +200,7 @@
         }
     }
 
+    /// The end of the log.
     fn last_lines(&self) -> String {
         let mut text = String::new();
         let mut log = File::open(&self.log).expect("a log");
@@ -208,17 +210,17 @@
         text
     }
 
-    /// What the routers themselves counted, and panics.
+    /// The violations and panics in the router's own log.
     pub fn own_violations(&self) -> Vec<String> {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
-        let wrong = |line: &&str| {
+        let is_violation = |line: &&str| {
             line.contains("violation: ")
                 || line.contains("panic")
-                // A round that fails and is made good is none.
+                // Only a failure of the event loop that ends the process counts, not one that it recovers from.
                 || line.contains("vetchkeel-router: the loop failed")
                 || line.starts_with("counters violations:") && !line.contains("total=0")
         };
-        text.lines().filter(wrong).map(|line| format!("router {}: {line}", self.number)).collect()
+        text.lines().filter(is_violation).map(|line| format!("router {}: {line}", self.number)).collect()
     }
 }
 
