--- a/crates/router/examples/clients.rs
+++ b/crates/router/examples/clients.rs
@@ -1,9 +1,10 @@
-//! What clients cost a router's process: the built program told so many descriptors, on one member that answers at once.
-//! Clients come, ask one query each and stay; how many are still there, and the process's memory, are told at five sizes.
+//! Measures what connected clients cost a router process, with a given limit of descriptors and one member that answers at once.
+//! Clients connect, send one query each and stay connected; the number still connected and the memory of the process are printed
+//! at five sizes.
 //!
 //!     cargo run --release -p vetchkeel-router --example clients PROGRAM [CLIENTS] [SOCKETS] [MEMORY_MB]
 //!
-//! PROGRAM is the router, built in release; 7143 clients, 16384 sockets and 192 MB are usual.
+//! PROGRAM is the router, built in release; the defaults are 7143 clients, 16384 sockets and 192 MB.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -16,16 +17,17 @@
 
 const SIZES: usize = 5;
 
+/// Serves one connection of the simulated member.
 fn serve(mut stream: TcpStream) -> Option<()> {
-    let (mut input, mut opened, mut bytes) = (Vec::new(), false, [0; 4096]);
+    let (mut input, mut started, mut bytes) = (Vec::new(), false, [0; 4096]);
     loop {
         let mut out = Vec::new();
-        while !opened && let Some((_, size)) = opening(&input).ok()? {
+        while !started && let Some((_, size)) = opening(&input).ok()? {
             input.drain(..size);
-            opened = true;
+            started = true;
             welcome(&mut out, 0, 1);
         }
-        while opened && let Some(found) = message(&input).ok()? {
+        while started && let Some(found) = message(&input).ok()? {
             let size = found.size;
             parameter_status(&mut out, "role", "primary");
             if text(found.body)?.0 == b"SHOW load" {
@@ -45,12 +47,12 @@
     }
 }
 
-/// An agent that tells one list and keeps its connections.
-fn tell(listener: &TcpListener, list: &str) -> Outcome<()> {
+/// A discovery agent that sends one member list on each connection and keeps the connections open.
+fn serve_discovery(listener: &TcpListener, list: &str) -> Outcome<()> {
     let mut open = Vec::new();
     for stream in listener.incoming() {
         let mut stream = stream?;
-        let _asked = stream.read(&mut [0; 4096])?;
+        let _request = stream.read(&mut [0; 4096])?;
         let (head, size) = ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", list.len() + 1);
         write!(stream, "{head}{size:x}\r\n{list}\n\r\n")?;
         open.push(stream);
@@ -58,7 +60,7 @@
     Ok(())
 }
 
-/// A router that ends with this value.
+/// A router process and its address; the process is killed on drop.
 struct Router(Child, SocketAddr);
 
 impl Drop for Router {
@@ -68,7 +70,7 @@
     }
 }
 
-fn router(program: &str, agent: SocketAddr, sockets: usize, memory: usize) -> Outcome<Router> {
+fn start_router(program: &str, agent: SocketAddr, sockets: usize, memory: usize) -> Outcome<Router> {
     let path = std::env::temp_dir().join(format!("clients-{}.json", std::process::id()));
     let class =
         r#"{"name":"look","semantics":"pure","hard_limit_ms":60000.0,"aim_ms":60000.0,"importance":1.0}"#;
@@ -88,7 +90,7 @@
     let lines = BufReader::new(child.stderr.take().ok_or("piped")?).lines();
     let mut router = Router(child, agent);
     let mut lines = lines.map_while(Result::ok);
-    let serving = lines.find(|l| l.contains("serves on")).ok_or("it does not serve")?;
+    let serving = lines.find(|l| l.contains("serves on")).ok_or("the router does not serve")?;
     router.1 = serving.rsplit(' ').next().unwrap_or_default().parse()?;
     thread::spawn(move || lines.for_each(drop));
     Ok(router)
@@ -99,14 +101,14 @@
     input.clear();
     while !input.ends_with(b"Z\0\0\0\x05I") {
         match stream.read(&mut bytes)? {
-            0 => return Err("the router closed".into()),
+            0 => return Err("the router closed the connection".into()),
             read => input.extend_from_slice(&bytes[..read]),
         }
     }
     Ok(())
 }
 
-/// One that has been answered and stays.
+/// Connects a client and has it answered once; it stays connected.
 fn client(at: SocketAddr, number: usize) -> Outcome<TcpStream> {
     let mut stream = TcpStream::connect(at)?;
     stream.set_nodelay(true)?;
@@ -120,27 +122,29 @@
     stream.write_all(&[b"Q", &(text.len() as u32 + 4).to_be_bytes()[..], text.as_bytes()].concat())?;
     until_ready(&mut stream, &mut input)?;
     if !input.windows(5).any(|w| w == b"value") {
-        return Err(format!("not answered: {}", String::from_utf8_lossy(&input)).into());
+        return Err(format!("unexpected answer: {}", String::from_utf8_lossy(&input)).into());
     }
     Ok(stream)
 }
 
-/// Resident memory now and at the most, and processor time used, of a process. KiB and milliseconds.
+/// The resident memory of a process, its peak, and the processor time used; in KiB and milliseconds.
 fn used(pid: u32) -> Outcome<(u64, u64, u64)> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
-    let of = |name: &str| {
+    let field = |name: &str| {
         let line = status.lines().find(|l| l.starts_with(name)).and_then(|l| l.split_whitespace().nth(1));
         line.and_then(|n| n.parse().ok()).ok_or(format!("no {name}"))
     };
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let after = stat.rsplit(')').next().unwrap_or_default();
     let ticks: u64 = after.split_whitespace().skip(11).take(2).filter_map(|t| t.parse::<u64>().ok()).sum();
-    Ok((of("VmRSS:")?, of("VmHWM:")?, ticks * 10))
+    Ok((field("VmRSS:")?, field("VmHWM:")?, ticks * 10))
 }
 
 fn main() -> Outcome<()> {
-    let given: Vec<String> = std::env::args().skip(1).collect();
-    let [program, rest @ ..] = &given[..] else { return Err("expected PROGRAM [CLIENTS] [SOCKETS]".into()) };
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let [program, rest @ ..] = &arguments[..] else {
+        return Err("expected PROGRAM [CLIENTS] [SOCKETS]".into());
+    };
     let number = |at: usize, or: usize| rest.get(at).map_or(Ok(or), |n| n.parse());
     let (clients, sockets, memory) = (number(0, 7_143)?, number(1, 16_384)?, number(2, 192)?);
     let member = TcpListener::bind("127.0.0.1:0")?;
@@ -155,13 +159,13 @@
     });
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let agent = listener.local_addr()?;
-    thread::spawn(move || tell(&listener, &list));
-    let router = router(program, agent, sockets, memory)?;
+    thread::spawn(move || serve_discovery(&listener, &list));
+    let router = start_router(program, agent, sockets, memory)?;
     thread::sleep(Duration::from_secs(1));
     let (first, ..) = used(router.0.id())?;
     let mut open: Vec<TcpStream> = Vec::new();
     println!(
-        "| clients came | still there | resident KiB | the most | KiB a client | s for them to come | idle, % of a core |"
+        "| clients connected | still connected | resident KiB | peak KiB | KiB per client | s to connect | idle, % of a core |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for size in 0..=SIZES {
@@ -171,17 +175,20 @@
         }
         let took = began.elapsed().as_secs_f64();
         thread::sleep(Duration::from_millis(500));
-        let there = open.iter().filter(|s| {
+        let connected = open.iter().filter(|s| {
             s.set_nonblocking(true).is_ok()
                 && s.peek(&mut [0]).is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
         });
-        let there = there.count();
+        let connected = connected.count();
         let (.., before) = used(router.0.id())?;
         thread::sleep(Duration::from_secs(2));
-        let (resident, most, after) = used(router.0.id())?;
-        let each = if there == 0 { 0.0 } else { (resident - first) as f64 / there as f64 };
+        let (resident, peak, after) = used(router.0.id())?;
+        let per_client = if connected == 0 { 0.0 } else { (resident - first) as f64 / connected as f64 };
         let idle = (after - before) as f64 / 20.0;
-        println!("| {} | {there} | {resident} | {most} | {each:.2} | {took:.1} | {idle:.1} |", open.len());
+        println!(
+            "| {} | {connected} | {resident} | {peak} | {per_client:.2} | {took:.1} | {idle:.1} |",
+            open.len()
+        );
     }
     Ok(())
 }
--- a/crates/router/examples/faults/layout.rs
+++ b/crates/router/examples/faults/layout.rs
@@ -1,56 +1,58 @@
-//! The control file that a test shares with the library of failing system calls: 64 words of 64 bits.
+//! The layout of the control file that a test shares with the fault-injection library: 64 words of 64 bits.
 
-/// A system call that fails, or does less than it was asked for.
+/// A fault of a system call: an error, a partial transfer or a delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Fault {
-    /// A socket takes a part of what is written.
+    /// A write to a socket is partial.
     ShortSend,
     /// `EINTR` from a write to a socket.
     InterruptedSend,
-    /// `EAGAIN` from a write to a socket that could take more.
+    /// `EAGAIN` from a write to a socket whose buffer has space.
     RefusedSend,
     /// `ENOBUFS` from a write to a socket.
     StarvedSend,
-    /// A socket hands out a part of what has come.
+    /// A read of a socket returns a part of the bytes that have arrived.
     ShortReceive,
     /// `EINTR` from a read of a socket.
     InterruptedReceive,
-    /// `EAGAIN` from a read of a socket on which bytes lie.
+    /// `EAGAIN` from a read of a socket that has bytes to read.
     RefusedReceive,
-    /// The connection breaks, and a read says `ETIMEDOUT` or `EHOSTUNREACH`.
+    /// The connection is shut down, and a read fails with `ETIMEDOUT` or `EHOSTUNREACH`.
     BrokenReceive,
     /// `EADDRNOTAVAIL`, `ENETUNREACH` or `ENOBUFS` from a connect.
     FailedConnect,
-    /// `EINTR` from a connect that goes on.
+    /// `EINTR` from a connect that continues in the background.
     InterruptedConnect,
-    /// `ENFILE` or `ENOBUFS` from the call for a socket.
+    /// `ENFILE` or `ENOBUFS` from the creation of a socket.
     FailedSocket,
     /// `ECONNABORTED`, `ENFILE`, `ENOBUFS`, `EMFILE` or `EAGAIN` from an accept.
     FailedAccept,
     /// `EINTR` from a poll.
     InterruptedPoll,
-    /// `EINTR` from a read of a descriptor that is no socket.
+    /// `EINTR` from a read of a descriptor that is not a socket.
     InterruptedRead,
     /// `EPIPE`, `ENOSPC` or `EIO` from a write to the standard error stream.
     FailedLog,
-    /// 100 to 150 ms pass between reading the monotonic clock and returning its time, once in 300 ms at most.
+    /// A delay of 100 to 150 ms between reading the monotonic clock and returning its time, at most once in 300 ms.
     HeldUp,
-    /// 100 to 150 ms pass before a gathered write to a socket, as the program writes to members.
+    /// A delay of 100 to 150 ms before a gathered write to a socket, which is how the router writes to members.
     HeldSend,
-    /// 300 ms pass before a read of a socket, as a page fault or a busy machine may take.
+    /// A delay of 300 ms before a read of a socket, as a page fault or a busy machine may cause.
     HeldReceive,
-    /// 100 to 150 ms pass before a plain write to a socket, as the program opens connections.
+    /// A delay of 100 to 150 ms before a plain write to a socket, which is how the router opens connections.
     HeldOpening,
-    /// 100 to 150 ms pass behind a gathered write to a socket, before its caller goes on.
+    /// A delay of 100 to 150 ms after a gathered write to a socket, before the call returns.
     HeldSent,
 }
 
+/// The number of faults.
 pub const FAULTS: usize = 20;
-/// The words before: how often each fault comes, in a million calls. From here on: how often it has come.
+/// The words before this one hold the rate of each fault, in a million calls. From this one on they count how often each fault
+/// has been injected.
 pub const INJECTED: usize = 20;
-/// By how many microseconds the wall clock is wrong; a signed number.
+/// The offset of the wall clock in microseconds, as a signed number.
 pub const WALL_CLOCK: usize = 40;
-/// What the library's random numbers start from.
+/// The seed of the library's random numbers.
 pub const SEED: usize = 41;
 pub const WORDS: usize = 64;
--- a/crates/router/examples/faults/lib.rs
+++ b/crates/router/examples/faults/lib.rs
@@ -1,5 +1,5 @@
-//! System calls that fail as Linux documents them: a library for `LD_PRELOAD`, controlled by a file that a test shares
-//! with it and names in `FAULT_CONTROL`. For tests alone.
+//! Fault injection for tests: a library for `LD_PRELOAD` whose system calls fail in the ways that Linux documents. It is
+//! controlled by a file that the test shares with it and names in `FAULT_CONTROL`.
 
 mod layout;
 
@@ -10,19 +10,19 @@
 static CONTROL: AtomicPtr<AtomicU64> = AtomicPtr::new(std::ptr::null_mut());
 static RANDOM: AtomicU64 = AtomicU64::new(0);
 
-/// The control file's words, mapped at the first call; none where no file is named.
+/// The words of the control file, mapped at the first call; `None` if no file is named.
 fn words() -> Option<&'static [AtomicU64; WORDS]> {
     let mut at = CONTROL.load(Relaxed);
     if at.is_null() {
         at = map().unwrap_or(std::ptr::dangling_mut());
         CONTROL.store(at, Relaxed);
     }
-    // SAFETY: the mapping has that many words, is aligned to a page and stays for as long as the process.
+    // SAFETY: the mapping has that many words, is aligned to a page and is never unmapped.
     (at != std::ptr::dangling_mut()).then(|| unsafe { &*at.cast() })
 }
 
 fn map() -> Option<*mut AtomicU64> {
-    // SAFETY: names end with a zero; the mapping is shared, readable and writable.
+    // SAFETY: the strings are NUL-terminated; the mapping is shared, readable and writable.
     unsafe {
         let path = libc::getenv(c"FAULT_CONTROL".as_ptr());
         if path.is_null() {
@@ -49,11 +49,11 @@
     state.wrapping_mul(0x2545_f491_4f6c_dd1d) >> 32
 }
 
-/// Whether this call meets the fault; then a random number to choose its form.
-fn meets(fault: Fault) -> Option<u64> {
+/// Decides whether to inject the fault into this call; if so, returns a random number to choose its form.
+fn injects(fault: Fault) -> Option<u64> {
     let words = words()?;
-    let often = words[fault as usize].load(Relaxed);
-    if often == 0 || random(words) % 1_000_000 >= often {
+    let rate = words[fault as usize].load(Relaxed);
+    if rate == 0 || random(words) % 1_000_000 >= rate {
         return None;
     }
     words[INJECTED + (fault as usize) % FAULTS].fetch_add(1, Relaxed);
@@ -61,7 +61,7 @@
 }
 
 fn fail<T: From<i8>>(error: c_int) -> T {
-    // SAFETY: the C library hands out this thread's own.
+    // SAFETY: the C library returns the address of this thread's errno.
     unsafe { *libc::__errno_location() = error };
     T::from(-1)
 }
@@ -73,196 +73,198 @@
 fn is_socket(descriptor: c_int) -> bool {
     let (mut kind, mut size): (c_int, socklen_t) = (0, 4);
     // SAFETY: the system writes one number.
-    let asked = unsafe {
+    let result = unsafe {
         let kind = (&raw mut kind).cast::<c_void>();
         libc::syscall(libc::SYS_getsockopt, descriptor, libc::SOL_SOCKET, libc::SO_TYPE, kind, &mut size)
     };
-    asked == 0 && kind == libc::SOCK_STREAM
+    result == 0 && kind == libc::SOCK_STREAM
 }
 
-/// The error that a write to a socket meets.
-fn refused_send() -> Option<c_int> {
-    let met = |fault, error| meets(fault).map(|_| error);
-    met(Fault::InterruptedSend, libc::EINTR)
-        .or_else(|| met(Fault::RefusedSend, libc::EAGAIN))
-        .or_else(|| met(Fault::StarvedSend, libc::ENOBUFS))
+/// The error to inject into a write to a socket, if any.
+fn send_error() -> Option<c_int> {
+    let inject = |fault, error| injects(fault).map(|_| error);
+    inject(Fault::InterruptedSend, libc::EINTR)
+        .or_else(|| inject(Fault::RefusedSend, libc::EAGAIN))
+        .or_else(|| inject(Fault::StarvedSend, libc::ENOBUFS))
 }
 
+/// The size of a transfer, reduced at random if the fault is injected.
 fn shortened(size: size_t, fault: Fault) -> size_t {
-    meets(fault).map_or(size, |choice| if size > 1 { 1 + choice as usize % (size - 1) } else { size })
+    injects(fault).map_or(size, |choice| if size > 1 { 1 + choice as usize % (size - 1) } else { size })
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn send(to: c_int, bytes: *const c_void, size: size_t, flags: c_int) -> ssize_t {
-    if meets(Fault::HeldOpening).is_some() {
-        hold_up();
+    if injects(Fault::HeldOpening).is_some() {
+        stall();
     }
-    if let Some(error) = refused_send() {
+    if let Some(error) = send_error() {
         return fail(error);
     }
     let size = shortened(size, Fault::ShortSend);
     let none = std::ptr::null::<c_void>();
-    // SAFETY: as the caller gave it, and no more of it.
+    // SAFETY: the caller's arguments, with a size that is not larger.
     unsafe { libc::syscall(libc::SYS_sendto, to, bytes, size, flags, none, 0) as ssize_t }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn writev(to: c_int, parts: *const libc::iovec, count: c_int) -> ssize_t {
     if !is_socket(to) {
-        // SAFETY: as the caller gave it.
+        // SAFETY: the caller's arguments are passed on unchanged.
         return unsafe { libc::syscall(libc::SYS_writev, to, parts, count) as ssize_t };
     }
-    if meets(Fault::HeldSend).is_some() {
-        hold_up();
+    if injects(Fault::HeldSend).is_some() {
+        stall();
     }
-    if let Some(error) = refused_send() {
+    if let Some(error) = send_error() {
         return fail(error);
     }
-    // SAFETY: the caller gave that many.
+    // SAFETY: the caller passes `count` parts.
     let parts = unsafe { std::slice::from_raw_parts(parts, count as usize) };
     let whole: usize = parts.iter().map(|part| part.iov_len).sum();
     let mut left = shortened(whole, Fault::ShortSend);
-    let mut some = [libc::iovec { iov_base: std::ptr::null_mut(), iov_len: 0 }; 64];
+    let mut kept = [libc::iovec { iov_base: std::ptr::null_mut(), iov_len: 0 }; 64];
     let mut used = 0;
-    for part in parts.iter().take(some.len()) {
+    for part in parts.iter().take(kept.len()) {
         let take = part.iov_len.min(left);
-        some[used] = libc::iovec { iov_base: part.iov_base, iov_len: take };
+        kept[used] = libc::iovec { iov_base: part.iov_base, iov_len: take };
         (used, left) = (used + 1, left - take);
     }
-    // SAFETY: a part of what the caller gave.
-    let written = unsafe { libc::syscall(libc::SYS_writev, to, some.as_ptr(), used) as ssize_t };
-    if meets(Fault::HeldSent).is_some() {
-        hold_up();
+    // SAFETY: parts of the caller's buffers.
+    let written = unsafe { libc::syscall(libc::SYS_writev, to, kept.as_ptr(), used) as ssize_t };
+    if injects(Fault::HeldSent).is_some() {
+        stall();
     }
     written
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn recv(from: c_int, bytes: *mut c_void, size: size_t, flags: c_int) -> ssize_t {
-    if meets(Fault::HeldReceive).is_some() {
-        pause(HELD_RECEIVE);
+    if injects(Fault::HeldReceive).is_some() {
+        pause(RECEIVE_DELAY_MS);
     }
-    if meets(Fault::InterruptedReceive).is_some() {
+    if injects(Fault::InterruptedReceive).is_some() {
         return fail(libc::EINTR);
     }
-    if meets(Fault::RefusedReceive).is_some() {
+    if injects(Fault::RefusedReceive).is_some() {
         return fail(libc::EAGAIN);
     }
-    if let Some(choice) = meets(Fault::BrokenReceive) {
-        // SAFETY: only numbers are given.
+    if let Some(choice) = injects(Fault::BrokenReceive) {
+        // SAFETY: only numbers are passed.
         unsafe { libc::syscall(libc::SYS_shutdown, from, libc::SHUT_RDWR) };
         return fail(one_of(&[libc::ETIMEDOUT, libc::EHOSTUNREACH], choice));
     }
-    let size = meets(Fault::ShortReceive).map_or(size, |choice| size.min(1 + choice as usize % 64));
+    let size = injects(Fault::ShortReceive).map_or(size, |choice| size.min(1 + choice as usize % 64));
     let (none, no_size) = (std::ptr::null_mut::<c_void>(), std::ptr::null_mut::<socklen_t>());
-    // SAFETY: as the caller gave it, and no more of it.
+    // SAFETY: the caller's arguments, with a size that is not larger.
     unsafe { libc::syscall(libc::SYS_recvfrom, from, bytes, size, flags, none, no_size) as ssize_t }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn read(from: c_int, bytes: *mut c_void, size: size_t) -> ssize_t {
-    if meets(Fault::InterruptedRead).is_some() {
+    if injects(Fault::InterruptedRead).is_some() {
         return fail(libc::EINTR);
     }
-    // SAFETY: as the caller gave it.
+    // SAFETY: the caller's arguments are passed on unchanged.
     unsafe { libc::syscall(libc::SYS_read, from, bytes, size) as ssize_t }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn write(to: c_int, bytes: *const c_void, size: size_t) -> ssize_t {
     if to == libc::STDERR_FILENO
-        && let Some(choice) = meets(Fault::FailedLog)
+        && let Some(choice) = injects(Fault::FailedLog)
     {
         return fail(one_of(&[libc::EPIPE, libc::ENOSPC, libc::EIO], choice));
     }
-    // SAFETY: as the caller gave it.
+    // SAFETY: the caller's arguments are passed on unchanged.
     unsafe { libc::syscall(libc::SYS_write, to, bytes, size) as ssize_t }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn connect(socket: c_int, to: *const libc::sockaddr, size: socklen_t) -> c_int {
-    if let Some(choice) = meets(Fault::FailedConnect) {
+    if let Some(choice) = injects(Fault::FailedConnect) {
         return fail(one_of(&[libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENOBUFS], choice));
     }
-    // SAFETY: as the caller gave it.
+    // SAFETY: the caller's arguments are passed on unchanged.
     let connected = unsafe { libc::syscall(libc::SYS_connect, socket, to, size) as c_int };
-    if meets(Fault::InterruptedConnect).is_some() { fail(libc::EINTR) } else { connected }
+    if injects(Fault::InterruptedConnect).is_some() { fail(libc::EINTR) } else { connected }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    if let Some(choice) = meets(Fault::FailedSocket) {
+    if let Some(choice) = injects(Fault::FailedSocket) {
         return fail(one_of(&[libc::ENFILE, libc::ENOBUFS], choice));
     }
-    // SAFETY: only numbers are given.
+    // SAFETY: only numbers are passed.
     unsafe { libc::syscall(libc::SYS_socket, domain, kind, protocol) as c_int }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn accept4(
     listener: c_int,
-    whom: *mut libc::sockaddr,
+    address: *mut libc::sockaddr,
     size: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if let Some(choice) = meets(Fault::FailedAccept) {
+    if let Some(choice) = injects(Fault::FailedAccept) {
         let errors = [libc::ECONNABORTED, libc::ENFILE, libc::ENOBUFS, libc::EMFILE, libc::EAGAIN];
         return fail(one_of(&errors, choice));
     }
-    // SAFETY: as the caller gave it.
-    unsafe { libc::syscall(libc::SYS_accept4, listener, whom, size, flags) as c_int }
+    // SAFETY: the caller's arguments are passed on unchanged.
+    unsafe { libc::syscall(libc::SYS_accept4, listener, address, size, flags) as c_int }
 }
 
 #[unsafe(no_mangle)]
-unsafe extern "C" fn poll(asked: *mut libc::pollfd, count: libc::nfds_t, wait: c_int) -> c_int {
-    if meets(Fault::InterruptedPoll).is_some() {
+unsafe extern "C" fn poll(entries: *mut libc::pollfd, count: libc::nfds_t, timeout: c_int) -> c_int {
+    if injects(Fault::InterruptedPoll).is_some() {
         return fail(libc::EINTR);
     }
-    // SAFETY: as the caller gave it.
-    unsafe { libc::syscall(libc::SYS_poll, asked, count, wait) as c_int }
+    // SAFETY: the caller's arguments are passed on unchanged.
+    unsafe { libc::syscall(libc::SYS_poll, entries, count, timeout) as c_int }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, time: *mut libc::timespec) -> c_int {
-    // SAFETY: as the caller gave it.
+    // SAFETY: the caller's arguments are passed on unchanged.
     let read = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, time) as c_int };
     if clock == libc::CLOCK_REALTIME
         && let Some(words) = words()
     {
-        let wrong = words[WALL_CLOCK].load(Relaxed) as i64;
+        let offset = words[WALL_CLOCK].load(Relaxed) as i64;
         // SAFETY: the system has just written it.
         let time = unsafe { &mut *time };
-        let nanos = time.tv_sec * 1_000_000_000 + time.tv_nsec + wrong * 1_000;
+        let nanos = time.tv_sec * 1_000_000_000 + time.tv_nsec + offset * 1_000;
         (time.tv_sec, time.tv_nsec) =
             (nanos.div_euclid(1_000_000_000), nanos.rem_euclid(1_000_000_000) as c_long);
     }
     // SAFETY: the system has just written it.
-    if clock == libc::CLOCK_MONOTONIC && may_be_held_up(unsafe { &*time }) {
-        hold_up();
+    if clock == libc::CLOCK_MONOTONIC && should_stall(unsafe { &*time }) {
+        stall();
     }
     read
 }
 
-/// Milliseconds of the monotonic clock at which the last hold-up began.
-static HELD_UP: AtomicU64 = AtomicU64::new(0);
-const HOLD_UPS_APART: u64 = 300;
+/// When the last stall of the clock began, in milliseconds of the monotonic clock.
+static LAST_STALL_MS: AtomicU64 = AtomicU64::new(0);
+const MIN_STALL_INTERVAL_MS: u64 = 300;
 
-fn may_be_held_up(time: &libc::timespec) -> bool {
+/// Decides whether to inject a stall after this reading of the clock.
+fn should_stall(time: &libc::timespec) -> bool {
     let now = time.tv_sec as u64 * 1_000 + time.tv_nsec as u64 / 1_000_000;
-    let due = now >= HELD_UP.load(Relaxed) + HOLD_UPS_APART && meets(Fault::HeldUp).is_some();
+    let due = now >= LAST_STALL_MS.load(Relaxed) + MIN_STALL_INTERVAL_MS && injects(Fault::HeldUp).is_some();
     if due {
-        HELD_UP.store(now, Relaxed);
+        LAST_STALL_MS.store(now, Relaxed);
     }
     due
 }
 
-fn hold_up() {
+/// Delays the caller by 100 to 150 ms.
+fn stall() {
     let Some(words) = words() else { return };
     pause(100 + random(words) % 50);
 }
 
-/// Milliseconds that pass before a read.
-const HELD_RECEIVE: u64 = 300;
+const RECEIVE_DELAY_MS: u64 = 300;
 
 fn pause(ms: u64) {
     let span = libc::timespec { tv_sec: 0, tv_nsec: ms as c_long * 1_000_000 };
--- a/crates/router/examples/member.rs
+++ b/crates/router/examples/member.rs
@@ -1,4 +1,4 @@
-//! A member to try the router by hand: it says that it is the primary and answers every command with `value`.
+//! A simulated member for trying the router by hand. It reports the primary role and answers every command with `value`.
 //!
 //!     cargo run --release -p vetchkeel-router --example member 127.0.0.1:5433
 
@@ -22,16 +22,16 @@
 }
 
 fn serve(mut stream: TcpStream) -> Option<()> {
-    let (mut input, mut opened) = (Vec::new(), false);
+    let (mut input, mut started) = (Vec::new(), false);
     let mut bytes = [0; 4096];
     loop {
         let mut out = Vec::new();
-        while !opened && let Some((_, size)) = opening(&input).ok()? {
+        while !started && let Some((_, size)) = opening(&input).ok()? {
             input.drain(..size);
-            opened = true;
+            started = true;
             welcome(&mut out, 0, 1);
         }
-        while opened && let Some(found) = message(&input).ok()? {
+        while started && let Some(found) = message(&input).ok()? {
             match found.kind {
                 b'Q' => out.extend(answer(text(found.body)?.0)),
                 _ => return None,
--- a/crates/router/examples/paired.rs
+++ b/crates/router/examples/paired.rs
@@ -1,5 +1,6 @@
-//! What the fleet's thread costs commands: a router built without the feature `fleet`, one built with it and off, and one
-//! with it and on beside another, in turn, on one member that answers at once. Eight clients, each with one command at a time.
+//! Measures what the fleet thread costs commands. Three routers are measured in turn, on one member that answers at once: one built
+//! without the feature `fleet`, one built with it but not using it, and one that is in a fleet with another router. Eight clients
+//! send one command at a time each.
 //!
 //!     cargo run --release -p vetchkeel-router --example paired PLAIN FLEET [ROUNDS]
 //!
@@ -18,16 +19,17 @@
 const CLIENTS: usize = 8;
 const ROUND: Duration = Duration::from_secs(2);
 
+/// Serves one connection of the simulated member.
 fn serve(mut stream: TcpStream) -> Option<()> {
-    let (mut input, mut opened, mut bytes) = (Vec::new(), false, [0; 4096]);
+    let (mut input, mut started, mut bytes) = (Vec::new(), false, [0; 4096]);
     loop {
         let mut out = Vec::new();
-        while !opened && let Some((_, size)) = opening(&input).ok()? {
+        while !started && let Some((_, size)) = opening(&input).ok()? {
             input.drain(..size);
-            opened = true;
+            started = true;
             welcome(&mut out, 0, 1);
         }
-        while opened && let Some(found) = message(&input).ok()? {
+        while started && let Some(found) = message(&input).ok()? {
             let size = found.size;
             parameter_status(&mut out, "role", "primary");
             if text(found.body)?.0 == b"SHOW load" {
@@ -47,12 +49,12 @@
     }
 }
 
-/// An agent that tells one list and keeps its connections.
-fn tell(listener: &TcpListener, list: &str) -> Outcome<()> {
+/// A discovery agent that sends one member list on each connection and keeps the connections open.
+fn serve_discovery(listener: &TcpListener, list: &str) -> Outcome<()> {
     let mut open = Vec::new();
     for stream in listener.incoming() {
         let mut stream = stream?;
-        let _asked = stream.read(&mut [0; 4096])?;
+        let _request = stream.read(&mut [0; 4096])?;
         let (head, size) = ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", list.len() + 1);
         write!(stream, "{head}{size:x}\r\n{list}\n\r\n")?;
         open.push(stream);
@@ -60,7 +62,7 @@
     Ok(())
 }
 
-/// A router that ends with this value.
+/// A router process and its address; the process is killed on drop.
 struct Router(Child, SocketAddr);
 
 impl Drop for Router {
@@ -70,7 +72,7 @@
     }
 }
 
-fn router(
+fn start_router(
     program: &str,
     name: &str,
     agent: SocketAddr,
@@ -104,7 +106,7 @@
     let lines = BufReader::new(child.stderr.take().ok_or("piped")?).lines();
     let mut router = Router(child, agent);
     let mut lines = lines.map_while(Result::ok);
-    let serving = lines.find(|l| l.contains("serves on")).ok_or("it does not serve")?;
+    let serving = lines.find(|l| l.contains("serves on")).ok_or("the router does not serve")?;
     router.1 = serving.rsplit(' ').next().unwrap_or_default().parse()?;
     thread::spawn(move || lines.for_each(drop));
     Ok(router)
@@ -114,14 +116,14 @@
     let mut bytes = [0; 4096];
     while !input.ends_with(b"Z\0\0\0\x05I") {
         match stream.read(&mut bytes)? {
-            0 => return Err("the router closed".into()),
+            0 => return Err("the router closed the connection".into()),
             read => input.extend_from_slice(&bytes[..read]),
         }
     }
     Ok(())
 }
 
-/// Latencies in microseconds of one client's answered commands.
+/// Runs one client for a round; returns the latencies of its commands in microseconds.
 fn client(at: SocketAddr, number: usize) -> Outcome<Vec<u64>> {
     let mut stream = TcpStream::connect(at)?;
     stream.set_nodelay(true)?;
@@ -139,14 +141,14 @@
         input.clear();
         until_ready(&mut stream, &mut input)?;
         if !input.windows(5).any(|w| w == b"value") {
-            return Err(format!("not answered: {}", String::from_utf8_lossy(&input)).into());
+            return Err(format!("unexpected answer: {}", String::from_utf8_lossy(&input)).into());
         }
         took.push(sent.elapsed().as_micros() as u64);
     }
     Ok(took)
 }
 
-/// Commands a second, and the 99th percentile in microseconds.
+/// Runs one round; returns the commands per second and the 99th percentile of the latency in microseconds.
 fn round(at: SocketAddr) -> Outcome<(f64, f64)> {
     let clients: Vec<_> = (0..CLIENTS).map(|i| thread::spawn(move || client(at, i))).collect();
     let mut all = Vec::new();
@@ -157,6 +159,7 @@
     Ok((all.len() as f64 / ROUND.as_secs_f64(), all[all.len() * 99 / 100] as f64))
 }
 
+/// Formats the median, minimum and maximum.
 fn spread(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
     let at = |part: f64| values[((values.len() - 1) as f64 * part).round() as usize];
@@ -164,8 +167,10 @@
 }
 
 fn main() -> Outcome<()> {
-    let given: Vec<String> = std::env::args().skip(1).collect();
-    let [plain, built, rest @ ..] = &given[..] else { return Err("expected PLAIN FLEET [ROUNDS]".into()) };
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let [plain, built, rest @ ..] = &arguments[..] else {
+        return Err("expected PLAIN FLEET [ROUNDS]".into());
+    };
     let rounds: usize = rest.first().map_or(Ok(10), |r| r.parse())?;
     let member = TcpListener::bind("127.0.0.1:0")?;
     let list = format!(
@@ -179,28 +184,28 @@
     });
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let agent = listener.local_addr()?;
-    thread::spawn(move || tell(&listener, &list));
+    thread::spawn(move || serve_discovery(&listener, &list));
     let free = || UdpSocket::bind("127.0.0.1:0").and_then(|s| s.local_addr());
     let (own, other) = (free()?, free()?);
-    let _other = router(built, "other", agent, Some((other, own)))?;
+    let _other = start_router(built, "other", agent, Some((other, own)))?;
     let kinds = [
-        ("not built", router(plain, "plain", agent, None)?),
-        ("built, off", router(built, "off", agent, None)?),
-        ("built, on", router(built, "on", agent, Some((own, other)))?),
+        ("not built", start_router(plain, "plain", agent, None)?),
+        ("built, off", start_router(built, "off", agent, None)?),
+        ("built, on", start_router(built, "on", agent, Some((own, other)))?),
     ];
     thread::sleep(Duration::from_secs(1));
-    let mut found = vec![Vec::new(); kinds.len()];
-    // In turn, and each round begins with another one; the first is for warmth alone.
+    let mut results = vec![Vec::new(); kinds.len()];
+    // The routers take turns, and each round starts with a different one. The first round is a warm-up and is not counted.
     for r in 0..=rounds {
         for i in (0..kinds.len()).map(|i| (i + r) % kinds.len()) {
-            found[i].push(round(kinds[i].1.1)?);
+            results[i].push(round(kinds[i].1.1)?);
         }
     }
-    for ((name, _), rounds) in kinds.iter().zip(&found) {
-        let part = |of: fn(&(f64, f64)) -> f64| rounds[1..].iter().map(of).collect::<Vec<_>>();
-        let pairs = rounds[1..].iter().zip(&found[0][1..]).map(|(a, b)| a.0 / b.0).collect();
-        let (rate, p99) = (spread(part(|r| r.0)), spread(part(|r| r.1)));
-        println!("{name}: commands/s {rate}, p99 us {p99}, of not built {}", spread(pairs));
+    for ((name, _), rounds) in kinds.iter().zip(&results) {
+        let values = |of: fn(&(f64, f64)) -> f64| rounds[1..].iter().map(of).collect::<Vec<_>>();
+        let ratios = rounds[1..].iter().zip(&results[0][1..]).map(|(a, b)| a.0 / b.0).collect();
+        let (rate, p99) = (spread(values(|r| r.0)), spread(values(|r| r.1)));
+        println!("{name}: commands/s {rate}, p99 us {p99}, rate relative to not built {}", spread(ratios));
     }
     Ok(())
 }
