--- a/crates/router/examples/clients.rs
+++ b/crates/router/examples/clients.rs
@@ -141,10 +141,8 @@
 }
 
 fn main() -> Outcome<()> {
-    let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let [program, rest @ ..] = &arguments[..] else {
-        return Err("expected PROGRAM [CLIENTS] [SOCKETS]".into());
-    };
+    let args: Vec<String> = std::env::args().skip(1).collect();
+    let [program, rest @ ..] = &args[..] else { return Err("expected PROGRAM [CLIENTS] [SOCKETS]".into()) };
     let number = |at: usize, or: usize| rest.get(at).map_or(Ok(or), |n| n.parse());
     let (clients, sockets, memory) = (number(0, 7_143)?, number(1, 16_384)?, number(2, 192)?);
     let member = TcpListener::bind("127.0.0.1:0")?;
--- a/crates/router/examples/paired.rs
+++ b/crates/router/examples/paired.rs
@@ -1,6 +1,6 @@
-//! Measures what the fleet thread costs commands. Three routers are measured in turn, on one member that answers at once: one built
-//! without the feature `fleet`, one built with it but not using it, and one that is in a fleet with another router. Eight clients
-//! send one command at a time each.
+//! Measures what the fleet thread costs commands. Three routers are measured in turn, on one member that answers at once: one
+//! built without the feature `fleet`, one built with it but not using it, and one that is in a fleet with another router. Eight
+//! clients send one command at a time each.
 //!
 //!     cargo run --release -p vetchkeel-router --example paired PLAIN FLEET [ROUNDS]
 //!
@@ -167,10 +167,8 @@
 }
 
 fn main() -> Outcome<()> {
-    let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let [plain, built, rest @ ..] = &arguments[..] else {
-        return Err("expected PLAIN FLEET [ROUNDS]".into());
-    };
+    let args: Vec<String> = std::env::args().skip(1).collect();
+    let [plain, built, rest @ ..] = &args[..] else { return Err("expected PLAIN FLEET [ROUNDS]".into()) };
     let rounds: usize = rest.first().map_or(Ok(10), |r| r.parse())?;
     let member = TcpListener::bind("127.0.0.1:0")?;
     let list = format!(
--- a/crates/router/tests/soak/troubles.rs
+++ b/crates/router/tests/soak/troubles.rs
@@ -127,7 +127,7 @@
 /// keeps its role.
 const TIME_BETWEEN_PAUSES: Duration = Duration::from_millis(80);
 const HANDOVER: Duration = Duration::from_millis(30);
-const PRIMARY_SPAN: Duration = Duration::from_millis(400);
+const PRIMARY_TERM: Duration = Duration::from_millis(400);
 /// The minimum time after which a hung primary is replaced.
 const DETECTION_TIME: Duration = Duration::from_millis(1_200);
 
@@ -345,7 +345,7 @@
             demote(old);
             thread::sleep(HANDOVER);
             next.history().become_primary(Instant::now());
-            thread::sleep(PRIMARY_SPAN);
+            thread::sleep(PRIMARY_TERM);
             old.history().resume(Instant::now());
         }
     }
