--- a/crates/router/tests/common/history.rs
+++ b/crates/router/tests/common/history.rs
@@ -98,7 +98,7 @@
     }
 
     /// Records that a router received an answer with the replica role, computed at `computed_at`. An answer from before the
-    /// member's last time as the primary is ignored: it proves nothing about its role since then.
+    /// end of the member's last time as the primary is ignored: it proves nothing about the role since then.
     pub fn replica_role_sent(&mut self, router: usize, computed_at: Instant, delivered_at: Instant) {
         let last_step_down = self.primary_spans.last().and_then(|span| span.to);
         if last_step_down.is_some_and(|to| computed_at >= to) {
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -87,7 +87,7 @@
 }
 
 /// Waits until the other end's host has acknowledged all bytes, which can take a while on a busy machine. A reset counts as
-/// well: after one, the kernel still counts bytes that were never acknowledged.
+/// well: the end that sends it has seen the bytes, and the kernel goes on counting those that were never acknowledged.
 pub fn delivered(stream: &TcpStream) {
     let (mut unacked, began): (libc::c_int, _) = (1, Instant::now());
     while unacked > 0 && !is_reset(stream) {
--- a/crates/router/tests/freshness/cluster.rs
+++ b/crates/router/tests/freshness/cluster.rs
@@ -130,7 +130,7 @@
         cluster
     }
 
-    /// Makes the primary a replica that applies nothing until it is resumed; another member takes over.
+    /// Makes the primary a replica that applies nothing for a while; another member takes over.
     pub fn hand_over(&self, from: usize, to: usize) {
         let old = &self.members[from];
         let now = Instant::now();
--- a/crates/router/tests/freshness/main.rs
+++ b/crates/router/tests/freshness/main.rs
@@ -220,7 +220,7 @@
     }
 }
 
-/// Hands the primary role over repeatedly; each former primary applies nothing until it is the primary again.
+/// Hands the primary role over repeatedly; each former primary applies nothing for a while.
 fn hand_over_repeatedly(cluster: &Cluster, every: Duration, until: Instant) {
     let mut rng = Rng::new(7);
     let mut primary = 0;
