--- a/crates/router/examples/faults/layout.rs
+++ b/crates/router/examples/faults/layout.rs
@@ -9,15 +9,15 @@
     /// `EINTR` from a write to a socket.
     InterruptedSend,
     /// `EAGAIN` from a write to a socket whose buffer has space.
-    RefusedSend,
+    BlockedSend,
     /// `ENOBUFS` from a write to a socket.
-    StarvedSend,
+    NoBufferSend,
     /// A read of a socket returns a part of the bytes that have arrived.
     ShortReceive,
     /// `EINTR` from a read of a socket.
     InterruptedReceive,
     /// `EAGAIN` from a read of a socket that has bytes to read.
-    RefusedReceive,
+    BlockedReceive,
     /// The connection is shut down, and a read fails with `ETIMEDOUT` or `EHOSTUNREACH`.
     BrokenReceive,
     /// `EADDRNOTAVAIL`, `ENETUNREACH` or `ENOBUFS` from a connect.
@@ -35,15 +35,15 @@
     /// `EPIPE`, `ENOSPC` or `EIO` from a write to the standard error stream.
     FailedLog,
     /// A delay of 100 to 150 ms between reading the monotonic clock and returning its time, at most once in 300 ms.
-    HeldUp,
+    ClockStall,
     /// A delay of 100 to 150 ms before a gathered write to a socket, which is how the router writes to members.
-    HeldSend,
+    DelayedSend,
     /// A delay of 300 ms before a read of a socket, as a page fault or a busy machine may cause.
-    HeldReceive,
+    DelayedReceive,
     /// A delay of 100 to 150 ms before a plain write to a socket, which is how the router opens connections.
-    HeldOpening,
+    DelayedPlainSend,
     /// A delay of 100 to 150 ms after a gathered write to a socket, before the call returns.
-    HeldSent,
+    DelayedSendReturn,
 }
 
 /// The number of faults.
--- a/crates/router/examples/faults/lib.rs
+++ b/crates/router/examples/faults/lib.rs
@@ -84,8 +84,8 @@
 fn send_error() -> Option<c_int> {
     let inject = |fault, error| injects(fault).map(|_| error);
     inject(Fault::InterruptedSend, libc::EINTR)
-        .or_else(|| inject(Fault::RefusedSend, libc::EAGAIN))
-        .or_else(|| inject(Fault::StarvedSend, libc::ENOBUFS))
+        .or_else(|| inject(Fault::BlockedSend, libc::EAGAIN))
+        .or_else(|| inject(Fault::NoBufferSend, libc::ENOBUFS))
 }
 
 /// The size of a transfer, reduced at random if the fault is injected.
@@ -95,7 +95,7 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn send(to: c_int, bytes: *const c_void, size: size_t, flags: c_int) -> ssize_t {
-    if injects(Fault::HeldOpening).is_some() {
+    if injects(Fault::DelayedPlainSend).is_some() {
         stall();
     }
     if let Some(error) = send_error() {
@@ -113,7 +113,7 @@
         // SAFETY: the caller's arguments are passed on unchanged.
         return unsafe { libc::syscall(libc::SYS_writev, to, parts, count) as ssize_t };
     }
-    if injects(Fault::HeldSend).is_some() {
+    if injects(Fault::DelayedSend).is_some() {
         stall();
     }
     if let Some(error) = send_error() {
@@ -132,7 +132,7 @@
     }
     // SAFETY: parts of the caller's buffers.
     let written = unsafe { libc::syscall(libc::SYS_writev, to, kept.as_ptr(), used) as ssize_t };
-    if injects(Fault::HeldSent).is_some() {
+    if injects(Fault::DelayedSendReturn).is_some() {
         stall();
     }
     written
@@ -140,13 +140,13 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn recv(from: c_int, bytes: *mut c_void, size: size_t, flags: c_int) -> ssize_t {
-    if injects(Fault::HeldReceive).is_some() {
+    if injects(Fault::DelayedReceive).is_some() {
         pause(RECEIVE_DELAY_MS);
     }
     if injects(Fault::InterruptedReceive).is_some() {
         return fail(libc::EINTR);
     }
-    if injects(Fault::RefusedReceive).is_some() {
+    if injects(Fault::BlockedReceive).is_some() {
         return fail(libc::EAGAIN);
     }
     if let Some(choice) = injects(Fault::BrokenReceive) {
@@ -251,7 +251,8 @@
 /// Decides whether to inject a stall after this reading of the clock.
 fn should_stall(time: &libc::timespec) -> bool {
     let now = time.tv_sec as u64 * 1_000 + time.tv_nsec as u64 / 1_000_000;
-    let due = now >= LAST_STALL_MS.load(Relaxed) + MIN_STALL_INTERVAL_MS && injects(Fault::HeldUp).is_some();
+    let due =
+        now >= LAST_STALL_MS.load(Relaxed) + MIN_STALL_INTERVAL_MS && injects(Fault::ClockStall).is_some();
     if due {
         LAST_STALL_MS.store(now, Relaxed);
     }
--- a/crates/router/tests/capture.rs
+++ b/crates/router/tests/capture.rs
@@ -11,7 +11,7 @@
 fn capture_records_answered_and_abandoned_commands() {
     let node = Node::start("primary", |statement| {
         let slow = statement.contains("id=b");
-        if slow { Reply::Silence } else { Reply::Send(row("value")) }
+        if slow { Reply::Nothing } else { Reply::Send(row("value")) }
     });
     let folder = std::env::temp_dir().join(format!("vetchkeel-capture-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("the folder is created");
--- a/crates/router/tests/clock.rs
+++ b/crates/router/tests/clock.rs
@@ -23,7 +23,7 @@
 fn member(role: &'static str, lag: u128) -> (Node, Arc<AtomicU64>) {
     let reads = Arc::new(AtomicU64::new(0));
     let count = reads.clone();
-    let node = Node::probed(role, move |statement| {
+    let node = Node::with_probe_replies(role, move |statement| {
         let position = unix_ms() - lag;
         if statement == "SHOW load" {
             let report =
@@ -50,20 +50,20 @@
         let entries: Vec<String> =
             ["primary", "replica", "replica"].into_iter().enumerate().map(entry).collect();
         let known = list(41, true, &entries);
-        let discovery = Discovery::acting(move |_, asked| {
-            asked.begin();
-            asked.send(&known);
+        let discovery = Discovery::with_handler(move |_, watch| {
+            watch.send_head();
+            watch.send(&known);
         });
         let bound =
             format!(r#""lag_allowed_ms":[{STALENESS_BOUND_MS}.0,0.0],"class_read":["bounded","write"]"#);
         let pieces = [
-            WORTH,
+            FULL_BENEFIT,
             (r#""class_read":["any","write"]"#, &*bound),
             (r#""server_checks":"wait""#, r#""server_checks":"none""#),
         ];
-        let text = with_pieces(configuration(discovery.address, 1024, 192, "null"), &pieces);
+        let text = with_replacements(configuration(discovery.address, 1024, 192, "null"), &pieces);
         faults.step_wall_clock(clock_error);
-        Router::failing(discovery, &text, faults)
+        Router::with_faults(discovery, &text, faults)
     }
 
     fn served_reads(&self, at: usize) -> u64 {
--- a/crates/router/tests/closing.rs
+++ b/crates/router/tests/closing.rs
@@ -40,7 +40,7 @@
         }
         match released.lock().map(|released| released.recv()) {
             Ok(Ok(())) => Reply::Send(row("r")),
-            _ => Reply::Silence,
+            _ => Reply::Nothing,
         }
     });
     (node, release)
@@ -94,7 +94,7 @@
 fn process_exit_loses_no_written_answer(#[case] longest_wait: &str) {
     let (node, _release) = gated_node();
     let members = [entry("s-a", &node, "ready", "primary")];
-    let mut router = Router::with_longest_wait(&members, 1024, longest_wait);
+    let mut router = Router::with_max_client_timeout(&members, 1024, longest_wait);
     let mut client = client_with_unread_answer(&router, "i1");
     node.statement();
     // A write that no member answers, followed by more data than the router reads before it answers this write, at the
@@ -102,7 +102,7 @@
     client.send(&query_bytes(&order("i2", 60_000)));
     assert!(node.statement().contains("id=i2"));
     router.signal("-TERM");
-    router.logged("stopping");
+    router.wait_for_log("stopping");
     let signalled = Instant::now();
     client.send(&query_bytes(&order("i3", 3_000)).repeat(2_000));
     // The client reads nothing before the process has exited.
@@ -132,7 +132,7 @@
         client
     };
     let _others: Vec<Client> = (0..12).map(connect_and_query).collect();
-    router.logged("at the limit");
+    router.wait_for_log("at the limit");
     first.send(b"Q\0\0");
     assert_eq!(answer_with_length(&mut first), long_answer());
 }
@@ -197,7 +197,7 @@
         });
         skipping.send(b"P\0\0\0\x08\0\0\0\0");
         router.signal("-TERM");
-        router.logged("stopping");
+        router.wait_for_log("stopping");
         router.signal("-TERM");
         let mut silent = Client::raw(&router);
         sleep(Duration::from_secs(1));
@@ -220,8 +220,10 @@
         assert_eq!(busy.answer(), Answer::Closed);
         drop((busy, ready, skipping, silent, new_client));
         assert!(router.wait().success());
-        let late =
-            node.seen.try_iter().filter(|seen| matches!(seen, Seen::Statement(s) if s.contains("late")));
+        let late = node
+            .events
+            .try_iter()
+            .filter(|seen| matches!(seen, NodeEvent::Statement(s) if s.contains("late")));
         assert_eq!(late.count(), 0, "queries sent after the close were dispatched");
     });
 }
@@ -237,9 +239,9 @@
 ) {
     let (node, _release) = gated_node();
     let members = [entry("s-a", &node, "ready", "primary")];
-    let mut router = Router::with_longest_wait(&members, 1024, longest_wait);
+    let mut router = Router::with_max_client_timeout(&members, 1024, longest_wait);
     router.signal("-TERM");
-    router.logged("stopping");
+    router.wait_for_log("stopping");
     router.signal("-STOP");
     let mut client = connect_with_query(&router, &look("i1", 3_000));
     sleep(Duration::from_millis(suspended_ms));
@@ -260,7 +262,7 @@
     client.send(&query_bytes(&order("i1", 60_000)));
     assert!(node.statement().contains("id=i1"));
     router.signal("-TERM");
-    router.logged("stopping");
+    router.wait_for_log("stopping");
     router.signal("-STOP");
     release.send(()).expect("the node waits");
     sleep(Duration::from_millis(4_000));
@@ -276,23 +278,24 @@
 fn sigterm_while_discovery_is_silent_still_serves_clients(#[case] reloads: bool) {
     let (node, _release) = gated_node();
     let known = list(41, true, &[entry("s-a", &node, "ready", "primary")]);
-    let silent = Discovery::acting(|_, _| {});
-    let text =
-        |discovery: &Discovery| waiting(&configuration(discovery.address, 1024, 192, &known), "1200.0");
+    let silent = Discovery::with_handler(|_, _| {});
+    let text = |discovery: &Discovery| {
+        with_client_timeout(&configuration(discovery.address, 1024, 192, &known), "1200.0")
+    };
     let known_list = known.clone();
-    let answering = Discovery::acting(move |_, asked| {
-        asked.begin();
-        asked.send(&known_list);
+    let answering = Discovery::with_handler(move |_, watch| {
+        watch.send_head();
+        watch.send(&known_list);
     });
     let mut router = if reloads {
         let text = text(&answering);
-        Router::beside(answering, &text, None)
+        Router::with_discovery(answering, &text, None)
     } else {
         let text = text(&silent);
-        Router::beside(Discovery::start(), &text, None)
+        Router::with_discovery(Discovery::start(), &text, None)
     };
     if reloads {
-        router.logged("clients are heard");
+        router.wait_for_log("clients are heard");
         router.reload(&text(&silent));
     }
     router.signal("-TERM");
@@ -322,7 +325,7 @@
         let mut busy: Vec<Client> = (0..4).map(connect_and_order).collect();
         let mut fifth = connect_with_query(&router, &look("fifth", 5_000));
         router.signal("-TERM");
-        router.logged("stopping: at the limit");
+        router.wait_for_log("stopping: at the limit");
         release.send(()).expect("the node waits");
         assert_eq!((fifth.answer(), answer_with_length(&mut fifth)), (Answer::Empty, long_answer()));
         let answers: Vec<Answer> = busy.iter_mut().map(Client::answer).collect();
@@ -372,12 +375,12 @@
     let released = Mutex::new(released);
     let node = Node::start("primary", move |_| match released.lock().map(|released| released.recv()) {
         Ok(Ok(())) => Reply::Send(row("r")),
-        _ => Reply::Silence,
+        _ => Reply::Nothing,
     });
-    let router = Router::with_longest_wait(&[entry("s-a", &node, "ready", "primary")], 1024, "1500.0");
+    let router = Router::with_max_client_timeout(&[entry("s-a", &node, "ready", "primary")], 1024, "1500.0");
     let mut client = Client::connect(&router);
     router.signal("-TERM");
-    router.logged("stopping");
+    router.wait_for_log("stopping");
     client.send(&query_bytes(&look("i1", 60_000)));
     node.statement();
     router.signal("-STOP");
--- a/crates/router/tests/common/faults.rs
+++ b/crates/router/tests/common/faults.rs
@@ -47,7 +47,7 @@
         self.words[fault as usize].store(per_million, Relaxed);
     }
 
-    pub fn none(&self) {
+    pub fn clear(&self) {
         self.words[..INJECTED].iter().for_each(|word| word.store(0, Relaxed));
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// Waits until the fault has been injected at least once.
-    pub fn met(&self, fault: Fault) {
+    pub fn wait_for(&self, fault: Fault) {
         let began = Instant::now();
         while self.injected(fault) == 0 {
             assert!(began.elapsed() < super::WAIT, "{fault:?} was not injected in time");
@@ -71,7 +71,7 @@
     }
 
     /// The environment variables that load the library into a process.
-    pub fn variables(&self) -> [(&'static str, PathBuf); 2] {
+    pub fn environment(&self) -> [(&'static str, PathBuf); 2] {
         [("LD_PRELOAD", library().clone()), ("FAULT_CONTROL", self.path.clone())]
     }
 }
--- a/crates/router/tests/common/member.rs
+++ b/crates/router/tests/common/member.rs
@@ -48,7 +48,7 @@
     }
 
     /// Accepts the router's next connection and reads its startup packet, without a reply.
-    pub fn dialled(&self) -> Link {
+    pub fn accept_without_reply(&self) -> Link {
         let (mut stream, _) = self.listener.accept().expect("a connection");
         stream.set_read_timeout(Some(WAIT)).expect("a time-out");
         read_packet(&mut stream, true).expect("a startup packet");
@@ -56,8 +56,8 @@
     }
 
     /// Accepts the router's next connection and completes its startup.
-    pub fn met(&self) -> Link {
-        let mut link = self.dialled();
+    pub fn accept(&self) -> Link {
+        let mut link = self.accept_without_reply();
         link.greet();
         link
     }
@@ -65,34 +65,34 @@
 
 impl Link {
     /// Sends these bytes and waits until the router's host has received them.
-    pub fn say(&mut self, bytes: &[u8]) {
+    pub fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).expect("the connection is open");
-        delivered(&self.stream);
+        wait_until_acknowledged(&self.stream);
     }
 
     pub fn greet(&mut self) {
-        self.say(&greeting());
+        self.send(&greeting());
     }
 
     /// Reads the next statement in full; `None` at the end of the connection.
-    pub fn asked(&mut self) -> Option<String> {
+    pub fn read_statement(&mut self) -> Option<String> {
         let (_, body) = read_packet(&mut self.stream, false)?;
         Some(String::from_utf8_lossy(&body).into_owned())
     }
 
     pub fn answer(&mut self, value: &str) {
-        self.say(&[parameter("role", "primary"), row(value), ready()].concat());
+        self.send(&[parameter("role", "primary"), row(value), ready()].concat());
     }
 
     /// Answers the next statement, which must contain `text`.
     pub fn serve(&mut self, text: &str, value: &str) {
-        let statement = self.asked().expect("a statement");
+        let statement = self.read_statement().expect("a statement");
         assert!(statement.contains(text), "expected a statement with '{text}', got: {statement}");
         self.answer(value);
     }
 
     /// Waits for the router to close the connection; returns how many bytes arrived before that.
-    pub fn ended(&mut self) -> usize {
+    pub fn wait_for_close(&mut self) -> usize {
         let mut all = Vec::new();
         match self.stream.read_to_end(&mut all) {
             Err(e) if e.kind() != ErrorKind::ConnectionReset => {
@@ -104,10 +104,10 @@
 
     /// Closes the connection, with a reset or by shutting down the writing side, and waits until the router's host has
     /// received that.
-    pub fn end(self, reset: bool) {
+    pub fn close(self, reset: bool) {
         if !reset {
             self.stream.shutdown(Shutdown::Write).expect("open");
-            return delivered(&self.stream);
+            return wait_until_acknowledged(&self.stream);
         }
         // A reset is not acknowledged, but it removes the router's socket from the table of connections. The table is not
         // read atomically and may miss an entry, so the socket must be absent from three reads in a row.
@@ -128,7 +128,7 @@
     }
 
     /// Reads everything that the router has written so far, including what its kernel has not sent yet.
-    pub fn take_all(&mut self) -> Vec<u8> {
+    pub fn read_all_sent(&mut self) -> Vec<u8> {
         let ends = [self.stream.peer_addr(), self.stream.local_addr()];
         let ends = ends.map(|end| format!(":{:04X}", end.expect("connected").port()));
         let sent = |line: &str| {
@@ -152,7 +152,7 @@
     }
 
     /// Whether no bytes have arrived on the connection.
-    pub fn heard_nothing(&self) -> bool {
+    pub fn received_nothing(&self) -> bool {
         self.stream.set_nonblocking(true).expect("an option");
         self.stream.peek(&mut [0]).map_or(true, |bytes| bytes == 0)
     }
@@ -160,39 +160,41 @@
 
 /// Starts a router that sends no probes, with a dial timeout and a drain grace longer than any test.
 pub fn without_probes(members: &[(&str, &Member)]) -> Router {
-    without_probes_but(members, &[])
+    without_probes_replacing(members, &[])
 }
 
 /// The same, with further replacements in the text of the settings.
-pub fn without_probes_but(members: &[(&str, &Member)], pieces: &[(&str, &str)]) -> Router {
+pub fn without_probes_replacing(members: &[(&str, &Member)], pieces: &[(&str, &str)]) -> Router {
     let (discovery, text) = probeless_configuration(members, pieces);
-    Router::beside(discovery, &text, None)
+    Router::with_discovery(discovery, &text, None)
 }
 
 /// The same, with fault injection.
-pub fn without_probes_failing(
+pub fn without_probes_with_faults(
     members: &[(&str, &Member)],
     pieces: &[(&str, &str)],
     faults: &faults::Faults,
 ) -> Router {
     let (discovery, text) = probeless_configuration(members, pieces);
-    Router::failing(discovery, &text, faults)
+    Router::with_faults(discovery, &text, faults)
 }
 
 fn probeless_configuration(members: &[(&str, &Member)], pieces: &[(&str, &str)]) -> (Discovery, String) {
     let entries: Vec<String> =
         members.iter().map(|(id, m)| entry_at(id, m.address, "ready", "primary")).collect();
     let known = list(41, true, &entries);
-    let discovery = Discovery::acting(move |_, asked| {
-        asked.begin();
-        asked.send(&known);
+    let discovery = Discovery::with_handler(move |_, watch| {
+        watch.send_head();
+        watch.send(&known);
     });
     let overrides = [
         (r#""may_probe":true"#, r#""may_probe":false"#),
         (r#""dial_timeout_ms":1000.0"#, r#""dial_timeout_ms":50000.0"#),
         (r#""drain_grace_ms":500.0"#, r#""drain_grace_ms":50000.0"#),
     ];
-    let text =
-        with_pieces(configuration(discovery.address, 1024, 192, "null"), &[&overrides, pieces].concat());
+    let text = with_replacements(
+        configuration(discovery.address, 1024, 192, "null"),
+        &[&overrides, pieces].concat(),
+    );
     (discovery, text)
 }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -51,7 +51,7 @@
 }
 
 /// An ErrorResponse with this SQLSTATE.
-pub fn code(code: &str) -> Vec<u8> {
+pub fn error_response(code: &str) -> Vec<u8> {
     framed(b'E', format!("SERROR\0C{code}\0Mstand-in\0\0").as_bytes())
 }
 
@@ -69,26 +69,26 @@
     /// Sends these bytes and closes the connection.
     Close(Vec<u8>),
     /// Sends nothing; the connection stays open until the router closes it.
-    Silence,
+    Nothing,
 }
 
 /// An event at a simulated node.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum NodeEvent {
     Statement(String),
     /// A connection that had carried a command was closed, by the router or by `Reply::Close`.
-    Ended,
+    Closed,
 }
 
 /// A simulated node, which answers probes and commands in threads of its own.
 pub struct Node {
     pub address: SocketAddr,
-    pub seen: Receiver<Seen>,
+    pub events: Receiver<NodeEvent>,
 }
 
 /// Waits until the other end's host has acknowledged all bytes, which can take a while on a busy machine. A reset counts as
 /// well: the end that sends it has seen the bytes, and the kernel goes on counting those that were never acknowledged.
-pub fn delivered(stream: &TcpStream) {
+pub fn wait_until_acknowledged(stream: &TcpStream) {
     let (mut unacked, began): (libc::c_int, _) = (1, Instant::now());
     while unacked > 0 && !is_reset(stream) {
         assert!(began.elapsed() < WAIT, "bytes were not acknowledged within {WAIT:?}");
@@ -147,17 +147,20 @@
     /// right after the startup, before any statement.
     pub fn start(role: &'static str, reply: impl Fn(&str) -> Reply + Send + Sync + 'static) -> Node {
         let ignores_probes = role == "deaf";
-        Node::probed(role, move |statement| match statement {
-            "SHOW load" => ignores_probes.then_some(Reply::Silence),
+        Node::with_probe_replies(role, move |statement| match statement {
+            "SHOW load" => ignores_probes.then_some(Reply::Nothing),
             command => Some(reply(command)),
         })
     }
 
     /// Starts a node that answers probes and commands through `reply`; where it returns `None`, probes are answered as by `start`.
-    pub fn probed(role: &'static str, reply: impl Fn(&str) -> Option<Reply> + Send + Sync + 'static) -> Node {
+    pub fn with_probe_replies(
+        role: &'static str,
+        reply: impl Fn(&str) -> Option<Reply> + Send + Sync + 'static,
+    ) -> Node {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
-        let (sender, seen) = channel();
+        let (sender, events) = channel();
         let reply = Arc::new(reply);
         thread::spawn(move || {
             for stream in listener.incoming() {
@@ -165,13 +168,13 @@
                 thread::spawn(move || Node::serve(stream.ok()?, role, &sender, &*reply));
             }
         });
-        Node { address, seen }
+        Node { address, events }
     }
 
     fn serve(
         mut stream: TcpStream,
         role: &str,
-        sender: &Sender<Seen>,
+        sender: &Sender<NodeEvent>,
         reply: &(dyn Fn(&str) -> Option<Reply> + Send + Sync),
     ) -> Option<()> {
         read_packet(&mut stream, true)?;
@@ -185,7 +188,7 @@
             let statement = String::from_utf8_lossy(&body[..body.len() - 1]).into_owned();
             if statement != "SHOW load" {
                 had_command = true;
-                sender.send(Seen::Statement(statement.clone())).ok()?;
+                sender.send(NodeEvent::Statement(statement.clone())).ok()?;
             }
             let answer = reply(&statement).unwrap_or_else(|| {
                 let report = format!("x0={:.3},x1={}", unix_ms() as f64 / 1000.0, (role == "primary") as u8);
@@ -198,27 +201,27 @@
                 Reply::Close(bytes) => {
                     stream.write_all(&bytes).ok()?;
                     stream.shutdown(Shutdown::Both).ok()?;
-                    return sender.send(Seen::Ended).ok();
+                    return sender.send(NodeEvent::Closed).ok();
                 }
                 Reply::Raw(bytes) => stream.write_all(&bytes).ok()?,
-                Reply::Silence => {}
+                Reply::Nothing => {}
             }
         }
         if had_command {
-            sender.send(Seen::Ended).ok()?;
+            sender.send(NodeEvent::Closed).ok()?;
         }
         Some(())
     }
 
     /// The next event at the node.
-    pub fn next(&self) -> Seen {
-        self.seen.recv_timeout(WAIT).expect("no event at the node")
+    pub fn next(&self) -> NodeEvent {
+        self.events.recv_timeout(WAIT).expect("no event at the node")
     }
 
     /// The next statement; skips the ends of connections.
     pub fn statement(&self) -> String {
         loop {
-            if let Seen::Statement(statement) = self.next() {
+            if let NodeEvent::Statement(statement) = self.next() {
                 return statement;
             }
         }
@@ -226,15 +229,15 @@
 }
 
 /// A watch at the simulated discovery: the path and time of its request, and the connection for the response.
-pub struct Asked {
+pub struct Watch {
     pub path: String,
     pub at: Instant,
     stream: TcpStream,
 }
 
-impl Asked {
+impl Watch {
     /// Sends the head of a chunked response.
-    pub fn begin(&mut self) {
+    pub fn send_head(&mut self) {
         self.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
@@ -251,8 +254,8 @@
     }
 
     /// Waits until the router's host has received everything that was sent.
-    pub fn delivered(&self) {
-        delivered(&self.stream);
+    pub fn wait_until_acknowledged(&self) {
+        wait_until_acknowledged(&self.stream);
     }
 
     pub fn close(&self) {
@@ -260,18 +263,18 @@
     }
 
     /// A second handle to the same watch.
-    pub fn split(&self) -> Asked {
+    pub fn second_handle(&self) -> Watch {
         let stream = self.stream.try_clone().expect("a handle");
-        Asked { path: self.path.clone(), at: self.at, stream }
+        Watch { path: self.path.clone(), at: self.at, stream }
     }
 
     /// Makes the drop of the last handle send a reset. Bytes that the router has not read yet stay readable before it.
-    pub fn will_reset(&self) {
+    pub fn reset_on_drop(&self) {
         socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).expect("a connection");
     }
 
     /// Waits for the router to close this watch; false if it sent something or reset the connection instead.
-    pub fn ended(&mut self) -> bool {
+    pub fn wait_for_close(&mut self) -> bool {
         self.stream.set_read_timeout(Some(WAIT)).expect("a time-out");
         matches!(self.stream.read(&mut [0]), Ok(0))
     }
@@ -280,57 +283,57 @@
 /// A simulated discovery service.
 pub struct Discovery {
     pub address: SocketAddr,
-    asked: Receiver<Asked>,
+    watches: Receiver<Watch>,
 }
 
 impl Discovery {
     /// Sends the head of each response and leaves the rest to the test.
     pub fn start() -> Discovery {
-        Discovery::acting(|_, asked| asked.begin())
+        Discovery::with_handler(|_, watch| watch.send_head())
     }
 
     /// Calls `act` with each watch and its number, from 0, and then passes the watch to the test.
-    pub fn acting(act: impl FnMut(usize, &mut Asked) + Send + 'static) -> Discovery {
+    pub fn with_handler(act: impl FnMut(usize, &mut Watch) + Send + 'static) -> Discovery {
         Discovery::at(TcpListener::bind("127.0.0.1:0").expect("a port"), act)
     }
 
     /// The same, on this listener.
-    pub fn at(listener: TcpListener, mut act: impl FnMut(usize, &mut Asked) + Send + 'static) -> Discovery {
+    pub fn at(listener: TcpListener, mut act: impl FnMut(usize, &mut Watch) + Send + 'static) -> Discovery {
         let address = listener.local_addr().expect("bound");
-        let (sender, asked) = channel();
+        let (sender, watches) = channel();
         thread::spawn(move || {
             for (number, stream) in listener.incoming().flatten().enumerate() {
                 let mut lines = BufReader::new(stream.try_clone().expect("a handle")).lines();
                 let path = lines.next().and_then(Result::ok).unwrap_or_default();
                 while lines.next().and_then(Result::ok).is_some_and(|line| !line.is_empty()) {}
-                let mut asked = Asked { path, at: Instant::now(), stream };
-                act(number, &mut asked);
-                let _ = sender.send(asked);
+                let mut watch = Watch { path, at: Instant::now(), stream };
+                act(number, &mut watch);
+                let _ = sender.send(watch);
             }
         });
-        Discovery { address, asked }
+        Discovery { address, watches }
     }
 
     /// Waits for the next watch.
-    pub fn asked(&self) -> Asked {
-        self.asked.recv_timeout(WAIT).expect("no watch was opened")
+    pub fn next_watch(&self) -> Watch {
+        self.watches.recv_timeout(WAIT).expect("no watch was opened")
     }
 
     /// Whether no further watch has been opened since the last one taken.
-    pub fn never_asked(&self) -> bool {
-        self.asked.try_recv().is_err()
+    pub fn has_no_watch(&self) -> bool {
+        self.watches.try_recv().is_err()
     }
 }
 
 /// A bound port that refuses connections until it is opened.
-pub struct Refusing(socket2::Socket);
+pub struct RefusingPort(socket2::Socket);
 
-impl Refusing {
-    pub fn start() -> Refusing {
+impl RefusingPort {
+    pub fn start() -> RefusingPort {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
-        Refusing(socket)
+        RefusingPort(socket)
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -379,21 +382,21 @@
 }
 
 /// The configuration with this longest client timeout, in milliseconds.
-pub fn waiting(text: &str, longest_wait: &str) -> String {
+pub fn with_client_timeout(text: &str, longest_wait: &str) -> String {
     text.replace("\"hard_limit_ms\":60000.0", &format!("\"hard_limit_ms\":{longest_wait}"))
 }
 
 /// Gives an answer full benefit until the client timeout, so that commands are dispatched for as long as their client waits.
-pub const WORTH: (&str, &str) = ("\"aim_ms\":60000.0", "\"late_value\":1.0,\"aim_ms\":2000.0");
+pub const FULL_BENEFIT: (&str, &str) = ("\"aim_ms\":60000.0", "\"late_value\":1.0,\"aim_ms\":2000.0");
 /// The same, with long dial and drain limits, because simulated members connect slowly on a busy machine.
-pub const PATIENT: [(&str, &str); 3] = [
-    WORTH,
+pub const LONG_TIMEOUTS: [(&str, &str); 3] = [
+    FULL_BENEFIT,
     ("\"dial_timeout_ms\":1000.0", "\"dial_timeout_ms\":60000.0"),
     ("\"drain_grace_ms\":500.0", "\"drain_grace_ms\":60000.0"),
 ];
 
 /// The configuration with pieces of its text replaced, each given as old and new.
-pub fn with_pieces(mut text: String, pieces: &[(&str, &str)]) -> String {
+pub fn with_replacements(mut text: String, pieces: &[(&str, &str)]) -> String {
     for (piece, other) in pieces {
         assert!(text.contains(piece), "the settings do not contain {piece}");
         text = text.replace(piece, other);
@@ -408,7 +411,7 @@
     pub address: SocketAddr,
     log: Receiver<String>,
     /// While this is set, nothing is read from the pipe that the process logs to.
-    pub log_unread: Arc<AtomicBool>,
+    pub log_paused: Arc<AtomicBool>,
     pub discovery: Discovery,
 }
 
@@ -423,26 +426,26 @@
     }
 
     pub fn with_limits(entries: &[String], sockets: u32, memory_mb: u32) -> Router {
-        Router::spawned(entries, sockets, memory_mb, None, &[])
+        Router::spawn(entries, sockets, memory_mb, None, &[])
     }
 
     /// With this longest client timeout, in milliseconds.
-    pub fn with_longest_wait(entries: &[String], sockets: u32, ms: &str) -> Router {
+    pub fn with_max_client_timeout(entries: &[String], sockets: u32, ms: &str) -> Router {
         let piece = format!("\"hard_limit_ms\":{ms}");
-        Router::spawned(entries, sockets, 192, None, &[("\"hard_limit_ms\":60000.0", &piece)])
+        Router::spawn(entries, sockets, 192, None, &[("\"hard_limit_ms\":60000.0", &piece)])
     }
 
     /// With an environment variable that names a file.
     pub fn with_variable(entries: &[String], name: &str, file: &Path) -> Router {
-        Router::spawned(entries, 1024, 192, Some((name, file)), &[])
+        Router::spawn(entries, 1024, 192, Some((name, file)), &[])
     }
 
     /// With pieces of the text of the settings replaced, each given as old and new.
     pub fn with_settings(entries: &[String], pieces: &[(&str, &str)]) -> Router {
-        Router::spawned(entries, 1024, 192, None, pieces)
+        Router::spawn(entries, 1024, 192, None, pieces)
     }
 
-    fn spawned(
+    fn spawn(
         entries: &[String],
         sockets: u32,
         memory_mb: u32,
@@ -451,24 +454,24 @@
     ) -> Router {
         let known = list(41, true, entries);
         let first_list = known.clone();
-        let discovery = Discovery::acting(move |number, asked| {
-            asked.begin();
+        let discovery = Discovery::with_handler(move |number, watch| {
+            watch.send_head();
             if number == 0 {
-                asked.send(&first_list);
+                watch.send(&first_list);
             }
         });
-        let text = with_pieces(configuration(discovery.address, sockets, memory_mb, &known), pieces);
-        Router::beside(discovery, &text, variable)
+        let text = with_replacements(configuration(discovery.address, sockets, memory_mb, &known), pieces);
+        Router::with_discovery(discovery, &text, variable)
     }
 
     /// Starts the router with this discovery and this configuration.
-    pub fn beside(discovery: Discovery, text: &str, variable: Option<(&str, &Path)>) -> Router {
+    pub fn with_discovery(discovery: Discovery, text: &str, variable: Option<(&str, &Path)>) -> Router {
         Router::with_variables(discovery, text, variable.as_slice())
     }
 
     /// The same, with fault injection.
-    pub fn failing(discovery: Discovery, text: &str, faults: &faults::Faults) -> Router {
-        let variables = faults.variables();
+    pub fn with_faults(discovery: Discovery, text: &str, faults: &faults::Faults) -> Router {
+        let variables = faults.environment();
         Router::with_variables(discovery, text, &variables.each_ref().map(|(name, file)| (*name, &**file)))
     }
 
@@ -485,8 +488,8 @@
             .expect("the program starts");
         let (sender, log) = channel();
         let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
-        let log_unread = Arc::new(AtomicBool::new(false));
-        let unread = log_unread.clone();
+        let log_paused = Arc::new(AtomicBool::new(false));
+        let unread = log_paused.clone();
         thread::spawn(move || {
             lines.map_while(Result::ok).try_for_each(|line| {
                 while unread.load(Relaxed) {
@@ -495,8 +498,8 @@
                 sender.send(line)
             })
         });
-        let mut router = Router { child, config, address: discovery.address, log, log_unread, discovery };
-        let serving = router.logged("serves on ");
+        let mut router = Router { child, config, address: discovery.address, log, log_paused, discovery };
+        let serving = router.wait_for_log("serves on ");
         router.address = serving.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address");
         router
     }
@@ -508,7 +511,7 @@
     }
 
     /// Waits for the next log line with this text. Other lines do not extend the total time allowed.
-    pub fn logged(&self, text: &str) -> String {
+    pub fn wait_for_log(&self, text: &str) -> String {
         let began = Instant::now();
         loop {
             let left = (2 * WAIT).saturating_sub(began.elapsed()).min(WAIT);
@@ -521,7 +524,7 @@
     }
 
     /// The log lines that have not been taken yet.
-    pub fn log_so_far(&self) -> Vec<String> {
+    pub fn take_log(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
 
@@ -531,11 +534,11 @@
     }
 
     /// Returns once the event loop has processed everything that had arrived before this call.
-    pub fn turn(&self) {
+    pub fn wait_for_loop_turn(&self) {
         // SAFETY: only numbers are passed.
         let sent = unsafe { libc::kill(self.child.id() as libc::pid_t, libc::SIGUSR1) };
         assert_eq!(sent, 0, "sending SIGUSR1 failed");
-        self.logged("counters commands:");
+        self.wait_for_log("counters commands:");
     }
 
     /// Sets the soft limit of open descriptors of the process; it can be raised again.
@@ -560,7 +563,7 @@
 
     /// Waits for the next counters line with this name and returns its counters.
     pub fn counters(&self, line: &str) -> BTreeMap<String, u64> {
-        let text = self.logged(&format!("counters {line}:"));
+        let text = self.wait_for_log(&format!("counters {line}:"));
         text.split_whitespace()
             .filter_map(|pair| pair.split_once('='))
             .map(|(name, count)| (name.to_owned(), count.parse().expect("a number")))
@@ -649,7 +652,7 @@
     }
 
     /// Ready for queries; also returns the key that a cancel request must carry to name this client.
-    pub fn keyed(router: &Router) -> (Client, Vec<u8>) {
+    pub fn connect_with_key(router: &Router) -> (Client, Vec<u8>) {
         let mut client = Client::raw(router);
         client.send(&startup(3 << 16));
         let mut key = Vec::new();
@@ -666,7 +669,7 @@
     pub fn cancel(router: &Router, key: &[u8]) -> Client {
         let mut canceller = Client::raw(router);
         canceller.send(&[&16u32.to_be_bytes(), &80_877_102u32.to_be_bytes(), key].concat());
-        delivered(&canceller.stream);
+        wait_until_acknowledged(&canceller.stream);
         canceller
     }
 
--- a/crates/router/tests/configuration.rs
+++ b/crates/router/tests/configuration.rs
@@ -82,9 +82,9 @@
         let node = Node::start("primary", |_| Reply::Send(row("value")));
         let known = list(41, true, &[entry("s-a", &node, "ready", "primary")]);
         let known_list = known.clone();
-        let discovery = Discovery::acting(move |_, asked| {
-            asked.begin();
-            asked.send(&known_list);
+        let discovery = Discovery::with_handler(move |_, watch| {
+            watch.send_head();
+            watch.send(&known_list);
         });
         let text = configuration(discovery.address, 256, 192, &known);
         let config: Value = serde_json::from_str(&text).expect("JSON");
--- a/crates/router/tests/early.rs
+++ b/crates/router/tests/early.rs
@@ -53,18 +53,18 @@
     let (half, rest) = listed.split_at(listed.len() / 2);
     let expanded =
         |text: &str| text.replace("{list}", &listed).replace("{half}", half).replace("{rest}", rest);
-    let discovery = Discovery::acting(|_, _| {});
+    let discovery = Discovery::with_handler(|_, _| {});
     let known = if knows_list { known } else { "null".into() };
-    let text = with_pieces(configuration(discovery.address, 1024, 192, &known), &PATIENT);
-    let mut router = Router::beside(discovery, &text, None);
-    let mut watch = router.discovery.asked();
+    let text = with_replacements(configuration(discovery.address, 1024, 192, &known), &LONG_TIMEOUTS);
+    let mut router = Router::with_discovery(discovery, &text, None);
+    let mut watch = router.discovery.next_watch();
     let mut early = connect_with_order(&router, "early");
     watch.raw(&expanded(bytes_before));
-    watch.delivered();
-    router.turn();
+    watch.wait_until_acknowledged();
+    router.wait_for_loop_turn();
     router.signal("-TERM");
     let signalled = Instant::now();
-    router.logged("stopping");
+    router.wait_for_log("stopping");
     let mut late = connect_with_order(&router, "late");
     watch.raw(&expanded(bytes_after));
     let want = match (bytes_after.is_empty(), knows_list) {
@@ -101,19 +101,19 @@
     let listens = format!("\"listen\":\"127.0.0.1:{}\"", fixed_port());
     let steps = ["", "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n{\"version\":41,", "whole"];
     for step in steps.iter().chain(&steps) {
-        let discovery = Discovery::acting(|_, _| {});
+        let discovery = Discovery::with_handler(|_, _| {});
         let text = configuration(discovery.address, 1024, 192, "null");
-        let text = with_pieces(text, &[("\"listen\":\"127.0.0.1:0\"", &listens)]);
-        let router = Router::beside(discovery, &text, None);
-        let mut watch = router.discovery.asked();
+        let text = with_replacements(text, &[("\"listen\":\"127.0.0.1:0\"", &listens)]);
+        let router = Router::with_discovery(discovery, &text, None);
+        let mut watch = router.discovery.next_watch();
         let mut client = connect_with_order(&router, "waits");
         if *step == "whole" {
             watch.raw(&format!("HTTP/1.1 200 OK\r\n\r\n{listed}\n"));
             assert_eq!((client.answer(), client.answer()), (Answer::Empty, row_answer("r")));
         } else {
             watch.raw(step);
-            watch.delivered();
-            router.turn();
+            watch.wait_until_acknowledged();
+            router.wait_for_loop_turn();
         }
         // Dropping the router kills the process while its client connections are open.
         drop(router);
@@ -176,9 +176,9 @@
 ) {
     let node = serving_node("r");
     let listed = list(41, true, &[entry("s-a", &node, "ready", "primary")]);
-    let discovery = Discovery::acting(move |_, asked| {
-        asked.begin();
-        asked.send(&listed);
+    let discovery = Discovery::with_handler(move |_, watch| {
+        watch.send_head();
+        watch.send(&listed);
     });
     let text = configuration(discovery.address, 1024, 192, "null");
     let mut router_process = ReadingRouter::start(&signal.to_string());
@@ -200,7 +200,7 @@
 
 #[rstest]
 fn sigterm_during_the_configuration_read_causes_no_crash() {
-    let text = configuration(Refusing::start().address(), 1024, 192, "null");
+    let text = configuration(RefusingPort::start().address(), 1024, 192, "null");
     let mut router_process = ReadingRouter::start("term");
     router_process.write_configuration(&text, || router_process.signal(libc::SIGTERM));
     let signalled = Instant::now();
--- a/crates/router/tests/faults.rs
+++ b/crates/router/tests/faults.rs
@@ -23,18 +23,19 @@
 
 /// Settings under which a command is worth sending for as long as its client waits, and a connect attempt times out
 /// after a quarter of a second.
-const SETTINGS: [(&str, &str); 2] = [WORTH, ("\"dial_timeout_ms\":1000.0", "\"dial_timeout_ms\":250.0")];
+const SETTINGS: [(&str, &str); 2] =
+    [FULL_BENEFIT, ("\"dial_timeout_ms\":1000.0", "\"dial_timeout_ms\":250.0")];
 
 fn discovery_agent(entries: &[String]) -> Discovery {
     let known = list(41, true, entries);
-    Discovery::acting(move |_, asked| {
-        asked.begin();
-        asked.send(&known);
-        let mut asked = asked.split();
+    Discovery::with_handler(move |_, watch| {
+        watch.send_head();
+        watch.send(&known);
+        let mut watch = watch.second_handle();
         thread::spawn(move || {
             for _ in 0..60 {
                 thread::sleep(Duration::from_secs(1));
-                asked.raw("1\r\n\n\r\n");
+                watch.raw("1\r\n\n\r\n");
             }
         });
     })
@@ -59,8 +60,8 @@
 
     fn router(&self, faults: &Faults) -> Router {
         let discovery = discovery_agent(&self.entries());
-        let text = with_pieces(configuration(discovery.address, 1024, 192, "null"), &SETTINGS);
-        Router::failing(discovery, &text, faults)
+        let text = with_replacements(configuration(discovery.address, 1024, 192, "null"), &SETTINGS);
+        Router::with_faults(discovery, &text, faults)
     }
 }
 
@@ -116,13 +117,13 @@
 #[case::no_fault(&[])]
 #[case::short_writes(&[(Fault::ShortSend, 500_000)])]
 #[case::interrupted_writes(&[(Fault::InterruptedSend, 200_000)])]
-#[case::starved_writes(&[(Fault::StarvedSend, 50_000)])]
+#[case::starved_writes(&[(Fault::NoBufferSend, 50_000)])]
 #[case::short_reads(&[(Fault::ShortReceive, 500_000)])]
 #[case::interrupted_reads(&[(Fault::InterruptedReceive, 200_000)])]
 #[case::interrupted_polls(&[(Fault::InterruptedPoll, 300_000)])]
-#[case::refused_writes(&[(Fault::RefusedSend, 50_000)])]
-#[case::refused_reads(&[(Fault::RefusedReceive, 50_000)])]
-#[case::short_and_refused_reads(&[(Fault::ShortReceive, 500_000), (Fault::RefusedReceive, 50_000)])]
+#[case::refused_writes(&[(Fault::BlockedSend, 50_000)])]
+#[case::refused_reads(&[(Fault::BlockedReceive, 50_000)])]
+#[case::short_and_refused_reads(&[(Fault::ShortReceive, 500_000), (Fault::BlockedReceive, 50_000)])]
 #[case::failed_accepts(&[(Fault::FailedAccept, 300_000)])]
 #[case::failed_connects(&[(Fault::FailedConnect, 800_000)])]
 #[case::interrupted_connects(&[(Fault::InterruptedConnect, 500_000)])]
@@ -149,10 +150,11 @@
         Reply::Send(row("r"))
     });
     let cold_rules = "\"drain_grace_ms\":500.0,\"start_capacity\":0.001,\"warm_after_ms\":60000.0";
-    let pieces = [WORTH, ("\"cancel\":true", "\"cancel\":false"), ("\"drain_grace_ms\":500.0", cold_rules)];
+    let pieces =
+        [FULL_BENEFIT, ("\"cancel\":true", "\"cancel\":false"), ("\"drain_grace_ms\":500.0", cold_rules)];
     let discovery = discovery_agent(&[entry("s-a", &node, "ready", "primary")]);
-    let text = with_pieces(configuration(discovery.address, 40, 192, "null"), &pieces);
-    let router = Router::beside(discovery, &text, None);
+    let text = with_replacements(configuration(discovery.address, 40, 192, "null"), &pieces);
+    let router = Router::with_discovery(discovery, &text, None);
     for number in 0..MAX_MEMBER_CONNECTIONS {
         let mut client = Client::connect(&router);
         client.send(&query_bytes(&order(&format!("left-{number}"), 20_000)));
@@ -160,7 +162,7 @@
     }
     let address = router.address;
     let waiting = thread::spawn(move || Client::at(address).query(&order("waits", 5_000)));
-    router.logged("all descriptors for nodes are in use");
+    router.wait_for_log("all descriptors for nodes are in use");
     thread::sleep(Duration::from_millis(300));
     release.store(true, Relaxed);
     assert_eq!(waiting.join().expect("a client"), Answer::Row("r".into()));
@@ -197,7 +199,7 @@
 fn unread_log_pipe_loses_no_command() {
     let (members, faults) = (Members::start(), Faults::new(1));
     let mut router = members.router(&faults);
-    router.log_unread.store(true, Relaxed);
+    router.log_paused.store(true, Relaxed);
     // The log lines are more than a pipe holds.
     for _ in 0..400 {
         router.signal("-USR1");
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -64,9 +64,9 @@
 impl Routers {
     fn start() -> Routers {
         let names: Vec<Name> = (1..=5).filter_map(|i| Name::new(&format!("r{i}"))).collect();
-        let discovery = Discovery::acting(|_, asked| {
-            asked.begin();
-            asked.send(&list(1, true, &[]));
+        let discovery = Discovery::with_handler(|_, watch| {
+            watch.send_head();
+            watch.send(&list(1, true, &[]));
         });
         let (agent, all, folder) = (discovery.address, names.clone(), folder());
         let files = folder.clone();
@@ -215,7 +215,8 @@
     let log = || std::fs::read_to_string(routers.folder.join("r2.log")).expect("the log is readable");
     let before = log().len();
     routers.act(1, Act::Continue);
-    let high_levels = ["6 of 8", "7 of 8", "8 of 8"].map(|level| format!("local health of this router: {level}"));
+    let high_levels =
+        ["6 of 8", "7 of 8", "8 of 8"].map(|level| format!("local health of this router: {level}"));
     routers.wait_until("r2 lowers the trust in its own probes", LIMIT, || {
         high_levels.iter().any(|m| log()[before..].contains(m))
     });
--- a/crates/router/tests/freshness/cluster.rs
+++ b/crates/router/tests/freshness/cluster.rs
@@ -4,7 +4,7 @@
 
 use super::common::draw::Rng;
 use super::common::history::{History, Need};
-use super::common::{code, parameter, read_packet, ready, row, since_last_byte};
+use super::common::{error_response, parameter, read_packet, ready, row, since_last_byte};
 use std::collections::HashMap;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -269,7 +269,8 @@
         let sends_position = self.options.position_in_every_answer || (!read && primary);
         let position =
             if sends_position { parameter("applied_ms", &format!("{position:.0}")) } else { Vec::new() };
-        let body = if read || primary { row(&format!("{id}@{}", member.address)) } else { code("25006") };
+        let body =
+            if read || primary { row(&format!("{id}@{}", member.address)) } else { error_response("25006") };
         ([role, position, body, ready()].concat(), (!primary).then_some(now))
     }
 }
--- a/crates/router/tests/freshness/main.rs
+++ b/crates/router/tests/freshness/main.rs
@@ -76,16 +76,16 @@
     };
     let entries: Vec<String> = clusters.iter().enumerate().flat_map(of_set).collect();
     let known = list(41, true, &entries);
-    let discovery = Discovery::acting(move |_, watch| {
-        watch.begin();
+    let discovery = Discovery::with_handler(move |_, watch| {
+        watch.send_head();
         watch.send(&known);
     });
     let replacements = settings(options, semantics);
     let replacements = replacements.iter().map(|(piece, other)| (&**piece, &**other));
     let pieces: Vec<(&str, &str)> =
-        [WORTH].into_iter().chain(replacements).chain(extra.iter().copied()).collect();
-    let text = with_pieces(configuration(discovery.address, 1024, 192, "null"), &pieces);
-    Router::failing(discovery, &text, faults)
+        [FULL_BENEFIT].into_iter().chain(replacements).chain(extra.iter().copied()).collect();
+    let text = with_replacements(configuration(discovery.address, 1024, 192, "null"), &pieces);
+    Router::with_faults(discovery, &text, faults)
 }
 
 #[derive(Debug, Default)]
@@ -204,7 +204,7 @@
     let names_command = |line: &String| ids.iter().any(|id| line.contains(&format!("command {id}:")));
     let is_about_members =
         |line: &String| !ids.is_empty() && (line.contains("node ") || line.contains("clock"));
-    let lines = router.log_so_far().into_iter().filter(|line| names_command(line) || is_about_members(line));
+    let lines = router.take_log().into_iter().filter(|line| names_command(line) || is_about_members(line));
     lines.for_each(|line| println!("{line}"));
 }
 
@@ -358,7 +358,7 @@
         ClusterOptions { bound: milliseconds(bound), position_in_every_answer, ..ClusterOptions::default() };
     let (cluster, faults) = (Cluster::start(MEMBERS, options), Faults::new(1));
     let router = start_router(&[&cluster], options, semantics, &faults, &[]);
-    faults.set(Fault::HeldSend, 125_000);
+    faults.set(Fault::DelayedSend, 125_000);
     let outcome = run_clients(&router, &[&cluster], options, LONG_TIMEOUTS_MS, |until| {
         pause_replicas(&cluster, options.bound, until)
     });
@@ -459,8 +459,8 @@
     );
     faults.step_wall_clock(offset_ms);
     let router = start_router(&[&cluster], options, semantics, &faults, extra);
-    faults.set(Fault::HeldSend, send_delays);
-    faults.set(Fault::HeldUp, clock_stalls);
+    faults.set(Fault::DelayedSend, send_delays);
+    faults.set(Fault::ClockStall, clock_stalls);
     faults.set(Fault::ShortReceive, short_receives);
     faults.set(Fault::ShortSend, short_sends);
     let outcome = run_clients(&router, &[&cluster], options, client_timeouts, |until| {
--- a/crates/router/tests/held_up.rs
+++ b/crates/router/tests/held_up.rs
@@ -16,18 +16,18 @@
 #[rstest]
 fn command_received_after_sigterm_is_answered_before_sigkill() {
     for round in 0..10 {
-        let (node, faults) = (Node::start("primary", |_| Reply::Silence), Faults::new(round));
+        let (node, faults) = (Node::start("primary", |_| Reply::Nothing), Faults::new(round));
         let known = list(41, true, &[entry("s-a", &node, "ready", "primary")]);
-        let discovery = Discovery::acting(move |_, asked| {
-            asked.begin();
-            asked.send(&known);
+        let discovery = Discovery::with_handler(move |_, watch| {
+            watch.send_head();
+            watch.send(&known);
         });
-        let text = with_pieces(configuration(discovery.address, 1024, 192, "null"), &[WORTH]);
-        let router = Router::failing(discovery, &waiting(&text, "1000.0"), &faults);
+        let text = with_replacements(configuration(discovery.address, 1024, 192, "null"), &[FULL_BENEFIT]);
+        let router = Router::with_faults(discovery, &with_client_timeout(&text, "1000.0"), &faults);
         let mut client = Client::connect(&router);
         router.signal("-TERM");
         let signalled = Instant::now();
-        faults.set(Fault::HeldUp, ALWAYS);
+        faults.set(Fault::ClockStall, ALWAYS);
         std::thread::sleep(Duration::from_millis(650).saturating_sub(signalled.elapsed()));
         let answer = client.query(&order("late", 1_000));
         let took = signalled.elapsed();
@@ -48,14 +48,14 @@
 /// to an expired command, which is then late (soak seed 60).
 #[rstest]
 fn final_answer_is_not_delayed_by_closing_other_clients() {
-    let (node, faults) = (Node::start("primary", |_| Reply::Silence), Faults::new(1));
+    let (node, faults) = (Node::start("primary", |_| Reply::Nothing), Faults::new(1));
     let known = list(41, true, &[entry("s-a", &node, "ready", "primary")]);
-    let discovery = Discovery::acting(move |_, asked| {
-        asked.begin();
-        asked.send(&known);
+    let discovery = Discovery::with_handler(move |_, watch| {
+        watch.send_head();
+        watch.send(&known);
     });
-    let text = with_pieces(configuration(discovery.address, 1024, 192, "null"), &[WORTH]);
-    let router = Router::failing(discovery, &text, &faults);
+    let text = with_replacements(configuration(discovery.address, 1024, 192, "null"), &[FULL_BENEFIT]);
+    let router = Router::with_faults(discovery, &text, &faults);
     let (mut client, mut partial) = (Client::connect(&router), Client::connect(&router));
     let _silent: Vec<Client> = (0..SILENT_CLIENTS).map(|_| Client::raw(&router)).collect();
     let begun = Instant::now();
@@ -63,7 +63,7 @@
     client.send(&query_bytes(&look("i1", COMMAND_TIMEOUT.as_millis() as u32)));
     assert!(node.statement().contains("id=i1"));
     std::thread::sleep(Duration::from_millis(2_300).saturating_sub(begun.elapsed()));
-    faults.set(Fault::HeldSend, ALWAYS);
+    faults.set(Fault::DelayedSend, ALWAYS);
     assert!(matches!(partial.answer(), Answer::Error(..)), "no error for a partial message");
     assert!(
         begun.elapsed() < PARTIAL_MESSAGE_MAX,
--- a/crates/router/tests/leave.rs
+++ b/crates/router/tests/leave.rs
@@ -137,7 +137,7 @@
 #[case::reset(Disconnect::Reset)]
 #[case::half_closed(Disconnect::HalfClose)]
 fn disconnect_behind_unread_queries_is_detected(#[case] disconnect: Disconnect) {
-    let node = Node::start("primary", |_| Reply::Silence);
+    let node = Node::start("primary", |_| Reply::Nothing);
     let router = Router::start(&[entry("s-a", &node, "ready", "primary")]);
     let mut client = Client::connect(&router);
     client.stream.set_nodelay(true).expect("the socket is open");
@@ -146,7 +146,7 @@
     client.send(&queries(300));
     settle(&router);
     let _half_closed = disconnect_client(client, disconnect);
-    assert_eq!(node.next(), Seen::Ended, "the command in flight was not cancelled");
+    assert_eq!(node.next(), NodeEvent::Closed, "the command in flight was not cancelled");
     router.signal("-USR1");
     let counters = router.counters("commands");
     assert_eq!((counters["taken"], counters["left"], counters["open"]), (1, 1, 0));
@@ -164,7 +164,7 @@
     settle(&router);
     drop(client);
     wait_for_counter(&router, "commands", "left", 1);
-    router.discovery.asked().send(&list(42, false, &[entry("s-a", &node, "ready", "primary")]));
+    router.discovery.next_watch().send(&list(42, false, &[entry("s-a", &node, "ready", "primary")]));
     assert_eq!(Client::connect(&router).query(&order("i2", 30_000)), Answer::Row("w".into()));
     assert!(node.statement().contains("id=i2"));
 }
@@ -291,9 +291,9 @@
     assert_eq!(Client::connect(&router).query(&look("last", 30_000)), Answer::Row("r".into()));
     drop(router);
     // The connections of the stand-in report their statements in no particular order.
-    let seen = std::iter::from_fn(|| node.seen.recv_timeout(Duration::from_millis(300)).ok());
-    let others = |seen: &Seen| matches!(seen, Seen::Statement(s) if !s.contains("id=last"));
-    assert_eq!(seen.filter(others).collect::<Vec<Seen>>(), []);
+    let seen = std::iter::from_fn(|| node.events.recv_timeout(Duration::from_millis(300)).ok());
+    let others = |seen: &NodeEvent| matches!(seen, NodeEvent::Statement(s) if !s.contains("id=last"));
+    assert_eq!(seen.filter(others).collect::<Vec<NodeEvent>>(), []);
 }
 
 /// The dispatches of some commands fail so that a retry may follow. Their clients disconnect after more other clients
@@ -301,7 +301,7 @@
 #[rstest]
 fn no_retry_starts_when_many_clients_leave_at_once() {
     const IN_FLIGHT: usize = 4;
-    let member = ManualMember::start_with(64, &[WORTH, ("\"sockets\":1024", "\"sockets\":6000")]);
+    let member = ManualMember::start_with(64, &[FULL_BENEFIT, ("\"sockets\":1024", "\"sockets\":6000")]);
     let send_look =
         |client: &mut Client, i: usize| client.send(&query_bytes(&look(&format!("i{i}"), 30_000)));
     let other_clients: Vec<Client> = (0..1_200).map(|_| Client::connect(&member.router)).collect();
@@ -316,8 +316,8 @@
     settle(&member.router);
     member.router.stop();
     for node in &mut nodes {
-        node.write_all(&[code("XX000"), ready()].concat()).expect("the socket is open");
-        delivered(node);
+        node.write_all(&[error_response("XX000"), ready()].concat()).expect("the socket is open");
+        wait_until_acknowledged(node);
     }
     other_clients
         .iter()
@@ -341,7 +341,7 @@
 
 /// A router and a member that answers all commands except those with the id i1.
 fn silent_for_i1() -> (Node, Router) {
-    let answers = |s: &str| if s.contains("id=i1") { Reply::Silence } else { Reply::Send(row("r")) };
+    let answers = |s: &str| if s.contains("id=i1") { Reply::Nothing } else { Reply::Send(row("r")) };
     let node = Node::start("primary", answers);
     let router = Router::start(&[entry("s-a", &node, "ready", "primary")]);
     (node, router)
@@ -350,7 +350,7 @@
 #[rstest]
 fn cancel_ends_the_query_in_flight_and_no_later_one() {
     let (node, router) = silent_for_i1();
-    let (mut client, key) = Client::keyed(&router);
+    let (mut client, key) = Client::connect_with_key(&router);
     client.send(&[query_bytes(&look("i1", 30_000)), query_bytes(&look("i2", 30_000))].concat());
     assert!(node.statement().contains("id=i1"));
     assert_eq!(Client::cancel(&router, &key).answer(), Answer::Closed);
@@ -368,13 +368,13 @@
 #[rstest]
 fn cancel_followed_by_a_close_ends_the_query() {
     let (node, router) = silent_for_i1();
-    let (mut client, key) = Client::keyed(&router);
+    let (mut client, key) = Client::connect_with_key(&router);
     client.send(&query_bytes(&look("i1", 30_000)));
     assert!(node.statement().contains("id=i1"));
     router.stop();
     let cancel_connection = Client::cancel(&router, &key);
     cancel_connection.stream.shutdown(Shutdown::Write).expect("the socket is open");
-    delivered(&cancel_connection.stream);
+    wait_until_acknowledged(&cancel_connection.stream);
     router.signal("-CONT");
     assert_eq!(client.answer(), Answer::Error("57014".into(), None));
 }
@@ -382,7 +382,8 @@
 #[rstest]
 fn cancel_with_a_wrong_secret_ends_no_query() {
     let (node, router) = silent_for_i1();
-    let ((mut client, mut key), (_, other)) = (Client::keyed(&router), Client::keyed(&router));
+    let ((mut client, mut key), (_, other)) =
+        (Client::connect_with_key(&router), Client::connect_with_key(&router));
     client.send(&query_bytes(&look("i1", 30_000)));
     assert!(node.statement().contains("id=i1"));
     assert_ne!(key[4..], other[4..], "two clients have the same secret");
@@ -400,7 +401,7 @@
 #[case::cancel_before_query(false)]
 fn cancel_read_together_with_a_query_ends_it_only_if_sent_after_it(#[case] query_first: bool) {
     let (_node, router) = silent_for_i1();
-    let (mut client, key) = Client::keyed(&router);
+    let (mut client, key) = Client::connect_with_key(&router);
     router.signal("-STOP");
     // An earlier connection makes the router handle the listener before the client.
     let _other = Client::raw(&router);
@@ -420,7 +421,7 @@
 #[rstest]
 fn cancel_before_the_greeting_is_read_prevents_the_query() {
     let member = ManualMember::start(64, true);
-    let (mut client, key) = Client::keyed(&member.router);
+    let (mut client, key) = Client::connect_with_key(&member.router);
     client.send(&query_bytes(&order("i1", 30_000)));
     let mut node = member.accept();
     // The connection is established, but the router has not written the query.
--- a/crates/router/tests/names.rs
+++ b/crates/router/tests/names.rs
@@ -4,7 +4,8 @@
 mod common;
 
 use common::{
-    Answer, Client, Discovery, Node, Reply, Router, Seen, code, configuration, entry, list, query_bytes, row,
+    Answer, Client, Discovery, Node, NodeEvent, Reply, Router, configuration, entry, error_response, list,
+    query_bytes, row,
 };
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -40,12 +41,12 @@
     let node = Node::start("primary", reply);
     let known = list(41, true, &[entry("s-a", &node, "ready", "primary")]);
     let known_list = known.clone();
-    let discovery = Discovery::acting(move |_, asked| {
-        asked.begin();
-        asked.send(&known_list);
+    let discovery = Discovery::with_handler(move |_, watch| {
+        watch.send_head();
+        watch.send(&known_list);
     });
     let text = configuration_with(&discovery, &known, groups, customers);
-    (node, Router::beside(discovery, &text, None))
+    (node, Router::with_discovery(discovery, &text, None))
 }
 
 fn statement_in(id: &str, names: &str) -> String {
@@ -62,7 +63,7 @@
             .lock()
             .expect("the lock is not poisoned")
             .insert(statement.split(",c=").next().map(str::to_owned));
-        Reply::Send(if first { code("XX000") } else { row("r") })
+        Reply::Send(if first { error_response("XX000") } else { row("r") })
     });
     let mut client = Client::connect(&router);
     for (at, (name, pure)) in groups.iter().enumerate() {
@@ -72,7 +73,10 @@
     let sent = groups.iter().map(|(_, pure)| 1 + *pure as usize).sum();
     (0..sent).for_each(|_| _ = node.statement());
     drop(router);
-    assert!(node.seen.try_iter().all(|seen| seen == Seen::Ended), "the member received further statements");
+    assert!(
+        node.events.try_iter().all(|seen| seen == NodeEvent::Closed),
+        "the member received further statements"
+    );
 }
 
 #[rstest]
@@ -114,7 +118,7 @@
     let released = Arc::new(Mutex::new(released));
     let (node, router) = router_with_one_primary(&[group("order", false)], &customers, move |_| {
         let _ = released.lock().expect("the lock is not poisoned").recv();
-        Reply::Send(code("XX000"))
+        Reply::Send(error_response("XX000"))
     });
     let mut clients = Vec::new();
     let mut send = |id: &str, customer: &str| {
--- a/crates/router/tests/pieces.rs
+++ b/crates/router/tests/pieces.rs
@@ -14,8 +14,8 @@
 /// Sends the bytes and returns once the router has read them, so that later bytes arrive in a separate read.
 fn send_and_await_read(router: &Router, stream: &mut TcpStream, bytes: &[u8]) {
     stream.write_all(bytes).expect("the router reads");
-    delivered(stream);
-    router.turn();
+    wait_until_acknowledged(stream);
+    router.wait_for_loop_turn();
 }
 
 /// How a sender splits a message into writes.
@@ -49,7 +49,7 @@
         let begun = Instant::now();
         let written = stream.write_all(piece).is_ok();
         if written {
-            router.turn();
+            router.wait_for_loop_turn();
         }
         written && begun.elapsed() < Duration::from_millis(50)
     })
@@ -174,7 +174,7 @@
 /// A cancel request that arrives byte by byte still cancels the query in flight.
 #[rstest]
 fn cancel_request_split_into_bytes_cancels_the_query_in_flight() {
-    let node = Node::start("primary", |_| Reply::Silence);
+    let node = Node::start("primary", |_| Reply::Nothing);
     let router = Router::start(&[entry("s-a", &node, "ready", "primary")]);
     let mut client = Client::raw(&router);
     client.send(&startup(3 << 16));
@@ -206,7 +206,7 @@
     router.stop();
     let mut client = Client::raw(&router);
     client.send(&[startup(3 << 16), all].concat());
-    delivered(&client.stream);
+    wait_until_acknowledged(&client.stream);
     router.signal("-CONT");
     assert_eq!(client.answer(), Answer::Empty);
     for id in ids {
@@ -246,7 +246,7 @@
 #[case::parameters_before([parameter("role", "primary"), parameter("applied_ms", "5"), row("r"), ready()].concat(), Answer::Row("r".into()))]
 #[case::notices_between([notice(), row("r"), notice(), ready()].concat(), Answer::Row("r".into()))]
 #[case::parameters_after([row("r"), parameter("role", "primary"), ready()].concat(), Answer::Row("r".into()))]
-#[case::an_error([code("XX000"), parameter("role", "primary"), ready()].concat(), Answer::Error("40003".into(), None))]
+#[case::an_error([error_response("XX000"), parameter("role", "primary"), ready()].concat(), Answer::Error("40003".into(), None))]
 fn answers_do_not_depend_on_how_member_bytes_are_split(#[case] response: Vec<u8>, #[case] want: Answer) {
     let member = Member::start();
     let router = without_probes(&[("s-a", &member)]);
@@ -268,7 +268,7 @@
             let id = format!("i{number}");
             let mut client = Client::connect(&router);
             client.send(&query_bytes(&order(&id, 60_000)));
-            let mut link = member.dialled();
+            let mut link = member.accept_without_reply();
             link.stream.set_nodelay(true).expect("open");
             send_chunked(
                 &router,
@@ -276,7 +276,7 @@
                 &greeting_bytes,
                 if i == 0 { chunking } else { Chunking::SplitAt(i) },
             );
-            assert!(link.asked().is_some_and(|s| s.contains(&format!("id={id},"))));
+            assert!(link.read_statement().is_some_and(|s| s.contains(&format!("id={id},"))));
             in_time = send_chunked_in_time(&router, &mut link.stream, &response, chunking);
             if in_time {
                 assert_eq!(client.answer(), want, "{chunking:?}");
@@ -284,7 +284,7 @@
             // The next trial needs a new connection with its own greeting.
             let _ = link.stream.shutdown(Shutdown::Both);
             drop(link);
-            router.turn();
+            router.wait_for_loop_turn();
             if in_time {
                 break;
             }
--- a/crates/router/tests/ready.rs
+++ b/crates/router/tests/ready.rs
@@ -40,18 +40,18 @@
     #[case] seconds: u64,
     #[case] expect_row: bool,
 ) {
-    let (node, refusing) = (start_primary(), Refusing::start());
+    let (node, refusing) = (start_primary(), RefusingPort::start());
     let members = list(41, true, &[entry("s-a", &node, "ready", "primary")]);
     let known = if has_known_list { members.clone() } else { "null".to_owned() };
-    let discovery = Discovery::acting(move |number, watch| {
+    let discovery = Discovery::with_handler(move |number, watch| {
         if agent == Agent::SilentTwice && number >= 2 {
-            watch.begin();
+            watch.send_head();
             watch.send(&members);
         }
     });
     let address = if agent == Agent::Refuses { refusing.address() } else { discovery.address };
     let begun = Instant::now();
-    let router = Router::beside(discovery, &configuration(address, 1024, 192, &known), None);
+    let router = Router::with_discovery(discovery, &configuration(address, 1024, 192, &known), None);
     let mut client = Client::connect(&router);
     let refused = Answer::Error("57P03".into(), None);
     while client.query("") == refused {
@@ -116,7 +116,7 @@
 #[case::smallest_limit(256)]
 #[case::largest_limit(1024)]
 fn idle_clients_on_all_sockets_block_neither_the_watch_nor_new_commands(#[case] sockets: u32) {
-    let (first, second, refusing) = (start_primary(), start_primary(), Refusing::start());
+    let (first, second, refusing) = (start_primary(), start_primary(), RefusingPort::start());
     let known = list(41, true, &[entry("s-a", &first, "ready", "primary")]);
     let members = list(
         43,
@@ -124,7 +124,7 @@
         &[entry("s-a", &first, "draining", "replica"), entry("s-b", &second, "ready", "primary")],
     );
     let text = configuration(refusing.address(), sockets, 192, &known);
-    let router = Router::beside(Discovery::start(), &text, None);
+    let router = Router::with_discovery(Discovery::start(), &text, None);
     router.limit_descriptors(sockets);
     let stopped = &AtomicBool::new(false);
     scope(|s| {
@@ -143,15 +143,15 @@
             assert_eq!(answer_to_new_client(&router, &format!("down-{i}")), expected);
         }
         let discovery = Discovery::at(refusing.open(), move |_, watch| {
-            watch.begin();
+            watch.send_head();
             watch.send(&members);
         });
         let restored_at = Instant::now();
-        let watch = discovery.asked();
+        let watch = discovery.next_watch();
         assert!(watch.at - restored_at < Duration::from_secs(4), "{:?}", watch.at - restored_at);
         // Once the first command has reached the second member, all later ones go there.
-        first.seen.try_iter().for_each(drop);
-        while second.seen.try_iter().next().is_none() {
+        first.events.try_iter().for_each(drop);
+        while second.events.try_iter().next().is_none() {
             assert!(restored_at.elapsed() < Duration::from_secs(6), "the new list is not in force");
             assert_eq!(
                 answer_to_new_client(&router, &format!("back-{}", restored_at.elapsed().as_micros())),
--- a/crates/router/tests/reload.rs
+++ b/crates/router/tests/reload.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{
-    Answer, Client, Discovery, Node, Reply, Router, code, configuration, entry, list, look, order,
+    Answer, Client, Discovery, Node, Reply, Router, configuration, entry, error_response, list, look, order,
     query_bytes, row,
 };
 use rstest::rstest;
@@ -29,14 +29,14 @@
     let node = Node::start(role, reply);
     let known = list(41, true, &[entry("s-a", &node, "ready", "primary")]);
     let members = known.clone();
-    let discovery = Discovery::acting(move |_, watch| {
-        watch.begin();
+    let discovery = Discovery::with_handler(move |_, watch| {
+        watch.send_head();
         watch.send(&members);
     });
     let text = configuration(discovery.address, 1024, 192, &known);
     let mut config: Value = serde_json::from_str(&text).expect("JSON");
     change(&mut config["settings"]);
-    Running { router: Router::beside(discovery, &config.to_string(), None), node, config }
+    Running { router: Router::with_discovery(discovery, &config.to_string(), None), node, config }
 }
 
 impl Running {
@@ -49,7 +49,7 @@
     /// Changes the settings and waits until they are in force.
     fn change(&mut self, change: impl FnOnce(&mut Value)) {
         self.reload(change);
-        self.router.logged("reload: the settings have changed and are in force");
+        self.router.wait_for_log("reload: the settings have changed and are in force");
     }
 
     fn count(&self, line: &str, name: &str) -> u64 {
@@ -115,7 +115,7 @@
     });
     let mut late = Client::connect(&running.router);
     assert_eq!(late.query(&order("i2", 50_000)), refused());
-    running.router.logged("no command group is named 'order'");
+    running.router.wait_for_log("no command group is named 'order'");
     release.send(()).expect("the member waits");
     assert_eq!(early.answer(), value());
     release.send(()).expect("the member waits");
@@ -141,7 +141,7 @@
             }
             failed_once.push(id.to_owned());
             let _ = released.lock().expect("a lock").recv();
-            Reply::Send(code("XX000"))
+            Reply::Send(error_response("XX000"))
         },
     );
     let expected =
@@ -161,7 +161,9 @@
     let mut running = start(
         |_| {},
         "primary",
-        |statement| Reply::Send(if statement.contains("SELECT") { code("XX000") } else { row("value") }),
+        |statement| {
+            Reply::Send(if statement.contains("SELECT") { error_response("XX000") } else { row("value") })
+        },
     );
     let dispatches = |running: &Running| {
         running.router.signal("-USR1");
@@ -180,7 +182,7 @@
 
 #[rstest]
 fn shorter_response_target_applies_to_later_commands() {
-    let mut running = start(|_| {}, "primary", |_| Reply::Silence);
+    let mut running = start(|_| {}, "primary", |_| Reply::Nothing);
     let mut early = Client::connect(&running.router);
     early.send(&query_bytes(&order("i1", 50_000)));
     assert!(running.node.statement().contains("id=i1"));
@@ -205,7 +207,7 @@
     client.send(&query_bytes(&order("i1", 50_000)));
     assert!(running.node.statement().contains("id=i1"));
     running.router.signal("-TERM");
-    running.router.logged("stopping: 1 commands open");
+    running.router.wait_for_log("stopping: 1 commands open");
     // With the shorter timeout the command would be answered as failed after 0.66 s; with the longer one after 3.56 s.
     sleep(Duration::from_millis(1_300));
     release.send(()).expect("the member waits");
@@ -233,11 +235,11 @@
 fn shorter_dial_timeout_applies_to_the_next_dial() {
     let set_long_timeout =
         |settings: &mut Value| settings["permissions"]["dial_timeout_ms"] = 60_000.0.into();
-    let mut running = start(set_long_timeout, "mute", |_| Reply::Silence);
+    let mut running = start(set_long_timeout, "mute", |_| Reply::Nothing);
     running.change(|settings| settings["permissions"]["dial_timeout_ms"] = 50.0.into());
     let mut client = Client::connect(&running.router);
     client.send(&query_bytes(&order("i1", 50_000)));
-    running.router.logged("command i1: attempt 0 at s-a ended: DialLimit while Dialling");
+    running.router.wait_for_log("command i1: attempt 0 at s-a ended: DialLimit while Dialling");
 }
 
 #[rstest]
@@ -246,7 +248,7 @@
     running.change(|settings| settings["report"]["via"] = "none".into());
     let added = Node::start("replica", |_| Reply::Send(row("1")));
     let both = [entry("s-a", &running.node, "ready", "primary"), entry("s-b", &added, "ready", "replica")];
-    running.router.discovery.asked().send(&list(42, true, &both));
+    running.router.discovery.next_watch().send(&list(42, true, &both));
     assert_eq!(added.statement(), "SELECT 1", "a new member is probed as the new settings say");
 }
 
@@ -262,7 +264,7 @@
     let (discovery, settings) = (running.config["discovery"].take(), running.config["settings"].take());
     running.config["discovery"] = elsewhere.address.to_string().into();
     running.reload(|settings| *settings = invalid);
-    let line = running.router.logged("reload: the configuration stays as it is: ");
+    let line = running.router.wait_for_log("reload: the configuration stays as it is: ");
     assert!(line.contains("expected") && line.contains(reason), "{line}");
     let mut client = Client::connect(&running.router);
     assert_eq!(
@@ -270,10 +272,10 @@
         (value(), refused())
     );
     assert_eq!(running.count("connections", "reloads"), 0);
-    assert!(elsewhere.never_asked(), "the watch has not moved");
+    assert!(elsewhere.has_no_watch(), "the watch has not moved");
     running.config["discovery"] = discovery;
     running.reload(|current| *current = settings);
     // The file holds the settings in force again, so nothing changes.
-    let line = running.router.logged("reload: ");
+    let line = running.router.wait_for_log("reload: ");
     assert!(line.contains("discovery stays"), "{line}");
 }
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -77,7 +77,7 @@
     #[case] node: &str,
     #[case] client: &str,
 ) {
-    let (_node, router) = start_with_primary(reply_with(code(node)));
+    let (_node, router) = start_with_primary(reply_with(error_response(node)));
     let Answer::Error(code, detail) = Client::connect(&router).query(&query) else { panic!("no error") };
     let has_retry_delay = detail.is_some_and(|d| d.parse::<u32>().is_ok());
     assert_eq!((code.as_str(), has_retry_delay), (client, client == "53300"));
@@ -85,7 +85,7 @@
 
 #[rstest]
 fn miss_sends_the_command_to_the_next_member() {
-    let old = Node::start("replica", reply_with(code("25006")));
+    let old = Node::start("replica", reply_with(error_response("25006")));
     let new = Node::start("primary", reply_with(row("w")));
     let list = [entry("s-a", &old, "ready", "primary"), entry("s-b", &new, "ready", "replica")];
     let router = Router::start(&list);
@@ -111,7 +111,7 @@
 
 #[rstest]
 fn dial_timeout_counts_the_dispatch_as_never_sent() {
-    let node = Node::start("mute", |_| Reply::Silence);
+    let node = Node::start("mute", |_| Reply::Nothing);
     let router = Router::start(&[entry("s-a", &node, "ready", "primary")]);
     let Answer::Error(code, _) = Client::connect(&router).query(&order("i1", 1000)) else {
         panic!("no error")
@@ -130,14 +130,14 @@
     let router = Router::start(&[entry("s-a", &node, "ready", "primary")]);
     let answer = Client::connect(&router).query(&order("i1", 300));
     assert!(matches!(&answer, Answer::Error(code, _) if code == "53300"), "{answer:?}");
-    assert!(node.seen.try_recv().is_err(), "nothing was sent there");
+    assert!(node.events.try_recv().is_err(), "nothing was sent there");
 }
 
 #[rstest]
 fn probe_with_a_dial_timeout_counts_as_timed_out_and_is_repeated() {
-    let node = Node::start("mute", |_| Reply::Silence);
+    let node = Node::start("mute", |_| Reply::Nothing);
     let router = Router::start(&[entry("s-a", &node, "ready", "primary")]);
-    (0..2).for_each(|_| drop(router.logged("Probe ended: Limit while Dialling")));
+    (0..2).for_each(|_| drop(router.wait_for_log("Probe ended: Limit while Dialling")));
     router.signal("-USR1");
     let probes = router.counters("probes");
     assert_eq!((probes.len(), probes["timed_out"]), (1, 2));
@@ -147,10 +147,10 @@
 #[case::two_rows([row("a"), row("b")].concat())]
 #[case::no_row(Vec::new())]
 #[case::garbage(b"HTTP/1.1 400 Bad Request\r\n\r\n".to_vec())]
-#[case::row_and_error([row("a"), code("XX000")].concat())]
+#[case::row_and_error([row("a"), error_response("XX000")].concat())]
 fn write_with_an_invalid_answer_may_have_run(#[case] bytes: Vec<u8>) {
     let node = Node::start("primary", reply_with(bytes));
-    let router = Router::with_settings(&[entry("s-a", &node, "ready", "primary")], &PATIENT);
+    let router = Router::with_settings(&[entry("s-a", &node, "ready", "primary")], &LONG_TIMEOUTS);
     assert_eq!(Client::connect(&router).query(&order("i1", 5000)), error("40003"));
 }
 
@@ -187,7 +187,7 @@
     let mut client = Client::connect(&router);
     assert_eq!(client.query(&order("i1", 5000)), Answer::Row("r".into()));
     // The connection is closed and not used again.
-    assert_eq!((node.statement().contains("id=i1"), node.next()), (true, Seen::Ended));
+    assert_eq!((node.statement().contains("id=i1"), node.next()), (true, NodeEvent::Closed));
     assert_eq!(client.query(&order("i2", 5000)), Answer::Row("other".into()));
 }
 
@@ -225,7 +225,7 @@
     // A connection that was opened just now is kept, because its first query may be on its way.
     std::thread::sleep(std::time::Duration::from_millis(150));
     let late: Vec<Client> = ["l1", "l2", "l3", "l4"].map(connect_and_query).into();
-    router.logged("one that asked for nothing is closed");
+    router.wait_for_log("one that asked for nothing is closed");
     assert_eq!(client.query(&look("second", 5000)), Answer::Row("r".into()));
     drop((silent, late));
 }
@@ -249,7 +249,7 @@
 
 #[rstest]
 fn dials_reclaim_descriptors_from_silent_clients() {
-    let node = Node::start("primary", |_| Reply::Silence);
+    let node = Node::start("primary", |_| Reply::Nothing);
     let router = Router::with_sockets(&[entry("s-a", &node, "ready", "primary")], 48);
     let mut busy: Vec<Client> = (0..6).map(|_| Client::connect(&router)).collect();
     let mut silent: Vec<Client> = (0..5).map(|_| Client::raw(&router)).collect();
@@ -301,7 +301,7 @@
     });
     let mut client = Client::connect(&router);
     assert_eq!(client.query(&look("i1", 5000)), Answer::Row("r".into()));
-    assert_eq!((node.statement().contains("id=i1"), node.next()), (true, Seen::Ended));
+    assert_eq!((node.statement().contains("id=i1"), node.next()), (true, NodeEvent::Closed));
     assert_eq!(client.query(&order("i2", 5000)), Answer::Row("w".into()));
 }
 
@@ -312,17 +312,17 @@
     assert_eq!(Client::connect(&router).query(&look("i1", 5000)), Answer::Row("r".into()));
     // The first probe gets no answer. Otherwise the command's connection would stay open for half a minute.
     assert!(node.statement().contains("id=i1"));
-    assert_eq!(node.next(), Seen::Ended);
+    assert_eq!(node.next(), NodeEvent::Closed);
 }
 
 #[rstest]
 fn client_disconnect_cancels_its_dispatch() {
-    let (node, router) = start_with_primary(|_| Reply::Silence);
+    let (node, router) = start_with_primary(|_| Reply::Nothing);
     let mut client = Client::connect(&router);
     client.send(&query_bytes(&look("i1", 30_000)));
     assert!(node.statement().contains("id=i1"));
     client.stream.shutdown(Shutdown::Both).expect("open");
-    assert_eq!(node.next(), Seen::Ended);
+    assert_eq!(node.next(), NodeEvent::Closed);
     router.signal("-USR1");
     let counters = router.counters("commands");
     assert_eq!((counters["taken"], counters["left"], counters["open"]), (1, 1, 0));
@@ -335,19 +335,19 @@
     let router = Router::start(&[entry("s-a", &first, "ready", "primary")]);
     let mut client = Client::connect(&router);
     assert_eq!(client.query(&order("i1", 5000)), Answer::Row("first".into()));
-    let mut watch = router.discovery.asked();
+    let mut watch = router.discovery.next_watch();
     assert!(watch.path.contains("index=0"), "{}", watch.path);
     let change = [entry("s-a", &first, "draining", "replica"), entry("s-b", &second, "ready", "primary")];
     watch.send("");
     watch.send(&list(42, false, &change));
     drop(watch);
     // The index of the next watch shows that the change was applied.
-    let mut watch = router.discovery.asked();
+    let mut watch = router.discovery.next_watch();
     assert!(watch.path.contains("index=42"), "{}", watch.path);
     assert_eq!(client.query(&order("i2", 5000)), Answer::Row("second".into()));
     // After an unreadable update the router requests the whole list.
     watch.send("no list");
-    assert!(router.discovery.asked().path.contains("index=0"));
+    assert!(router.discovery.next_watch().path.contains("index=0"));
 }
 
 #[rstest]
@@ -360,8 +360,8 @@
         }
         Reply::Send(row("r"))
     });
-    let router = Router::with_settings(&[entry("s-a", &node, "ready", "primary")], &PATIENT);
-    let mut old = router.discovery.asked();
+    let router = Router::with_settings(&[entry("s-a", &node, "ready", "primary")], &LONG_TIMEOUTS);
+    let mut old = router.discovery.next_watch();
     old.send(&list(42, false, &[entry("s-a", &node, "ready", "primary")]));
     let mut client = Client::connect(&router);
     client.send(&query_bytes(&look("i1", 60_000)));
@@ -369,33 +369,33 @@
     // Half a file and one without discovery change nothing.
     for invalid in [r#"{"name":"n0","lis"#, r#"{"settings":{},"seed":"1","listen":"127.0.0.1:0"}"#] {
         router.reload(invalid);
-        router.logged("reload: the configuration stays as it is");
+        router.wait_for_log("reload: the configuration stays as it is");
     }
     // The new agent sends its list once the test allows it, however many watches were opened by then.
     let second = Node::start("primary", reply_with(row("second")));
     let new_member = entry("s-b", &second, "ready", "primary");
     let may_send = Arc::new(AtomicBool::new(false));
     let (may_send_list, whole) = (may_send.clone(), list(7, true, std::slice::from_ref(&new_member)));
-    let new = Discovery::acting(move |_, watch| {
+    let new = Discovery::with_handler(move |_, watch| {
         if may_send_list.load(Relaxed) {
-            watch.begin();
+            watch.send_head();
             watch.send(&whole);
         }
     });
     router.reload(&configuration(new.address, 512, 192, "null"));
-    router.logged("'limits' has changed");
-    let watch = new.asked();
+    router.wait_for_log("'limits' has changed");
+    let watch = new.next_watch();
     assert!(watch.path.contains("index=0"), "{}", watch.path);
     // The old watch is used until the new agent has sent its list, is then closed and never opened again.
     old.send(&list(43, false, &[entry("s-a", &node, "draining", "replica"), new_member]));
-    old.delivered();
+    old.wait_until_acknowledged();
     assert_eq!(Client::connect(&router).query(&order("i2", 9000)), Answer::Row("second".into()));
     may_send.store(true, Relaxed);
     drop(watch);
-    assert!(old.ended());
+    assert!(old.wait_for_close());
     // Each watch is closed when the test drops it: the one after the list requests later changes only.
-    while !new.asked().path.contains("index=7") {}
-    assert!(router.discovery.never_asked(), "watches are opened only at the new address");
+    while !new.next_watch().path.contains("index=7") {}
+    assert!(router.discovery.has_no_watch(), "watches are opened only at the new address");
     release.send(()).expect("the member waits");
     assert_eq!(client.answer(), Answer::Row("r".into()));
 }
@@ -405,8 +405,8 @@
     let (node, router) = start_with_primary(reply_with(row("r")));
     assert_eq!(Client::connect(&router).query(&look("i1", 5000)), Answer::Row("r".into()));
     assert!(node.statement().contains("id=i1"));
-    router.discovery.asked().send(&list(42, false, &[entry("s-a", &node, "gone", "primary")]));
-    assert_eq!(node.next(), Seen::Ended);
+    router.discovery.next_watch().send(&list(42, false, &[entry("s-a", &node, "gone", "primary")]));
+    assert_eq!(node.next(), NodeEvent::Closed);
 }
 
 #[rstest]
@@ -425,7 +425,7 @@
     node.statement();
     node.statement();
     router.signal("-TERM");
-    router.logged("stopping");
+    router.wait_for_log("stopping");
     // Other routers may be down at the same time, so connected and new clients are still served for a while.
     let mut late = Client::connect(&router);
     assert_eq!(late.query(&look("i3", 5000)), Answer::Row("r".into()));
@@ -444,7 +444,7 @@
 fn clients_in_the_accept_queue_are_answered_when_the_listener_closes() {
     let (_node, router) = start_with_primary(reply_with(row("r")));
     router.signal("-TERM");
-    router.logged("stopping");
+    router.wait_for_log("stopping");
     router.signal("-STOP");
     let connect_and_send = |i| {
         let mut client = Client::raw(&router);
@@ -463,10 +463,10 @@
 
 #[rstest]
 fn command_after_sigterm_is_answered_before_the_process_ends() {
-    let (_node, mut router) = start_with_primary(|_| Reply::Silence);
+    let (_node, mut router) = start_with_primary(|_| Reply::Nothing);
     let mut client = Client::connect(&router);
     router.signal("-TERM");
-    router.logged("stopping");
+    router.wait_for_log("stopping");
     let signalled_at = Instant::now();
     client.send(&query_bytes(&look("i1", 60_000)));
     let Answer::Error(code, _) = client.answer() else { panic!("no member serves") };
@@ -515,7 +515,7 @@
 
 #[rstest]
 fn open_commands_keep_their_connections_at_the_descriptor_limit() {
-    let node = Node::start("primary", |_| Reply::Silence);
+    let node = Node::start("primary", |_| Reply::Nothing);
     let router = Router::with_sockets(&[entry("s-a", &node, "ready", "primary")], 40);
     let connect_and_send = |i| {
         let mut client = Client::connect(&router);
@@ -562,7 +562,7 @@
 #[rstest]
 fn id_of_an_open_command_with_a_huge_wait_is_refused() {
     let (node, router) =
-        start_with_primary(|s| if s.contains("d=") { Reply::Silence } else { Reply::Send(row("r")) });
+        start_with_primary(|s| if s.contains("d=") { Reply::Nothing } else { Reply::Send(row("r")) });
     let (mut first, mut second) = (Client::connect(&router), Client::connect(&router));
     first.send(&query_bytes(&look("x", u32::MAX)));
     node.statement();
--- a/crates/router/tests/silence.rs
+++ b/crates/router/tests/silence.rs
@@ -20,25 +20,25 @@
     let after = list(43, true, &[entry_at("s-b", address, "ready", "primary")]);
     let (dial_tx, dial_rx) = channel();
     spawn(move || dial_tx.send(member.accept().map(|_| Instant::now())));
-    let discovery = Discovery::acting(move |number, watch| match (number, stall) {
+    let discovery = Discovery::with_handler(move |number, watch| match (number, stall) {
         (0, _) => {
-            watch.begin();
+            watch.send_head();
             watch.send(r#"{"version":41,"full":true,"servers":[]}"#);
         }
         (1, Some(stall)) => watch.raw(stall),
         _ => {
-            watch.begin();
+            watch.send_head();
             watch.send(&after);
         }
     });
     let seed = format!("{number:016x}");
     let text = configuration(discovery.address, 1024, 192, "null").replace("8c1f30d27a5be964", &seed);
-    let router = Router::beside(discovery, &text, None);
-    let mut watch = router.discovery.asked();
+    let router = Router::with_discovery(discovery, &text, None);
+    let mut watch = router.discovery.next_watch();
     sleep(Duration::from_millis(u64::from(number) * 19));
     watch.send("");
     let silent_since = Instant::now();
-    let held: Vec<Asked> = (0..=stall.is_some() as u32).map(|_| router.discovery.asked()).collect();
+    let held: Vec<Watch> = (0..=stall.is_some() as u32).map(|_| router.discovery.next_watch()).collect();
     let dialled_at = dial_rx.recv_timeout(WAIT).expect("the list is known").expect("a dial");
     drop(held);
     dialled_at - silent_since
--- a/crates/router/tests/soak/members.rs
+++ b/crates/router/tests/soak/members.rs
@@ -1,7 +1,7 @@
 //! Simulated members on loopback, in sets of a primary and replicas, with faults that the test switches on and off.
 
 use super::common::history::{History, Need};
-use super::common::{code, parameter, read_packet, ready, row};
+use super::common::{error_response, parameter, read_packet, ready, row};
 use super::ledger::{DeliveryInfo, Ledger};
 use super::proxy::{Connection, ProxyFaults};
 use socket2::SockRef;
@@ -170,13 +170,13 @@
             .command_delivered(&id, DeliveryInfo { member: self.number, time_left, stale, draining });
         let write = statement.starts_with("INSERT");
         if draining {
-            return Some([code("53300"), ready()].concat());
+            return Some([error_response("53300"), ready()].concat());
         }
         if self.faults.resets.load(Relaxed) && id.len().is_multiple_of(2) {
             return reset(stream).map(|()| Vec::new());
         }
         if write && !self.is_primary() {
-            return Some([self.role_and_position(), code("25006"), ready()].concat());
+            return Some([self.role_and_position(), error_response("25006"), ready()].concat());
         }
         thread::sleep(Duration::from_millis(2 + self.faults.slow.load(Relaxed)));
         self.ledger.command_executed(&id, self.number);
--- a/crates/router/tests/soak/routers.rs
+++ b/crates/router/tests/soak/routers.rs
@@ -3,7 +3,7 @@
 
 use super::agents::Agent;
 use super::common::faults::Faults;
-use super::common::{configuration, with_pieces};
+use super::common::{configuration, with_replacements};
 use super::ledger::Ledger;
 use std::fs::{File, OpenOptions};
 use std::io::{Read, Seek, SeekFrom};
@@ -96,7 +96,7 @@
         let head = head.replace("127.0.0.1:0", &self.address.to_string());
         let bound = self.ledger.bound.as_millis().to_string();
         let settings = SETTINGS.replace("BOUND", &bound);
-        let text = with_pieces(format!(r#"{head}"settings":{settings}}}"#), self.variant);
+        let text = with_replacements(format!(r#"{head}"settings":{settings}}}"#), self.variant);
         std::fs::write(&self.config, text).expect("a temporary file");
     }
 
@@ -105,7 +105,7 @@
         let program = std::env::var("SOAK_PROGRAM");
         let child = Command::new(program.as_deref().unwrap_or(env!("CARGO_BIN_EXE_vetchkeel-router")))
             .env("NODE_CONFIG", &self.config)
-            .envs(self.faults.variables())
+            .envs(self.faults.environment())
             .stderr(Stdio::from(log))
             .spawn()
             .expect("the program starts");
--- a/crates/router/tests/soak/troubles.rs
+++ b/crates/router/tests/soak/troubles.rs
@@ -104,11 +104,11 @@
 const SYSTEM_CALL_FAULTS: [(Fault, u64); 14] = [
     (Fault::ShortSend, 500_000),
     (Fault::InterruptedSend, 200_000),
-    (Fault::RefusedSend, 50_000),
-    (Fault::StarvedSend, 30_000),
+    (Fault::BlockedSend, 50_000),
+    (Fault::NoBufferSend, 30_000),
     (Fault::ShortReceive, 500_000),
     (Fault::InterruptedReceive, 200_000),
-    (Fault::RefusedReceive, 50_000),
+    (Fault::BlockedReceive, 50_000),
     (Fault::BrokenReceive, 3_000),
     (Fault::FailedConnect, 500_000),
     (Fault::InterruptedConnect, 500_000),
@@ -193,14 +193,14 @@
                 routers.iter().for_each(|r| r.faults.step_wall_clock(steps[rng.below(7) as usize]));
             }
             Disturbance::StalledRouter => {
-                routers.iter().for_each(|r| r.faults.set(Fault::HeldUp, 2_000));
+                routers.iter().for_each(|r| r.faults.set(Fault::ClockStall, 2_000));
                 thread::sleep(duration);
-                routers.iter().for_each(|r| r.faults.set(Fault::HeldUp, 0));
+                routers.iter().for_each(|r| r.faults.set(Fault::ClockStall, 0));
             }
             Disturbance::DelayedSends => {
-                routers.iter().for_each(|r| r.faults.set(Fault::HeldSend, self.send_delay_rate));
+                routers.iter().for_each(|r| r.faults.set(Fault::DelayedSend, self.send_delay_rate));
                 thread::sleep(duration);
-                routers.iter().for_each(|r| r.faults.set(Fault::HeldSend, 0));
+                routers.iter().for_each(|r| r.faults.set(Fault::DelayedSend, 0));
             }
             Disturbance::SuspendedProcess => {
                 for router in &routers {
--- a/crates/router/tests/start.rs
+++ b/crates/router/tests/start.rs
@@ -16,8 +16,8 @@
 
 fn start_discovery(node: &Node) -> Discovery {
     let known = list(41, true, &[entry("s-a", node, "ready", "primary")]);
-    Discovery::acting(move |_, watch| {
-        watch.begin();
+    Discovery::with_handler(move |_, watch| {
+        watch.send_head();
         watch.send(&known);
     })
 }
@@ -33,12 +33,12 @@
     let listen = format!(r#""listen":"{}""#, holder.local_addr().expect("bound"));
     let discovery = start_discovery(&node);
     let text = configuration(discovery.address, 1024, 192, "null");
-    let text = with_pieces(text, &[(r#""listen":"127.0.0.1:0""#, &listen)]);
+    let text = with_replacements(text, &[(r#""listen":"127.0.0.1:0""#, &listen)]);
     thread::spawn(move || {
         thread::sleep(Duration::from_secs(1));
         drop(holder);
     });
-    assert_serves(&Router::beside(discovery, &text, None), "after");
+    assert_serves(&Router::with_discovery(discovery, &text, None), "after");
 }
 
 #[rstest]
@@ -50,9 +50,9 @@
     thread::scope(|scope| {
         scope.spawn(|| {
             thread::sleep(Duration::from_secs(1));
-            faults.none();
+            faults.clear();
         });
-        assert_serves(&Router::failing(discovery, &text, &faults), "after");
+        assert_serves(&Router::with_faults(discovery, &text, &faults), "after");
     });
 }
 
@@ -61,7 +61,7 @@
     let (node, faults) = (start_primary(), Faults::new(1));
     let discovery = start_discovery(&node);
     let text = configuration(discovery.address, 1024, 192, "null");
-    let mut router = Router::failing(discovery, &text, &faults);
+    let mut router = Router::with_faults(discovery, &text, &faults);
     faults.set(Fault::InterruptedRead, 700_000);
     for number in 0..40 {
         router.signal(if number % 2 == 0 { "-HUP" } else { "-USR1" });
--- a/crates/router/tests/stop.rs
+++ b/crates/router/tests/stop.rs
@@ -82,7 +82,7 @@
         (0..8).map(|i| spawn(move || keep_sending(address, &format!("c{i}"), in_flight))).collect();
     sleep(Duration::from_millis(700));
     router.reload(&configuration(new.address, 1024, 192, "null"));
-    new.asked().send(&list(1, true, &members));
+    new.next_watch().send(&list(1, true, &members));
     sleep(Duration::from_millis(300));
     router.signal("-TERM");
     let signalled_at = Instant::now();
@@ -125,7 +125,7 @@
 
 #[rstest]
 fn write_with_a_longer_wait_is_answered_before_sigkill() {
-    let node = Node::start("primary", |_| Reply::Silence);
+    let node = Node::start("primary", |_| Reply::Nothing);
     let mut router = Router::start(&[entry("s-a", &node, "ready", "primary")]);
     let mut client = Client::connect(&router);
     client.send(&query_bytes(&order("i1", 60_000)));
--- a/crates/router/tests/told.rs
+++ b/crates/router/tests/told.rs
@@ -23,7 +23,7 @@
 }
 
 fn router(member: &Member) -> Router {
-    without_probes_but(&[("s-a", member)], &[WORTH])
+    without_probes_replacing(&[("s-a", member)], &[FULL_BENEFIT])
 }
 
 /// A client, when it sent its command and how long it waits in all, in milliseconds.
@@ -48,7 +48,7 @@
 
     /// Checks that the next statement on this connection states no more than `left`, the time left before it was sent.
     fn check_next(&self, link: &mut Link, left: u32) {
-        self.check(&link.asked().expect("a statement"), left);
+        self.check(&link.read_statement().expect("a statement"), left);
     }
 
     fn check(&self, statement: &str, left: u32) {
@@ -77,11 +77,11 @@
         match self {
             Ending::Error(sqlstate) => {
                 router.stop();
-                link.say(&[code(sqlstate), ready()].concat());
-                link.end(false);
+                link.send(&[error_response(sqlstate), ready()].concat());
+                link.close(false);
                 router.signal("-CONT");
             }
-            Ending::Reset => link.end(true),
+            Ending::Reset => link.close(true),
         }
     }
 }
@@ -95,13 +95,13 @@
     let member = Member::start();
     let router = router(&member);
     let mut waiting = Waiting::send(&router, &look("i1", CLIENT_WAIT), CLIENT_WAIT);
-    let mut first = member.dialled();
+    let mut first = member.accept_without_reply();
     sleep(DELAY);
     let left = waiting.left();
     first.greet();
     waiting.check_next(&mut first, left);
     ending.end(&router, first);
-    let mut retry = member.dialled();
+    let mut retry = member.accept_without_reply();
     sleep(DELAY);
     let left = waiting.left();
     retry.greet();
@@ -117,11 +117,11 @@
     let router = router(&member);
     let long = order("i1", wait).replace(r"\x01", &format!(r"\x{}", "01".repeat(64_000)));
     let mut waiting = Waiting::send(&router, &long, wait);
-    let mut link = member.met();
+    let mut link = member.accept();
     let left = waiting.left();
     waiting.check_next(&mut link, left);
     Ending::Error("25006").end(&router, link);
-    let mut link = member.met();
+    let mut link = member.accept();
     // A part of the statement has arrived: the router has sent the message length, and its socket buffer is full.
     link.stream.peek(&mut [0]).expect("a statement");
     sleep(DELAY);
@@ -137,23 +137,23 @@
     let member = Member::start();
     let router = router(&member);
     let mut waiting = Waiting::send(&router, &look("i1", CLIENT_WAIT), CLIENT_WAIT);
-    let mut link = member.met();
+    let mut link = member.accept();
     let left = waiting.left();
     waiting.check_next(&mut link, left);
     if during_dial {
-        link.end(true);
-        link = member.dialled();
+        link.close(true);
+        link = member.accept_without_reply();
         router.stop();
         link.greet();
     } else {
         router.stop();
         // This connection is not used again at once, so the next attempt uses a new one.
-        link.say(&[code("XX000"), ready()].concat());
+        link.send(&[error_response("XX000"), ready()].concat());
     }
     sleep(DELAY);
     let left = waiting.left();
     router.signal("-CONT");
-    let mut link = if during_dial { link } else { member.met() };
+    let mut link = if during_dial { link } else { member.accept() };
     waiting.check_next(&mut link, left);
     waiting.finish(link);
 }
@@ -164,7 +164,7 @@
     let router = router(&member);
     // An earlier command has opened the connection, so that the next one is written at once.
     let mut waiting = Waiting::send(&router, &look("i0", CLIENT_WAIT), CLIENT_WAIT);
-    let mut link = member.met();
+    let mut link = member.accept();
     let left = waiting.left();
     waiting.check_next(&mut link, left);
     link.answer("r");
--- a/crates/router/tests/turned_away.rs
+++ b/crates/router/tests/turned_away.rs
@@ -39,10 +39,10 @@
         let nodes = ["primary", "replica", "replica"].map(|role| {
             let (unreachable, attempt_tx): (_, Mutex<Sender<Instant>>) =
                 (unreachable.clone(), Mutex::new(attempt_tx.clone()));
-            Node::probed(role, move |statement| {
+            Node::with_probe_replies(role, move |statement| {
                 let probe = statement == "SHOW load";
                 if unreachable.load(Relaxed) && (probe || unanswered == Unanswered::All) {
-                    return Some(Reply::Silence);
+                    return Some(Reply::Nothing);
                 }
                 if probe {
                     return None;
@@ -125,8 +125,8 @@
 
 /// A discovery agent that answers each watch with this list.
 fn discovery_with_list(members: String) -> Discovery {
-    Discovery::acting(move |_, watch| {
-        watch.begin();
+    Discovery::with_handler(move |_, watch| {
+        watch.send_head();
         watch.send(&members);
     })
 }
@@ -138,10 +138,11 @@
     let members = Members::start(Unanswered::All, false);
     let member_list = list(41, true, &members.entries());
     let known = if has_known_list { member_list.clone() } else { "null".into() };
-    let discovery = if sends_list { discovery_with_list(member_list) } else { Discovery::acting(|_, _| {}) };
+    let discovery =
+        if sends_list { discovery_with_list(member_list) } else { Discovery::with_handler(|_, _| {}) };
     let started = Instant::now();
     let text = configuration(discovery.address, 1024, 192, &known);
-    let router = Router::beside(discovery, &text, None);
+    let router = Router::with_discovery(discovery, &text, None);
     with_clients(router.address, || members.assert_attempt_soon(started));
 }
 
@@ -171,7 +172,7 @@
     with_clients(router.address, || {
         old.assert_attempt_soon(Instant::now());
         router.reload(&configuration(new_discovery.address, 1024, 192, "null"));
-        (0..2).for_each(|_| _ = router.logged("node t-0: Probe ended"));
+        (0..2).for_each(|_| _ = router.wait_for_log("node t-0: Probe ended"));
         let restored_at = new.restore();
         new.assert_attempt_soon(restored_at);
     });
--- a/crates/router/tests/unanswered.rs
+++ b/crates/router/tests/unanswered.rs
@@ -47,17 +47,17 @@
 fn every_command_is_answered_in_time(#[case] members: Members) {
     let node = Node::start("primary", move |_| match members {
         Members::HalfAnAnswer => Reply::Raw(row("r")[..30].to_vec()),
-        Members::AnsweringErrors => Reply::Send(code("XX000")),
-        Members::Rejecting => Reply::Send(code("53300")),
-        _ => Reply::Silence,
+        Members::AnsweringErrors => Reply::Send(error_response("XX000")),
+        Members::Rejecting => Reply::Send(error_response("53300")),
+        _ => Reply::Nothing,
     });
-    let (not_greeting, refusing) = (TcpListener::bind("127.0.0.1:0").expect("a port"), Refusing::start());
+    let (not_greeting, refusing) = (TcpListener::bind("127.0.0.1:0").expect("a port"), RefusingPort::start());
     let address = match members {
         Members::NotGreeting => not_greeting.local_addr().expect("bound"),
         Members::Refusing => refusing.address(),
         _ => node.address,
     };
-    let router = Router::with_settings(&[entry_at("s-a", address, "ready", "primary")], &[WORTH]);
+    let router = Router::with_settings(&[entry_at("s-a", address, "ready", "primary")], &[FULL_BENEFIT]);
     let (stopped, worst) = (&AtomicBool::new(false), &AtomicU64::new(0));
     let mut clients: Vec<Client> = (0..CLIENTS).map(|_| Client::connect(&router)).collect();
     let results: Vec<(Answer, Duration)> = scope(|s| {
--- a/crates/router/tests/watch.rs
+++ b/crates/router/tests/watch.rs
@@ -26,7 +26,7 @@
 /// A router with this discovery agent and with this list as the last one that it had.
 fn router(discovery: Discovery, known: &str) -> Router {
     let text = configuration(discovery.address, 1024, 192, known);
-    Router::beside(discovery, &text, None)
+    Router::with_discovery(discovery, &text, None)
 }
 
 /// Checks that the next write reaches this member.
@@ -44,7 +44,7 @@
 /// Waits until writes reach this member, which has not received any recently.
 fn await_write_at(router: &Router, node: &Node) {
     let (begun, mut number) = (Instant::now(), 0);
-    while node.seen.try_iter().all(|seen| seen == Seen::Ended) {
+    while node.events.try_iter().all(|seen| seen == NodeEvent::Closed) {
         assert!(begun.elapsed() < WAIT, "no write in {WAIT:?}");
         number += 1;
         Client::connect(router).query(&order(&format!("over-{number}"), 5000));
@@ -61,7 +61,7 @@
 fn indented_lists_are_read_in_any_pieces_and_garbage_loses_none() {
     let (first, second) = (start_primary(), start_primary());
     let router = router(Discovery::start(), "null");
-    let mut watch = router.discovery.asked();
+    let mut watch = router.discovery.next_watch();
     let whole = indented(&list(42, true, &[ready_entry("s-a", &first)]));
     let change = indented(&list(43, false, &[draining_entry("s-a", &first), ready_entry("s-b", &second)]));
     let (head, tail) = whole.split_at(whole.len() / 2);
@@ -71,7 +71,7 @@
         // Each piece is read separately.
         sleep(Duration::from_millis(30));
     }
-    let again = router.discovery.asked();
+    let again = router.discovery.next_watch();
     assert!(again.path.contains("index=0"), "{}", again.path);
     assert_write_reaches(&router, &second, "i1");
     router.signal("-USR1");
@@ -87,9 +87,9 @@
 fn silent_watch_is_reopened_twice_within_6_s(#[case] answer: &'static str, #[case] later: &'static str) {
     let (first, second) = (start_primary(), start_primary());
     let (before, after) = handover_lists(&first, &second);
-    let discovery = Discovery::acting(move |number, watch| match number {
+    let discovery = Discovery::with_handler(move |number, watch| match number {
         0 => {
-            watch.begin();
+            watch.send_head();
             watch.send(&before);
         }
         1 => {
@@ -100,12 +100,12 @@
             }
         }
         _ => {
-            watch.begin();
+            watch.send_head();
             watch.send(&after);
         }
     });
     let router = router(discovery, "null");
-    let [silent, stalled, last] = [(); 3].map(|()| router.discovery.asked());
+    let [silent, stalled, last] = [(); 3].map(|()| router.discovery.next_watch());
     assert!(
         stalled.path.contains("index=0") && last.path.contains("index=0"),
         "{} {}",
@@ -123,35 +123,35 @@
 fn empty_lines_keep_a_watch_open_unless_an_update_is_incomplete() {
     let node = start_primary();
     let router = Router::start(&[ready_entry("s-a", &node)]);
-    let mut watch = router.discovery.asked();
+    let mut watch = router.discovery.next_watch();
     for _ in 0..3 {
         sleep(Duration::from_secs(2));
         watch.send("");
     }
-    assert!(router.discovery.never_asked());
+    assert!(router.discovery.has_no_watch());
     let half = Instant::now();
     watch.send("{\"version\":42,");
     for _ in 0..2 {
         sleep(Duration::from_millis(1_400));
         watch.send("");
     }
-    let again = router.discovery.asked();
+    let again = router.discovery.next_watch();
     assert!(again.at - half < Duration::from_millis(5_400), "{:?}", again.at - half);
 }
 
 #[rstest]
 fn late_answer_is_used_until_the_next_watch_is_opened() {
     let (first, second) = (start_primary(), start_primary());
-    let router = router(Discovery::acting(|_, _| {}), &list(41, true, &[ready_entry("s-a", &first)]));
-    let mut watches: Vec<Asked> = (0..4).map(|_| router.discovery.asked()).collect();
+    let router = router(Discovery::with_handler(|_, _| {}), &list(41, true, &[ready_entry("s-a", &first)]));
+    let mut watches: Vec<Watch> = (0..4).map(|_| router.discovery.next_watch()).collect();
     // The router waits 1 s for an answer and then pauses for at least 0.8 s before it opens the fifth watch.
     sleep(Duration::from_millis(1_300));
     let last = watches.last_mut().expect("four");
-    last.begin();
+    last.send_head();
     last.send(&list(43, true, &[draining_entry("s-a", &first), ready_entry("s-b", &second)]));
     assert_write_reaches(&router, &second, "i1");
     sleep(Duration::from_millis(2_000));
-    assert!(router.discovery.never_asked());
+    assert!(router.discovery.has_no_watch());
 }
 
 #[rstest]
@@ -162,9 +162,9 @@
     let removed_entry = ready_entry("s-a", &node)
         .replace(&node.address.to_string(), &removed_member.local_addr().expect("bound").to_string());
     let members = list(43, true, &[ready_entry("s-b", &node)]);
-    let discovery = Discovery::acting(move |_, watch| {
+    let discovery = Discovery::with_handler(move |_, watch| {
         sleep(Duration::from_millis(100));
-        watch.begin();
+        watch.send_head();
         watch.send(&members);
     });
     let router = router(discovery, &list(41, true, &[removed_entry]));
@@ -180,7 +180,7 @@
     let node = start_primary();
     let known = if has_known_list { list(41, true, &[ready_entry("s-a", &node)]) } else { "null".to_owned() };
     let begun = Instant::now();
-    let router = router(Discovery::acting(|_, _| {}), &known);
+    let router = router(Discovery::with_handler(|_, _| {}), &known);
     let mut client = Client::connect(&router);
     let refused = Answer::Error("57P03".into(), None);
     while client.query("") == refused {
@@ -196,17 +196,17 @@
 fn older_list_version_is_ignored_until_the_agent_repeats_it() {
     let (first, second) = (start_primary(), start_primary());
     let router = Router::start(&[draining_entry("s-a", &first), ready_entry("s-b", &second)]);
-    let mut watch = router.discovery.asked();
+    let mut watch = router.discovery.next_watch();
     let outdated = [ready_entry("s-a", &first), draining_entry("s-b", &second)];
     watch.send(&list(40, false, &outdated));
-    let mut watch = router.discovery.asked();
+    let mut watch = router.discovery.next_watch();
     assert!(watch.path.contains("index=0"), "{}", watch.path);
     assert_write_reaches(&router, &second, "i1");
     watch.send(&list(42, true, &[draining_entry("s-a", &first), ready_entry("s-b", &second)]));
     assert_write_reaches(&router, &second, "i2");
     // The agent has restarted with lower versions: its list is accepted when it is sent a second time.
     watch.send(&list(7, true, &outdated));
-    router.discovery.asked().send(&list(7, true, &outdated));
+    router.discovery.next_watch().send(&list(7, true, &outdated));
     assert_write_reaches(&router, &first, "i3");
 }
 
@@ -217,21 +217,21 @@
         let rules = r#""rules":{"ask_every_ms":10000.0,"#;
         configuration(discovery.address, 1024, 192, "null").replace(r#""rules":{"#, rules)
     };
-    let silent = Discovery::acting(|_, _| {});
+    let silent = Discovery::with_handler(|_, _| {});
     let known = text(&silent);
-    let router = Router::beside(silent, &known, None);
+    let router = Router::with_discovery(silent, &known, None);
     // After six closed watches the module has lengthened its pauses.
-    (0..6).for_each(|_| router.discovery.asked().close());
+    (0..6).for_each(|_| router.discovery.next_watch().close());
     let members = list(3, true, &[ready_entry("s-b", &node)]);
-    let new = Discovery::acting(move |number, watch| {
+    let new = Discovery::with_handler(move |number, watch| {
         if number > 0 {
-            watch.begin();
+            watch.send_head();
             watch.send(&members);
         }
     });
     let reloaded = Instant::now();
     router.reload(&text(&new));
-    let at = [(); 2].map(|()| new.asked().at)[1];
+    let at = [(); 2].map(|()| new.next_watch().at)[1];
     assert!(at - reloaded < Duration::from_millis(2_300), "{:?}", at - reloaded);
     assert_write_reaches(&router, &node, "i1");
 }
@@ -264,40 +264,40 @@
     let (first, second) = (start_primary(), start_primary());
     let (before, after) = handover_lists(&first, &second);
     let discovery =
-        Discovery::acting(move |number, watch| match number.checked_sub(1).map(|i| failures.get(i)) {
+        Discovery::with_handler(move |number, watch| match number.checked_sub(1).map(|i| failures.get(i)) {
             None => {
-                watch.begin();
+                watch.send_head();
                 watch.send(&before);
             }
             Some(None) => {
-                watch.begin();
+                watch.send_head();
                 watch.send(&after);
             }
             Some(Some(WatchFailure::Text(text))) => watch.raw(text),
             Some(Some(WatchFailure::CutList)) => {
                 watch.raw(HEADERS);
                 watch.raw(after.split_at(after.len() - 3).0);
-                watch.will_reset();
+                watch.reset_on_drop();
             }
             Some(Some(WatchFailure::OlderVersion)) => {
-                watch.begin();
+                watch.send_head();
                 watch.send(&list(40, false, &[]));
             }
-            Some(Some(WatchFailure::Reset)) => watch.will_reset(),
+            Some(Some(WatchFailure::Reset)) => watch.reset_on_drop(),
             Some(Some(WatchFailure::Close)) => watch.close(),
             Some(Some(WatchFailure::Silence)) => {}
         });
     let router = router(discovery, "null");
-    let silent = router.discovery.asked();
+    let silent = router.discovery.next_watch();
     let mut at = vec![silent.at];
     let mut held = Vec::new();
     for failure in failures {
-        let watch = router.discovery.asked();
+        let watch = router.discovery.next_watch();
         at.push(watch.at);
         // A watch that is to be reset has to be dropped.
         held.extend(Some(watch).filter(|_| !matches!(failure, WatchFailure::Reset | WatchFailure::CutList)));
     }
-    at.push(router.discovery.asked().at);
+    at.push(router.discovery.next_watch().at);
     await_write_at(&router, &second);
     let took: Vec<Duration> = at.windows(2).map(|at| at[1] - at[0]).collect();
     println!("{failures:?}: {:?} from the silence to the list, {took:?}", took.iter().sum::<Duration>());
@@ -313,23 +313,23 @@
 fn watch_that_is_answered_late_and_stalls_is_replaced(#[case] text: &str) {
     let node = start_primary();
     let members = list(43, true, &[ready_entry("s-b", &node)]);
-    let discovery = Discovery::acting(move |number, watch| match number {
+    let discovery = Discovery::with_handler(move |number, watch| match number {
         0..3 => watch.close(),
         3 => {}
         _ => {
-            watch.begin();
+            watch.send_head();
             watch.send(&members);
         }
     });
     let router = router(discovery, "null");
-    let mut late = [(); 4].map(|()| router.discovery.asked()).into_iter().next_back().expect("four");
-    router.logged("watch not answered");
+    let mut late = [(); 4].map(|()| router.discovery.next_watch()).into_iter().next_back().expect("four");
+    router.wait_for_log("watch not answered");
     // The module pauses for at least 0.5 s; bytes that arrive in that time are read before the next watch is opened.
     router.signal("-STOP");
     late.raw(text);
     sleep(Duration::from_millis(1_500));
     router.signal("-CONT");
-    let again = router.discovery.asked();
+    let again = router.discovery.next_watch();
     assert!(again.at - late.at < Duration::from_secs(6), "{:?}", again.at - late.at);
     await_write_at(&router, &node);
 }
@@ -338,17 +338,17 @@
 fn complete_list_without_length_counts_despite_a_reset() {
     let (first, second) = (start_primary(), start_primary());
     let (before, after) = handover_lists(&first, &second);
-    let discovery = Discovery::acting(move |number, watch| match number {
+    let discovery = Discovery::with_handler(move |number, watch| match number {
         0 => {
-            watch.begin();
+            watch.send_head();
             watch.send(&before);
         }
-        1 => watch.will_reset(),
+        1 => watch.reset_on_drop(),
         _ => {}
     });
     let router = router(discovery, "null");
-    router.discovery.asked().close();
-    let mut reset_watch = router.discovery.asked();
+    router.discovery.next_watch().close();
+    let mut reset_watch = router.discovery.next_watch();
     // The list and the reset have both arrived when the router reads.
     router.signal("-STOP");
     reset_watch.raw(&format!("{HEADERS}{after}"));
@@ -369,30 +369,30 @@
     });
     let may_send = Arc::new(AtomicBool::new(false));
     let may_send_list = may_send.clone();
-    let old_discovery = Discovery::acting(move |number, watch| {
+    let old_discovery = Discovery::with_handler(move |number, watch| {
         if number == 0 || may_send_list.load(Relaxed) {
-            watch.begin();
+            watch.send_head();
             watch.send(if number == 0 { &at_first } else { &last });
         }
     });
     let old_configuration = configuration_for(old_discovery.address);
     let router = router(old_discovery, "null");
-    let mut before = router.discovery.asked();
+    let mut before = router.discovery.next_watch();
     assert_write_reaches(&router, &first, "i1");
-    let new_discovery = Discovery::acting(|_, _| {});
+    let new_discovery = Discovery::with_handler(|_, _| {});
     router.reload(&configuration_for(new_discovery.address));
-    new_discovery.asked();
+    new_discovery.next_watch();
     router.reload("{");
-    router.logged("stays as it is");
+    router.wait_for_log("stays as it is");
     router.reload(&old_configuration);
-    let again = router.discovery.asked();
+    let again = router.discovery.next_watch();
     assert!(again.path.contains("index=0"), "{}", again.path);
     // The first watch is used until a new one has delivered its list.
     before.send(&list(42, false, &[draining_entry("s-a", &first), ready_entry("s-b", &second)]));
     await_write_at(&router, &second);
     may_send.store(true, Relaxed);
     await_write_at(&router, &first);
-    assert!(before.ended(), "the first watch is still open");
+    assert!(before.wait_for_close(), "the first watch is still open");
 }
 
 #[rstest]
@@ -402,9 +402,9 @@
 fn second_of_two_reloads_takes_effect_within_4_s(#[case] has_list: bool, #[case] log_line: Option<&str>) {
     let (first, second) = (start_primary(), start_primary());
     let before = list(41, true, &[ready_entry("s-a", &first)]);
-    let discovery = Discovery::acting(move |number, watch| {
+    let discovery = Discovery::with_handler(move |number, watch| {
         if has_list && number == 0 {
-            watch.begin();
+            watch.send_head();
             watch.send(&before);
         }
     });
@@ -413,20 +413,20 @@
         assert_write_reaches(&router, &first, "i1");
     }
     match log_line {
-        Some(line) => _ = router.logged(line),
+        Some(line) => _ = router.wait_for_log(line),
         None if has_list => router.signal("-TERM"),
         None => {}
     }
     let after = list(3, true, &[draining_entry("s-a", &first), ready_entry("s-b", &second)]);
-    let new = Discovery::acting(move |_, watch| {
-        watch.begin();
+    let new = Discovery::with_handler(move |_, watch| {
+        watch.send_head();
         watch.send(&after);
     });
-    let (refusing, reloaded) = (Refusing::start(), Instant::now());
+    let (refusing, reloaded) = (RefusingPort::start(), Instant::now());
     router.reload(&configuration_for(refusing.address()));
-    router.logged("watch broken");
+    router.wait_for_log("watch broken");
     router.reload(&configuration_for(new.address));
-    assert!(new.asked().at - reloaded < Duration::from_millis(2_300), "{:?}", reloaded.elapsed());
+    assert!(new.next_watch().at - reloaded < Duration::from_millis(2_300), "{:?}", reloaded.elapsed());
     await_write_at(&router, &second);
 }
 
@@ -435,14 +435,14 @@
     let (first, second) = (start_primary(), start_primary());
     let router = Router::start(&[ready_entry("s-a", &first)]);
     assert_write_reaches(&router, &first, "i1");
-    let watch = router.discovery.asked();
+    let watch = router.discovery.next_watch();
     // The limit is below the number of descriptors in use. At a higher one the router would close idle clients instead.
     router.limit_descriptors(4);
     watch.close();
-    router.logged("watch broken: Too many open files");
+    router.wait_for_log("watch broken: Too many open files");
     let closed_at = Instant::now();
     router.limit_descriptors(64);
-    let mut again = router.discovery.asked();
+    let mut again = router.discovery.next_watch();
     assert!(again.at - closed_at < Duration::from_secs(3), "{:?}", again.at - closed_at);
     again.send(&list(43, true, &[draining_entry("s-a", &first), ready_entry("s-b", &second)]));
     await_write_at(&router, &second);
