--- a/crates/configuration/examples/figures.rs
+++ b/crates/configuration/examples/figures.rs
@@ -1,4 +1,5 @@
-//! Simulated figures of the configuration: `cargo run --release -p vetchkeel-configuration --example figures`.
+//! Measures configuration distribution in a simulated fleet: `cargo run --release -p vetchkeel-configuration --example
+//! figures`.
 
 #[path = "../tests/world/mod.rs"]
 mod world;
@@ -11,11 +12,11 @@
 const SIZES: [usize; 5] = [100, 300, 700, 1_400, 2_100];
 const MACHINES: usize = 20;
 const KEEPERS: usize = 5;
-/// One change in so long: 6,400 a day.
+/// Interval between two published changes: 6,400 a day.
 const EVERY: Tenths = 135_000;
 const SEEDS: u64 = 2;
 
-/// Middle, 99th of a hundred and last, in milliseconds.
+/// The median, the 99th percentile and the maximum, in milliseconds.
 fn quantiles(mut times: Vec<Tenths>) -> String {
     times.sort_unstable();
     let at = |part: usize| times.get((times.len() * part / 100).min(times.len().saturating_sub(1)));
@@ -29,12 +30,13 @@
 
 fn fleet(routers: usize, seed: u64) -> World {
     let mut world = World::whole(MACHINES, KEEPERS, routers, seed);
-    // Those that left a machine before there was a writer are where they stay.
+    // Routers that moved to another machine before a writer was elected stay where they are.
     world.run(10 * SECOND);
     world
 }
 
-/// A document of so many kilobytes, in settings of 200 bytes; such that can't be compressed, or lines that repeat.
+/// Publishes a document of this many kilobytes in settings of 200 bytes, with either repetitive or incompressible
+/// values.
 fn fill(world: &mut World, kilobytes: usize, repeats: bool) {
     use nanorand::Rng;
     let half = kilobytes * 5 / 2;
@@ -60,7 +62,7 @@
     world.run_until(120 * SECOND, World::agreed).expect("all have it");
 }
 
-/// Bytes a second of a router and of a machine.
+/// Average bytes per second of a router and of a control machine.
 fn counted(world: &mut World, length: Tenths) -> (u64, u64) {
     (world.count, world.between) = (true, 0);
     world.bytes = BTreeMap::new();
@@ -125,7 +127,7 @@
     println!("| {routers} | {} |", columns.join(" | "));
 }
 
-/// A fleet under a document of 50 KB; where the log is short it does not reach back to the beginning.
+/// A fleet that holds a document of 50 KB. With `short`, the log no longer reaches back to the empty document.
 fn filled(routers: usize, repeats: bool, short: bool) -> World {
     let mut world = World::new(MACHINES, KEEPERS, routers, 7);
     if short {
@@ -137,7 +139,7 @@
     world
 }
 
-/// All routers that were killed start now.
+/// Starts all routers, which were killed before, at the same time.
 fn start_all(world: &mut World, routers: usize, kept: &str, document: &str) {
     world.run(10 * SECOND);
     (world.count, world.bytes) = (true, BTreeMap::new());
@@ -194,7 +196,7 @@
         let keeper = (0..KEEPERS).find(|at| *at != writer).expect("a keeper");
         world.verdicts.clear();
         let from = world.now;
-        // The writer itself is stopped: the change is published at its successor, as soon as there is one.
+        // The writer itself is stopped, so the change is published at its successor as soon as one is elected.
         world.kill(keeper);
         world.stop(writer, 3_600 * SECOND);
         let mut taken = false;
@@ -242,7 +244,7 @@
 
 fn regions(routers: usize) {
     let mut world = fleet(routers, 9);
-    // One region against three: its machines are 5 of 20, one or two of the five keepers.
+    // Separates one region from the other three: 5 of the 20 machines, with one or two of the five keepers.
     let alone = |node: usize| usize::from(node % REGIONS == 1);
     world.part(alone);
     world.run(20 * SECOND);
--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -1,4 +1,4 @@
-//! Versions, and what leads from one to the next.
+//! Versions of the configuration, and the changes between them.
 
 use std::fmt;
 
@@ -6,17 +6,18 @@
 
 use crate::Tenths;
 
-/// Which document. A later one is higher: by the epoch of its writer, then by its number, which also grows over epochs.
+/// Identifies a document. Versions are ordered by the writer's epoch, then by number; the number also grows across
+/// epochs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// Of its writer: a majority of keepers promised it to that one alone.
+    /// The epoch of the writer. A majority of keepers promised this epoch to that writer alone.
     pub epoch: u32,
-    /// One more than that of the version before.
+    /// The number of the previous version plus one.
     pub number: u64,
 }
 
 impl Version {
-    /// Before any: the empty document.
+    /// The version before the first one: the empty document.
     pub const NONE: Version = Version { epoch: 0, number: 0 };
 }
 
@@ -26,32 +27,32 @@
     }
 }
 
-/// One name's new value.
+/// The new value of one setting.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Edit {
-    /// Of the setting.
+    /// The name of the setting.
     pub name: String,
-    /// None removes the name.
+    /// `None` removes the setting.
     pub value: Option<String>,
 }
 
-/// What leads from one version to the next. A writer's first change has no edits: it marks its epoch.
+/// The step from one version to the next. A writer's first change has no edits; it only marks the start of its epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The version that it leads to.
+    /// The version that the change produces.
     pub version: Version,
-    /// The version that it is made for: no other.
+    /// The version that the change applies to; it applies to no other.
     pub after: Version,
-    /// When its writer took it in, by that machine's clock.
+    /// When the writer accepted the change, by the writer's clock.
     pub published: Tenths,
-    /// All of them or none.
+    /// Applied either all together or not at all.
     pub edits: Vec<Edit>,
-    /// [`crate::Document::digest`] of the document after it.
+    /// [`crate::Document::digest`] of the resulting document.
     pub digest: u64,
 }
 
 impl Change {
-    /// What it counts for in a log: its texts and 48 bytes.
+    /// The size of the change as counted against the log's bound: the length of its texts plus 48 bytes.
     pub fn bytes(&self) -> usize {
         let text = |edit: &Edit| edit.name.len() + edit.value.as_ref().map_or(0, String::len) + 8;
         48 + self.edits.iter().map(text).sum::<usize>()
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -1,4 +1,4 @@
-//! The settings under one version.
+//! The settings of one version.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,22 +8,22 @@
 
 use crate::{Edit, Version};
 
-/// Longest name of a setting, in bytes.
+/// Maximum length of a setting's name, in bytes.
 pub const NAME_MOST: usize = 256;
-/// Longest value, in bytes.
+/// Maximum length of a value, in bytes.
 pub const VALUE_MOST: usize = 65_536;
-/// Most names of a document.
+/// Maximum number of names in a document.
 pub const NAMES_MOST: usize = 16_384;
-/// Most bytes of all names and values of a document.
+/// Maximum number of bytes of all names and values of a document.
 pub const DOCUMENT_MOST: usize = 1_048_576;
 
-/// Names and their values, within the bounds of this module.
+/// Setting names and values, within the bounds of this module.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
     names: BTreeMap<String, String>,
 }
 
-/// Why a document or a change was not taken.
+/// Why a document or a change was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Bad {
     /// A name that is empty or longer than [`NAME_MOST`].
@@ -34,25 +34,25 @@
     Names(usize),
     /// More bytes than [`DOCUMENT_MOST`].
     Bytes(usize),
-    /// One change says two things of this name.
+    /// One change edits this name twice.
     Twice(String),
-    /// The change is made for another version than the one held.
+    /// The change applies to a version other than the one held.
     Base {
-        /// What is held.
+        /// The version held.
         held: Version,
-        /// What it is made for.
+        /// The version that the change applies to.
         after: Version,
     },
-    /// The change leads to no later version.
+    /// The change does not lead to a later version.
     Order(Version),
-    /// The document after it has another digest than said.
+    /// The resulting document does not have the digest given in the change or copy.
     Digest {
-        /// As worked out.
+        /// The digest computed from the document.
         found: u64,
-        /// As said.
+        /// The digest given in the change or copy.
         expected: u64,
     },
-    /// A whole copy that can't be read.
+    /// A snapshot that cannot be decoded.
     Copy,
 }
 
@@ -78,19 +78,18 @@
 
 impl Document {
     /// # Errors
-    /// [`Bad`] names the first bound that does not hold.
+    /// [`Bad`] names the first bound that is exceeded.
     pub fn from(names: BTreeMap<String, String>) -> Result<Document, Bad> {
         let document = Document { names };
         document.check()?;
         Ok(document)
     }
 
-    /// The value of a name.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.names.get(name).map(String::as_str)
     }
 
-    /// All names with their values, in order.
+    /// All names with their values, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.names.iter().map(|(name, value)| (name.as_str(), value.as_str()))
     }
@@ -100,12 +99,12 @@
         self.names
     }
 
-    /// Bytes of all names and values.
+    /// The total length of all names and values, in bytes.
     pub fn bytes(&self) -> usize {
         self.names.iter().map(|(name, value)| name.len() + value.len()).sum()
     }
 
-    /// Check sum of all names and values: XXH3, 64 bits, over each length and text in order.
+    /// Checksum of all names and values: 64-bit XXH3 over each text, preceded by its length, in order.
     pub fn digest(&self) -> u64 {
         let mut sum = Xxh3Default::new();
         for text in self.names.iter().flat_map(|(name, value)| [name, value]) {
@@ -115,10 +114,10 @@
         sum.digest()
     }
 
-    /// The document after these edits: all of them, or an error.
+    /// The document after these edits. Either all of them apply or none.
     ///
     /// # Errors
-    /// [`Bad`] names the first bound that does not hold.
+    /// [`Bad`] names the first bound that is exceeded.
     pub fn changed(&self, edits: &[Edit]) -> Result<Document, Bad> {
         let mut seen = std::collections::BTreeSet::new();
         let mut names = self.names.clone();
@@ -134,7 +133,7 @@
         Document::from(names)
     }
 
-    /// What leads from this document to the other, by name.
+    /// The edits that turn this document into the other, ordered by name.
     pub fn edits_to(&self, other: &Document) -> Vec<Edit> {
         let gone = self.names.keys().filter(|name| !other.names.contains_key(*name));
         let gone = gone.map(|name| Edit { name: name.clone(), value: None });
@@ -146,7 +145,7 @@
     }
 
     /// # Errors
-    /// [`Bad`] names the first bound that does not hold.
+    /// [`Bad`] names the first bound that is exceeded.
     pub(crate) fn check(&self) -> Result<(), Bad> {
         for (name, value) in &self.names {
             if !(1..=NAME_MOST).contains(&name.len()) {
--- a/crates/configuration/src/kept.rs
+++ b/crates/configuration/src/kept.rs
@@ -1,4 +1,4 @@
-//! What a control machine keeps over a restart.
+//! The state that a control machine persists across restarts.
 
 use std::collections::BTreeSet;
 
@@ -9,46 +9,47 @@
 use crate::log::Log;
 use crate::{Change, Name, Plan, Tenths, Version, replica};
 
-/// All that a control machine has to find again when it starts. The host writes it (`to_bytes`) before it carries out any
-/// order behind an [`crate::Order::Keep`], either whole or as the records of these orders, which [`Kept::take`] plays again.
+/// The persisted state of a control machine. The host writes it before it carries out any order that follows an
+/// [`crate::Order::Keep`]: either all of it (`to_bytes`), or the records of these orders, which [`Kept::take`] replays.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Kept {
-    /// The highest epoch promised, as a keeper.
+    /// The highest epoch promised, if this machine is a keeper.
     pub(crate) promised: u32,
-    /// As a keeper: it may have lost what it promised and held, and its word does not count.
+    /// This keeper may have lost promises and changes that it once persisted, so its votes do not count.
     pub(crate) fresh: bool,
     pub(crate) version: Version,
     pub(crate) published: Tenths,
     pub(crate) document: Document,
     pub(crate) log: Log,
-    /// Held as a keeper, not known to be released.
+    /// Changes held as a keeper that are not known to be released.
     pub(crate) tail: Vec<Change>,
-    /// Routers in the ledger of a keeper: a verdict names also those that are not heard after a restart.
+    /// The routers in a keeper's ledger. They are persisted so that after a restart a verdict also names the routers
+    /// that have not been in contact since.
     pub(crate) routers: BTreeSet<Name>,
 }
 
-/// One thing to keep.
+/// One update of the persisted state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// This epoch is promised.
+    /// The keeper promised this epoch.
     Promised(u32),
-    /// Its word counts from now on.
+    /// The keeper's votes count from now on.
     Settled,
-    /// This is what it holds beyond what is released.
+    /// The unreleased changes that the keeper holds now; they replace the previous ones.
     Held(Vec<Change>),
-    /// These are released.
+    /// These changes are released.
     Released(Vec<Change>),
-    /// These routers are in the ledger.
+    /// These routers were added to the ledger.
     Known(Vec<Name>),
-    /// These are not any more.
+    /// These routers were removed from the ledger.
     Forgotten(Vec<Name>),
-    /// This whole copy is released.
+    /// This snapshot is released and replaces the document.
     Whole {
-        /// Its version.
+        /// The version of the snapshot.
         version: Version,
-        /// As in its change.
+        /// When that version was published.
         published: Tenths,
-        /// All of it.
+        /// The whole document.
         document: Document,
     },
 }
@@ -74,7 +75,7 @@
         self.version
     }
 
-    /// The document under it.
+    /// The document of the newest released version.
     pub fn document(&self) -> &Document {
         &self.document
     }
@@ -84,16 +85,17 @@
         self.tail.last().map_or(self.version, |change| change.version)
     }
 
-    /// Does it hold this version: released and still in the log, or not released yet?
+    /// Whether this version is held: as the newest released version, as a released change that is still in the log, or
+    /// as an unreleased change.
     pub fn holds(&self, version: Version) -> bool {
         let known = |change: &Change| change.version == version;
         self.version == version || self.log.iter().any(known) || self.tail.iter().any(known)
     }
 
-    /// The document under the newest held version.
+    /// The document of the newest held version.
     ///
     /// # Errors
-    /// [`Bad`] if what is held does not fit together.
+    /// [`Bad`] if a held change does not apply to the one before it.
     pub(crate) fn newest(&self) -> Result<Document, Bad> {
         let (mut version, mut document) = (self.version, self.document.clone());
         for change in &self.tail {
@@ -103,7 +105,7 @@
         Ok(document)
     }
 
-    /// Plays a record. What leads back is passed over.
+    /// Applies a record. A change or snapshot that does not lead to a later version is ignored.
     pub fn take(&mut self, record: &Record, plan: &Plan) {
         match record {
             Record::Promised(epoch) => self.promised = self.promised.max(*epoch),
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Drops of the tail what is released now, or what another writer's release has overtaken.
+    /// Drops the unreleased changes that are released now, or that another writer's release has superseded.
     fn trim(&mut self) {
         match self.tail.iter().position(|change| change.version == self.version) {
             Some(at) => drop(self.tail.drain(..=at)),
@@ -142,14 +144,15 @@
         }
     }
 
-    /// As bytes, with a check sum.
+    /// The encoded state, followed by a checksum.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut bytes = postcard::to_stdvec(self).unwrap_or_default();
         bytes.extend(xxh3_64(&bytes).to_le_bytes());
         bytes
     }
 
-    /// None if the check sum does not fit, or they are of another form: start as one that kept nothing, and say so.
+    /// `None` if the checksum does not match or the bytes cannot be decoded. The caller then starts without persisted
+    /// state and logs it.
     pub fn from_bytes(bytes: &[u8]) -> Option<Kept> {
         let (body, sum) = bytes.split_last_chunk::<8>()?;
         if xxh3_64(body).to_le_bytes() != *sum {
--- a/crates/configuration/src/ledger.rs
+++ b/crates/configuration/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Which router is at which version, and the verdict on each release.
+//! The ledger: which version each router has in force, and the verdict on each released version.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,38 +9,40 @@
 /// What is known of one router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Whose.
+    /// The name of the router.
     pub name: Name,
-    /// Its start.
+    /// Identifies this run of the router; later starts have higher values.
     pub start: u64,
-    /// The ask that it was served by: of one start the later one is the higher.
+    /// The number of the ask that the router is served by. Within one start a later ask has a higher number.
     pub turn: u32,
-    /// The highest version that it has ever said to be in force.
+    /// The highest version that the router has ever reported in force.
     pub version: Version,
-    /// The last version that it refused, above that one, and why.
+    /// The last version that the router refused, if it is above `version`, and the reason.
     pub refused: Option<(Version, String)>,
-    /// Is it served, and speaks?
+    /// Whether a machine serves the router and is in contact with it.
     pub linked: bool,
 }
 
-/// Whether a version is in force everywhere.
+/// Whether a version is in force on all routers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verdict {
-    /// The version; a later one counts as well.
+    /// The version. A router with a later version in force counts as being at this one.
     pub version: Version,
-    /// Every router in the ledger is at it.
+    /// Every router in the ledger is at this version.
     pub everywhere: bool,
-    /// How many are.
+    /// The number of routers at this version.
     pub at: usize,
-    /// Those that speak and are not, and refused nothing.
+    /// Routers that are in contact, have an earlier version in force and have refused nothing.
     pub behind: Vec<Name>,
-    /// Those that refused it, or a later one, with the reason.
+    /// Routers that refused this version or a later one, with the reason.
     pub refused: Vec<(Name, String)>,
-    /// Those that are not at it and speak to no machine that speaks to the writer.
+    /// Routers that have an earlier version in force and are not served by a machine that is in contact with the
+    /// writer.
     pub silent: Vec<Name>,
 }
 
-/// What is known of all routers. Bounded by names: at the bound the one not heard for longest goes.
+/// What is known of all routers. The number of routers is bounded: at the bound, the unlinked router that was not heard
+/// from for longest is removed.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     rows: BTreeMap<Name, Row>,
@@ -49,34 +51,34 @@
 #[derive(Clone, Debug)]
 struct Row {
     entry: Entry,
-    /// The machine that said so.
+    /// The machine that reported the entry.
     by: Name,
-    /// When it was last known to be served.
+    /// When the router was last known to be served.
     heard: Tenths,
 }
 
 impl Ledger {
-    /// How many routers are known.
+    /// The number of routers in the ledger.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// None at all?
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// All, by name.
+    /// All entries, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = &Entry> {
         self.rows.values().map(|row| &row.entry)
     }
 
-    /// What is known of one.
+    /// The entry of one router.
     pub fn get(&self, name: &Name) -> Option<&Entry> {
         self.rows.get(name).map(|row| &row.entry)
     }
 
-    /// Takes what a machine says of a router of its own, or, relayed, what another knows of such a one.
+    /// Records an entry that the machine `by` reported about one of its own routers. `relayed` is set if a keeper
+    /// passes on what it knows of another machine's router.
     pub(crate) fn take(&mut self, now: Tenths, by: &Name, entry: Entry, relayed: bool, most: usize) -> Taken {
         if let Some(row) = self.rows.get_mut(&entry.name) {
             return row.take(now, by, entry, relayed);
@@ -88,8 +90,8 @@
         Taken::New
     }
 
-    /// Forgets those not served for so long. Who is served by this machine itself was heard now; of others their machines
-    /// speak again and again.
+    /// Removes the routers that were not served for this long. Routers served by this machine itself count as heard
+    /// now; those of other machines are kept by the reports that these machines repeat.
     pub(crate) fn forget(&mut self, now: Tenths, me: &Name, after: Tenths) -> Vec<Name> {
         for row in self.rows.values_mut().filter(|row| row.entry.linked && row.by == *me) {
             row.heard = now;
@@ -100,7 +102,7 @@
         gone
     }
 
-    /// The verdict as it stands now; `hears` says which machines the writer hears.
+    /// The current verdict on a version. `hears` tells which machines the writer is in contact with.
     pub(crate) fn verdict(&self, version: Version, hears: impl Fn(&Name) -> bool) -> Verdict {
         let (mut at, mut behind, mut refused, mut silent) = (0, Vec::new(), Vec::new(), Vec::new());
         for (name, row) in &self.rows {
@@ -116,18 +118,18 @@
         Verdict { version, everywhere, at, behind, refused, silent }
     }
 
-    /// Is every router at this version?
+    /// Whether every router has this version or a later one in force.
     pub(crate) fn all_at(&self, version: Version) -> bool {
         self.rows.values().all(|row| row.entry.version >= version)
     }
 
-    /// Those of whom this machine spoke last.
+    /// The routers that were last reported by this machine.
     pub(crate) fn said_by(&self, machine: &Name) -> Vec<Name> {
         let rows = self.rows.iter().filter(|(_, row)| row.by == *machine);
         rows.map(|(name, _)| name.clone()).collect()
     }
 
-    /// All machines of whose routers something is known.
+    /// All machines that have reported a router.
     pub(crate) fn machines(&self) -> BTreeSet<Name> {
         self.rows.values().map(|row| row.by.clone()).collect()
     }
@@ -141,7 +143,7 @@
     }
 }
 
-/// What became of an entry.
+/// The result of recording an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Taken {
     New,
@@ -153,11 +155,11 @@
 impl Row {
     fn take(&mut self, now: Tenths, by: &Name, entry: Entry, relayed: bool) -> Taken {
         let (old, new) = ((self.entry.start, self.entry.turn), (entry.start, entry.turn));
-        // What was told counts over starts and machines: it never goes back.
+        // The reported version never goes back, whichever start or machine reports it.
         let version = self.entry.version.max(entry.version);
         let raised = version > self.entry.version;
         self.entry.version = version;
-        // Danger: a machine that the router has left, and that speaks late, would call it silent.
+        // Without this, a late report from a machine that the router has left would mark the router as silent.
         if new < old || (relayed && new == old) {
             return if raised { Taken::Changed } else { Taken::Known };
         }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,10 +1,12 @@
-//! The configuration in force without a start: a versioned document, written by one writer at a time, released once a
-//! majority of keepers hold it, served by all control machines to routers as changes with resume. Nothing performs I/O,
-//! times are told, all chance comes from one seed: equal events give equal decisions.
+//! Distributes the configuration to running routers, without a restart. The configuration is a versioned document. One
+//! writer at a time changes it; a change is released (committed) once a majority of keepers, the voting machines, hold
+//! it. All control machines serve the released changes to routers, which can resume from the version they hold. The
+//! crate performs no I/O: the time is passed in and all randomness comes from one seed, so equal events give equal
+//! decisions.
 //!
-//! A router tells a [`Subscriber`] what came, a control machine a [`Machine`]; each then pulls `next_decision` until there
-//! is none and comes back at `wake_at`. Messages between them may be lost, doubled, late or overtaken: nothing goes wrong
-//! by it, it takes longer.
+//! A router passes what it receives to a [`Subscriber`], a control machine to a [`Machine`]. Each then calls
+//! `next_decision` until it returns `None`, and again at the time given by `wake_at`. Messages may be lost, duplicated,
+//! delayed or reordered. This only delays distribution; it does not affect correctness.
 
 mod change;
 mod document;
@@ -32,5 +34,5 @@
 pub use plan::{BadPlan, Plan};
 pub use subscriber::{Decision, Notice, Subscriber};
 
-/// A time, or a length of time, in tenths of a millisecond.
+/// A point in time or a duration, in tenths of a millisecond.
 pub type Tenths = i64;
--- a/crates/configuration/src/log.rs
+++ b/crates/configuration/src/log.rs
@@ -1,4 +1,4 @@
-//! Released changes, kept for those that resume.
+//! The log of released changes, from which subscribers resume.
 
 use std::collections::VecDeque;
 
@@ -6,28 +6,28 @@
 
 use crate::{Change, Version};
 
-/// The newest released changes, each made for the version before it. Bounded by count and bytes: the oldest go, and who
-/// holds an older version gets the whole.
+/// The newest released changes, each of which applies to the version before it. The log is bounded by count and bytes.
+/// The oldest changes are dropped, and a subscriber with an older version gets a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Log {
     changes: VecDeque<Change>,
     bytes: usize,
 }
 
-/// What brings a version up to the newest.
+/// What brings a given version up to the newest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Since {
-    /// These, in order.
+    /// These changes, in order.
     Changes(Vec<Change>),
-    /// Nothing in the log leads on from there.
+    /// A snapshot: no change in the log applies to the given version.
     Whole,
-    /// It is the newest.
+    /// Nothing: the given version is the newest.
     Nothing,
 }
 
 impl Log {
-    /// Adds one, within the bounds: so many changes, so many bytes ([`Change::bytes`]). One that is not made for the newest
-    /// one empties the log first.
+    /// Appends a change and drops the oldest ones beyond this number of changes or of bytes ([`Change::bytes`]). A
+    /// change that does not apply to the newest version in the log empties the log first.
     pub fn push(&mut self, change: Change, changes: usize, bytes: usize) {
         if self.changes.back().is_some_and(|last| last.version != change.after) {
             self.clear();
@@ -40,13 +40,13 @@
         }
     }
 
-    /// Forgets all.
+    /// Removes all changes.
     pub fn clear(&mut self) {
         self.changes.clear();
         self.bytes = 0;
     }
 
-    /// What follows this version.
+    /// What a subscriber that holds this version needs.
     pub fn since(&self, version: Version) -> Since {
         if self.changes.back().is_some_and(|last| last.version == version) {
             return Since::Nothing;
@@ -57,28 +57,27 @@
         }
     }
 
-    /// The digest under a version, if the log knows it.
+    /// The digest of the document under a version, if the log has that version.
     pub fn digest(&self, version: Version) -> Option<u64> {
         let at = self.changes.binary_search_by(|change| change.version.cmp(&version)).ok()?;
         self.changes.get(at).map(|change| change.digest)
     }
 
-    /// All, oldest first.
+    /// All changes, oldest first.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = &Change> {
         self.changes.iter()
     }
 
-    /// How many.
+    /// The number of changes.
     pub fn len(&self) -> usize {
         self.changes.len()
     }
 
-    /// None at all?
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 
-    /// Bytes of them ([`Change::bytes`]).
+    /// The total size of the changes ([`Change::bytes`]).
     pub fn bytes(&self) -> usize {
         self.bytes
     }
--- a/crates/configuration/src/machine.rs
+++ b/crates/configuration/src/machine.rs
@@ -1,4 +1,4 @@
-//! A control machine's side: it serves routers, as a keeper it votes and holds, and one at a time writes.
+//! A control machine. It serves routers; a keeper also votes and holds changes, and one keeper at a time is the writer.
 
 mod follow;
 mod report;
@@ -20,100 +20,101 @@
 use vote::Standing;
 use write::Writing;
 
-/// What the host is to do, in this order.
+/// What the host has to do, in the order in which it is returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Keep it on disk before any order behind it is carried out; [`Machine::kept`] as a whole will do as well.
+    /// Persist the record before carrying out any later order; writing all of [`Machine::kept`] is as good.
     Keep(Record),
-    /// Send it to this router or machine; it may be lost.
+    /// Send a message to a router or machine. It may be lost.
     Send {
-        /// To whom.
+        /// The recipient.
         to: Name,
-        /// What.
         message: Message,
     },
-    /// At the writer, for each version within the plan's time of its release: in force everywhere, or who is not.
+    /// From the writer, for each version, within the plan's `verdict` time of its release: whether it is in force
+    /// everywhere, and if not, on which routers it is not.
     Verdict(Verdict),
-    /// For log and counters.
+    /// Log and count an event.
     Tell(Event),
 }
 
-/// Something that a person wants to know.
+/// An event of interest to the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// This machine writes from now on, in this epoch.
+    /// This machine became the writer, in this epoch.
     Writing(u32),
-    /// It does not write any more; its last epoch.
+    /// This machine is no longer the writer; the epoch in which it was.
     Stopped(u32),
-    /// This version is released here: routers are served with it from now on.
+    /// This version is released on this machine; routers are served with it from now on.
     Released(Version),
-    /// No writer is heard since then.
+    /// No writer has been in contact since this time.
     Apart(Tenths),
-    /// One is heard again.
+    /// A writer is in contact again.
     Joined(Name),
-    /// A keeper that had kept nothing counts from now on.
+    /// The votes of a keeper that had no persisted state count from now on.
     Settled,
-    /// What came does not fit what is held.
+    /// A received change or snapshot is invalid or does not apply to what this machine holds.
     Broken(Version, Bad),
-    /// So many routers not heard for the plan's time are forgotten.
+    /// This many routers were removed from the ledger because they were not heard from within the plan's `forget` time.
     Forgotten(usize),
-    /// There is no room in the ledger for this router.
+    /// The ledger has no room for this router.
     Uncounted(Name),
-    /// All places are taken: this router was sent elsewhere.
+    /// This machine serves as many routers as it may; this router was sent elsewhere.
     Full(Name),
-    /// These edits were taken and no keeper holds them: the machine ceased to write first. Publish them at the next writer.
+    /// These edits were accepted but never replicated, because the machine stopped being the writer first. Publish them
+    /// at the next writer.
     Unpublished(Vec<Edit>),
 }
 
-/// Why edits are not published.
+/// Why edits were not published.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refused {
-    /// This machine does not write. The one that does, if it is known.
+    /// This machine is not the writer. Names the writer if it is known.
     NotWriter(Option<Name>),
-    /// The document after them is out of bounds.
+    /// The resulting document exceeds a bound.
     Bad(Bad),
-    /// The program's own check of the document after them.
+    /// The program's own check rejected the resulting document.
     Check(String),
-    /// Too many bytes of edits wait to be held by a majority of keepers.
+    /// Too many bytes of edits are waiting to be replicated to a majority of keepers.
     Full,
 }
 
 impl fmt::Display for Refused {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::NotWriter(Some(writer)) => write!(out, "this machine does not write, {writer} does"),
-            Refused::NotWriter(None) => write!(out, "this machine does not write, and hears no writer"),
+            Refused::NotWriter(Some(writer)) => write!(out, "this machine is not the writer; publish at {writer}"),
+            Refused::NotWriter(None) => write!(out, "this machine is not the writer, and no writer is in contact"),
             Refused::Bad(bad) => write!(out, "{bad}"),
             Refused::Check(why) => write!(out, "{why}"),
-            Refused::Full => write!(out, "too many edits wait to be held by a majority of keepers"),
+            Refused::Full => write!(out, "too many edits are waiting to be replicated to a majority of keepers"),
         }
     }
 }
 
 impl std::error::Error for Refused {}
 
-/// One control machine.
+/// A control machine.
 pub struct Machine {
     plan: Plan,
     me: Name,
-    /// All others.
+    /// All other machines.
     others: Vec<Name>,
-    /// All of them, this one too if it is one.
+    /// All keepers, including this machine if it is one.
     keepers: Vec<Name>,
     check: fn(&Document) -> Result<(), String>,
     chance: WyRand,
     kept: Kept,
     orders: VecDeque<Order>,
     role: Role,
-    /// The writer heard last, with its epoch and when.
+    /// The writer heard from last, its epoch, and when it was heard.
     heard: Option<(Name, u32, Tenths)>,
     apart_told: bool,
     began: Tenths,
-    /// When to stand, as a keeper.
+    /// When this keeper starts an election.
     stand_at: Tenths,
-    /// The highest epoch seen.
+    /// The highest epoch seen in any message.
     seen: u32,
-    /// Up to this one every version has had its verdict.
+    /// Every version up to this one has had its verdict.
     judged: Version,
     sessions: BTreeMap<Name, Session>,
     due: BTreeSet<(Tenths, Name)>,
@@ -123,7 +124,7 @@
     reports: Reports,
 }
 
-/// What it does among the machines.
+/// The role of this machine.
 enum Role {
     Follows,
     Stands(Standing),
@@ -131,14 +132,15 @@
 }
 
 impl Machine {
-    /// A machine that starts now, with what it kept. `machines` are all of them, `keepers` an odd few among them; both the
-    /// same everywhere. `check` is the program's own check of a document at the source. `seed` differs from start to start.
+    /// Starts a machine from its persisted state. `machines` are all control machines and `keepers` an odd number of
+    /// them; both are the same on every machine. `check` is the program's own check of a document before it is
+    /// published. `seed` differs from start to start.
     ///
-    /// A keeper that kept nothing does not count until it has caught up with a writer. Where no keeper holds anything, at
-    /// the first start of a fleet, all of them have to be there once.
+    /// The votes of a keeper without persisted state do not count until it has caught up with a writer. If no keeper
+    /// holds anything, as at the first start of a fleet, all keepers have to be reachable once.
     ///
     /// # Errors
-    /// [`BadPlan`] names the first value that can't be used.
+    /// [`BadPlan`] names the first value that cannot be used.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         plan: Plan,
@@ -192,23 +194,24 @@
         Ok(machine)
     }
 
-    /// Publishes edits: all of them in one version, or none. What waits together goes out together. They are in force once
-    /// [`Event::Released`] and [`Order::Verdict`] say so: a writer that is lost before may take them with it.
+    /// Publishes edits: all of them in one version, or none. Edits that wait at the same time are published together.
+    /// They are in force once [`Event::Released`] and [`Order::Verdict`] confirm it; edits can be lost with a writer
+    /// that fails before.
     ///
     /// # Errors
-    /// [`Refused`]; nothing of them is taken.
+    /// [`Refused`]; none of the edits is accepted.
     pub fn publish(&mut self, now: Tenths, edits: Vec<Edit>) -> Result<(), Refused> {
         self.write_down(now, edits)
     }
 
-    /// A message of a router or machine has come.
+    /// Handles a message from a router or machine.
     pub fn heard(&mut self, now: Tenths, from: &Name, message: Message) {
         let machine = self.others.contains(from);
         match message {
             Message::Ask { start, turn, holds, digest, lost } => {
                 self.asked(now, from, (start, turn), holds, digest, lost && !machine);
             }
-            // Danger: a router under a machine's name, or the other way round.
+            // Guards against a router that uses a machine's name, or a machine that uses a router's.
             Message::Told { start, turn, in_force, version, outcome } if !machine => {
                 self.told(now, from, (start, turn), in_force, version, outcome);
             }
@@ -229,13 +232,13 @@
         }
     }
 
-    /// The stream to or from this one broke.
+    /// The stream to or from this router or machine broke.
     pub fn left(&mut self, now: Tenths, from: &Name) {
         self.drop_session(now, from);
         self.catch.broken(now, from);
     }
 
-    /// The next thing to do, until none is left.
+    /// The next order for the host, or `None` if there is nothing left to do.
     pub fn next_decision(&mut self, now: Tenths) -> Option<Order> {
         loop {
             if let Some(order) = self.orders.pop_front() {
@@ -253,7 +256,7 @@
         }
     }
 
-    /// When to come back if nothing is heard before.
+    /// When to call `next_decision` again if nothing arrives before.
     pub fn wake_at(&self) -> Option<Tenths> {
         let role = match &self.role {
             Role::Follows => self.keeps().then_some(self.stand_at),
@@ -265,22 +268,22 @@
         [role, apart, due, self.catch_at(), self.report_at()].into_iter().flatten().min()
     }
 
-    /// All that is to be found again at the next start.
+    /// The state to restore at the next start.
     pub fn kept(&self) -> &Kept {
         &self.kept
     }
 
-    /// The newest released version that it holds.
+    /// The newest released version that this machine holds.
     pub fn version(&self) -> Version {
         self.kept.version()
     }
 
-    /// The document under it.
+    /// The document of that version.
     pub fn document(&self) -> &Document {
         self.kept.document()
     }
 
-    /// Does it write, and in which epoch?
+    /// The epoch in which this machine is the writer, if it is.
     pub fn writes(&self) -> Option<u32> {
         match &self.role {
             Role::Writes(writing) => Some(writing.epoch),
@@ -288,7 +291,7 @@
         }
     }
 
-    /// The writer, as far as it is known: heard within the plan's patience.
+    /// The writer, if it was heard from within the plan's `patience`.
     pub fn writer(&self, now: Tenths) -> Option<&Name> {
         match &self.role {
             Role::Writes(_) => Some(&self.me),
@@ -300,12 +303,12 @@
         }
     }
 
-    /// Routers served now.
+    /// The number of routers served now.
     pub fn served(&self) -> usize {
         self.sessions.values().filter(|session| !session.machine).count()
     }
 
-    /// What it knows of routers: its own, and at the writer all.
+    /// The ledger: this machine's own routers, and at the writer all routers.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
@@ -322,7 +325,7 @@
         self.keepers.len() / 2 + 1
     }
 
-    /// When a writer was heard last; for the writer itself, when a majority of keepers followed it.
+    /// When a writer was last heard from; for the writer itself, when a majority of keepers last followed it.
     fn touched(&self) -> Tenths {
         match (&self.role, &self.heard) {
             (Role::Writes(writing), _) => writing.followed,
@@ -331,13 +334,13 @@
         }
     }
 
-    /// Does it hear no writer, so that it may be behind?
+    /// Whether there is no contact with a writer, so that this machine may be out of date.
     fn apart(&self, now: Tenths) -> bool {
         let never = self.heard.is_none() && !matches!(self.role, Role::Writes(_));
         never || now - self.touched() >= self.plan.patience
     }
 
-    /// What time alone brings.
+    /// Handles the loss of contact with the writer, once the plan's `patience` is over.
     fn look(&mut self, now: Tenths) {
         if !self.apart_told && now - self.touched() >= self.plan.patience {
             self.apart_told = true;
@@ -359,7 +362,7 @@
         self.orders.push_back(Order::Tell(event));
     }
 
-    /// Something is released here: whoever is served gets it.
+    /// Reports the loss of contact with the writer, once the plan's `patience` is over.
     fn release(&mut self, now: Tenths, record: Record) {
         let before = self.kept.version();
         self.keep(record);
--- a/crates/configuration/src/machine/follow.rs
+++ b/crates/configuration/src/machine/follow.rs
@@ -1,4 +1,4 @@
-//! Catching up: released changes from the writer, or from any machine while no writer is heard.
+//! Catching up: fetches released changes from the writer, or from any machine while no writer is in contact.
 
 use super::{Event, Machine, Role};
 use crate::document::Bad;
@@ -6,18 +6,18 @@
 use crate::parts::{Of, Part, Parts};
 use crate::{Change, Message, Name, Tenths, Version, replica, whole};
 
-/// What it has asked for.
+/// The state of catching up.
 #[derive(Default)]
 pub(super) struct Catch {
-    /// A version known to be released.
+    /// The highest version known to be released.
     pub(super) wanted: Version,
     asked: Option<Name>,
     turn: u32,
-    /// When something came last.
+    /// When the last answer came, or the last ask was sent.
     fed: Tenths,
     next: Tenths,
     parts: Parts,
-    /// The next ask is for the whole.
+    /// The next ask requests a snapshot.
     whole: bool,
 }
 
@@ -35,7 +35,7 @@
         self.catch.wanted > self.kept.version()
     }
 
-    /// When it is to ask.
+    /// When the next ask is due.
     pub(super) fn catch_at(&self) -> Option<Tenths> {
         if matches!(self.role, Role::Writes(_)) {
             return None;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Asks for what is missing; who hears no writer asks round.
+    /// Asks for the missing changes. Without contact to a writer it asks a random machine.
     pub(super) fn catch_up(&mut self, now: Tenths) {
         if self.others.is_empty() || self.catch_at().is_none_or(|at| now < at) {
             return;
@@ -56,7 +56,7 @@
         let writer = writer.filter(|name| *name != self.me && !self.apart(now) && self.catch.asked.is_none());
         let to = match writer {
             Some(writer) => writer,
-            // The writer did not answer, or there is none: whoever is there.
+            // There is no writer, or it did not answer: ask a random machine.
             None => {
                 let at = self.chance_below(self.others.len());
                 self.others[at].clone()
@@ -73,7 +73,7 @@
         self.send(&to, Message::Ask { start: 0, turn: self.catch.turn, holds, digest, lost: false });
     }
 
-    /// Another machine answers.
+    /// Handles an answer from the machine that was asked.
     pub(super) fn caught(&mut self, now: Tenths, from: &Name, answer: Message) {
         if self.catch.asked.as_ref() != Some(from) || matches!(self.role, Role::Writes(_)) {
             return;
@@ -150,7 +150,8 @@
     }
 
     fn broken_catch(&mut self, version: Version, bad: Bad) {
-        // A change that does not fit: the whole next time. A gap heals by asking from where it is.
+        // Requests a snapshot next time if a change is invalid. A gap between versions is closed by asking again from
+        // the version held.
         self.catch.whole = !matches!(bad, Bad::Base { .. });
         self.tell(Event::Broken(version, bad));
     }
--- a/crates/configuration/src/machine/report.rs
+++ b/crates/configuration/src/machine/report.rs
@@ -1,4 +1,4 @@
-//! The ledger's way to the writer: what changed, again until the writer says that it came.
+//! Reports of ledger changes to the writer, repeated until the writer acknowledges them.
 
 use std::collections::BTreeSet;
 
@@ -8,26 +8,29 @@
 use crate::wire::ENTRIES_MOST;
 use crate::{Message, Name, Tenths, Version};
 
-/// How often a machine tells all its entries again, in tenths of a millisecond: what went astray is mended by that.
+/// Interval at which a machine reports all its entries again, in tenths of a millisecond. This repairs reports that
+/// were lost.
 const REFRESH: Tenths = 600_000;
 
-/// What is to be reported. One report is under way at a time.
+/// What is still to be reported. One report is in flight at a time.
 pub(super) struct Reports {
     dirty: BTreeSet<Name>,
-    /// The high half is drawn at each start, so that no earlier start's report is taken for one of this one.
+    /// The mark of the last report. The high half is drawn at random at each start, so that a report of an earlier
+    /// start is not mistaken for one of this start.
     last: u64,
-    /// A mark is asked for that no report has carried.
+    /// A mark was requested that no report has carried yet.
     wanted: bool,
-    /// Another writer is heard: as a keeper it tells that one what it knows of others' routers.
+    /// A new writer was heard: a keeper then also sends it the entries that other machines reported.
     relay: bool,
     under_way: Option<(u64, Tenths, Vec<Name>)>,
     next: Tenths,
     refresh: Tenths,
-    /// For a keeper that lost what it kept: the mark after which a writer's word makes it count.
+    /// For a keeper that lost its persisted state: the mark that the writer has to confirm before the keeper's votes
+    /// count again.
     settles: Option<u64>,
 }
 
-/// Does the word on one report cover an earlier one of the same start?
+/// Whether the confirmation of mark `sure` covers `mark`: an equal or earlier mark of the same start.
 pub(super) fn covers(sure: u64, mark: u64) -> bool {
     sure >> 32 == mark >> 32 && sure >= mark
 }
@@ -46,7 +49,7 @@
         }
     }
 
-    /// The mark that the next report will carry.
+    /// Requests that the next report is sent soon, and returns the mark that it will carry.
     pub(super) fn mark(&mut self, now: Tenths) -> u64 {
         if !self.wanted {
             self.wanted = true;
@@ -55,7 +58,7 @@
         self.last + 1
     }
 
-    /// Another writer: it knows nothing yet.
+    /// Starts over for a new writer, which has no entries yet.
     pub(super) fn afresh(&mut self, now: Tenths) {
         self.under_way = None;
         self.refresh = now;
@@ -66,7 +69,7 @@
 }
 
 impl Machine {
-    /// Something is known of a router that is served here.
+    /// Records the state of a router that this machine serves.
     pub(super) fn note(&mut self, now: Tenths, entry: Entry) {
         let name = entry.name.clone();
         let taken = self.ledger.take(now, &self.me, entry, false, self.plan.names);
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Routers that were in the ledger before the start: not heard until someone says so.
+    /// Adds the routers of the persisted ledger. They count as not linked until a machine reports them.
     pub(super) fn remember_routers(&mut self, now: Tenths) {
         for name in self.kept.routers.clone() {
             let version = Version::NONE;
@@ -104,7 +107,7 @@
         [next, Some(reports.refresh)].into_iter().flatten().min()
     }
 
-    /// Reports what changed.
+    /// Sends the next report if it is due.
     pub(super) fn report(&mut self, now: Tenths) {
         if now >= self.reports.refresh {
             self.refresh(now);
@@ -129,7 +132,7 @@
         }
         let entries: Vec<Entry> = names.iter().filter_map(|name| self.ledger.get(name).cloned()).collect();
         if writer == self.me {
-            // The writer's own routers are in its ledger; only the mark counts.
+            // The writer's own routers are already in its ledger, so only the mark has to be recorded.
             self.mark(&writer, mark);
         } else {
             self.reports.under_way = Some((mark, now, names));
@@ -142,14 +145,15 @@
         if entries.is_empty() {
             return;
         }
-        // Danger: a new writer that knows of no routers beyond a cut would call a version in force everywhere.
+        // The other keepers get a copy. Without it, a new writer that does not know of the routers on the far side of a
+        // network partition would declare a version in force everywhere.
         for keeper in self.other_keepers().into_iter().filter(|keeper| *keeper != writer) {
             let by = self.me.clone();
             self.send(&keeper, Message::Report { mark: 0, by, entries: entries.clone() });
         }
     }
 
-    /// Tells a new writer what it knows of others' routers: their machines may be gone.
+    /// Sends a new writer the entries of other machines' routers, because those machines may be gone.
     fn relay(&mut self, writer: &Name) {
         let others = self.ledger.machines().into_iter().filter(|by| by != writer && *by != self.me);
         for by in others.collect::<Vec<_>>() {
@@ -160,12 +164,13 @@
         }
     }
 
-    /// The writer says which report came, and up to which one it was still followed afterwards.
+    /// The writer acknowledges report `mark`, and confirms that a majority still followed it after report `sure`.
     pub(super) fn sure_of(&mut self, now: Tenths, mark: u64, sure: u64, released: Version) {
         if self.reports.under_way.as_ref().is_some_and(|(last, ..)| *last == mark) {
             self.reports.under_way = None;
         }
-        // Danger: a keeper that lost its disk counts again only with all that was released when it came back.
+        // A keeper that lost its disk votes again only when it holds everything that was released by the time it came
+        // back.
         if self.reports.settles.is_some_and(|mark| covers(sure, mark))
             && self.kept.fresh
             && self.kept.version() >= released
@@ -175,7 +180,7 @@
         self.floors(now, |mark| covers(sure, mark), released);
     }
 
-    /// At the writer, and without a mark at all keepers: a machine's report.
+    /// Handles another machine's report: at the writer with a mark, at the other keepers without one (0).
     pub(super) fn reported(&mut self, now: Tenths, from: &Name, mark: u64, by: &Name, entries: Vec<Entry>) {
         if entries.len() > ENTRIES_MOST {
             return;
@@ -198,7 +203,8 @@
         self.look_again(now);
     }
 
-    /// Tells all of its own again, and forgets who was not heard for the plan's time.
+    /// Queues all of this machine's own entries to be reported again, and removes the routers that were not heard from
+    /// within the plan's `forget` time.
     fn refresh(&mut self, now: Tenths) {
         self.reports.refresh = now + REFRESH;
         let gone = self.ledger.forget(now, &self.me, self.plan.forget);
--- a/crates/configuration/src/machine/serve.rs
+++ b/crates/configuration/src/machine/serve.rs
@@ -1,4 +1,4 @@
-//! Who is served, and what each is sent when: changes, whole copies in parts, beats.
+//! Serving subscribers: decides when each one gets changes, parts of a snapshot, or beats.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -10,44 +10,44 @@
 use crate::wire::{WHY_MOST, length};
 use crate::{Document, Message, Name, Outcome, Tenths, Version, whole};
 
-/// Bytes counted for each message beside its own: headers of IP, TCP and the link.
+/// Overhead counted for each message: headers of IP, TCP and the link.
 const FRAME: usize = 60;
-/// A machine that catches up gets so many times what a router gets.
+/// A machine that catches up gets this many times the bytes per second of a router.
 const MACHINES: u32 = 64;
-/// Packed things kept for the next who needs the same.
+/// Maximum number of compressed snapshots and changes cached for other subscribers.
 const MOST_PACKED: usize = 8;
-/// Most bytes of changes packed at once ([`crate::Change::bytes`]); what follows goes out after them.
+/// Maximum size of the changes compressed together ([`crate::Change::bytes`]); the following ones are sent after them.
 const PACKED_MOST: usize = 1 << 20;
 
-/// One that is served.
+/// A subscriber that this machine serves: a router, or a machine that catches up.
 pub(super) struct Session {
     start: u64,
     turn: u32,
-    /// All up to this one is sent.
+    /// Everything up to this version has been sent.
     sent: Version,
-    /// The log will not do: the whole, and of the newest version.
+    /// The log does not apply to what the subscriber holds: it needs a snapshot of the newest version.
     whole: bool,
-    /// Packed, and the next part of it.
+    /// The compressed data being sent, and the number of its next part.
     packed: Option<(Arc<Packed>, u16)>,
-    /// No change and no part before then.
+    /// Changes and parts are not sent before this time.
     pace: Tenths,
     beat: Tenths,
     heard: Tenths,
     floor: Floor,
-    /// A machine that catches up: it is told all, then one beat, then it is done.
+    /// The subscriber is a machine that catches up. It gets everything, then one beat; then the session ends.
     pub(super) machine: bool,
     due: Tenths,
 }
 
-/// Below which version a router is not to serve.
+/// The router must not serve under a version below this one.
 #[derive(Clone, Copy)]
 enum Floor {
-    /// Known once a majority of keepers follow the writer after it got the report with this mark.
+    /// Becomes known once a majority of keepers have followed the writer after it received the report with this mark.
     After(u64),
     Known(Version),
 }
 
-/// What was packed last, by what it leads from and to.
+/// The data compressed most recently, with the version that it starts from.
 #[derive(Default)]
 pub(super) struct Cache(VecDeque<(Version, Arc<Packed>)>);
 
@@ -63,7 +63,7 @@
     ) {
         let machine = self.others.contains(from);
         let before = self.sessions.get(from).map(|session| (session.start, session.turn, session.pace));
-        // Danger: an ask that was overtaken would start over what a later one began.
+        // Without this check, a delayed ask would restart what a later ask has begun.
         if !machine && before.is_some_and(|(old, last, _)| (start, turn) <= (old, last)) {
             return;
         }
@@ -72,12 +72,14 @@
             self.send(from, Message::Away { turn, wait });
             return self.tell(Event::Full(from.clone()));
         }
-        // Danger: a document that is not the one under its version can't be changed, it has to be replaced.
+        // A document that differs from the released one of the same version cannot be brought up to date by changes; it
+        // has to be replaced.
         let other = self.kept.log.digest(holds).is_some_and(|known| known != digest);
         let whole = other || (holds == Version::NONE && digest != Document::default().digest());
         let told = self.ledger.get(from).map_or(Version::NONE, |entry| entry.version);
         let floor = match lost {
-            // Danger: a router that lost what it kept can't know what it had been told, and by whom.
+            // A router that lost its persisted state cannot know which version it had in force, nor which machine
+            // served it.
             true => Floor::After(self.reports.mark(now)),
             false => Floor::Known(told),
         };
@@ -116,7 +118,7 @@
         outcome: Outcome,
     ) {
         let Some(session) = self.sessions.get_mut(from) else {
-            // It is not served here any more, and does not know.
+            // The router does not know that this machine no longer serves it.
             return self.send(from, Message::Away { turn, wait: 0 });
         };
         if (start, turn) != (session.start, session.turn) {
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Something is new: all that have not got it are due, each at its pace.
+    /// Schedules all subscribers that do not have the newest version yet, each within its rate limit.
     pub(super) fn feed_all(&mut self, now: Tenths) {
         let newest = self.kept.version();
         for (name, session) in &mut self.sessions {
@@ -163,7 +165,8 @@
         }
     }
 
-    /// What the reports up to this mark asked for is known: below this version nobody that asked before is to serve.
+    /// Resolves the floor of the sessions whose mark is confirmed: none of these routers may serve below the version
+    /// `released`.
     pub(super) fn floors(&mut self, now: Tenths, sure: impl Fn(u64) -> bool, released: Version) {
         for (name, session) in &mut self.sessions {
             let Floor::After(mark) = session.floor else { continue };
@@ -177,7 +180,7 @@
         }
     }
 
-    /// Serves the first that is due. False if nobody is.
+    /// Serves the first subscriber that is due. Returns false if none is.
     pub(super) fn serve(&mut self, now: Tenths) -> bool {
         let Some((at, name)) = self.due.first().cloned().filter(|(at, _)| *at <= now) else {
             return false;
@@ -217,10 +220,10 @@
         self.send(to, Message::Beat { turn, version, floor, apart });
     }
 
-    /// Sends the next changes, or the next part. False if there is nothing.
+    /// Sends the next changes or the next part. Returns false if there is nothing to send.
     fn feed(&mut self, now: Tenths, to: &Name, session: &mut Session) -> bool {
         if session.packed.is_none() {
-            // Danger: a router that holds more than this machine must not be led back.
+            // A router that holds more than this machine must not be taken back to an earlier version.
             if session.sent >= self.kept.version() {
                 return false;
             }
@@ -265,13 +268,15 @@
     fn send_paced(&mut self, now: Tenths, to: &Name, session: &mut Session, message: Message) {
         let bytes = (length(&message) + FRAME) as i64;
         let more = if session.machine { MACHINES } else { 1 };
-        // The rest is for one message more in a second than its pace allows on average, for beats and for what comes back.
+        // The remaining 16 % leave room for beats, for replies, and for the one message per second by which the rate
+        // can exceed its average.
         let rate = i64::from(self.plan.bytes_a_second) * 84 / 100 * i64::from(more);
         session.pace = now + bytes * 10_000 / rate + 1;
         self.send(to, message);
     }
 
-    /// A whole copy: the last one packed as long as the log leads on from there, unless it has to be the newest.
+    /// Returns a compressed snapshot. The cached one is reused as long as the log continues from its version, unless
+    /// the newest version is required.
     fn pack_whole(&mut self, newest: bool) -> Arc<Packed> {
         let known = self.cache.0.iter().find(|(_, packed)| {
             packed.of == Of::Whole
--- a/crates/configuration/src/machine/vote.rs
+++ b/crates/configuration/src/machine/vote.rs
@@ -1,4 +1,4 @@
-//! Keepers: who may write, in which epoch, and what is held.
+//! Elections among keepers: which machine may write, in which epoch, and which changes each keeper holds.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use crate::kept::Record;
 use crate::{Change, Message, Name, Tenths, Version, replica};
 
-/// A keeper that asks to write.
+/// The state of a keeper that is a candidate for writer.
 pub(super) struct Standing {
     epoch: u32,
     trial: bool,
@@ -22,18 +22,19 @@
 }
 
 impl Machine {
-    /// Not before a writer had its time to speak; by chance, so that not all stand at once.
+    /// Restarts the election timeout. It leaves the writer time to make contact, and is random so that the keepers do
+    /// not all become candidates at once.
     pub(super) fn put_off_standing(&mut self, now: Tenths) {
         let wait = self.between(self.plan.stand, 2 * self.plan.stand);
         self.stand_at = now + wait;
     }
 
-    /// Stands when no writer was heard in time; gives up what led to nothing.
+    /// Starts an election when no writer was heard within the timeout, and ends an election that has timed out.
     pub(super) fn stand(&mut self, now: Tenths) {
         match &self.role {
             Role::Follows if self.keeps() && now >= self.stand_at => {
-                // Danger: one that was cut off raises the epoch again and again, and unseats a good writer on its return.
-                // So it first asks whether it would be promised anything.
+                // A keeper that was partitioned would raise the epoch again and again, and depose a working writer on
+                // its return. So it first runs a trial ballot, which only asks whether votes would be granted.
                 self.ask_votes(now, true, false);
             }
             Role::Stands(standing) if now >= standing.until => {
@@ -69,7 +70,7 @@
         self.tell(Event::Settled);
     }
 
-    /// Another one asks to write.
+    /// Handles another keeper's request for a vote.
     pub(super) fn prepare(
         &mut self,
         now: Tenths,
@@ -87,9 +88,9 @@
         let writes = matches!(self.role, Role::Writes(_));
         let followed = writes
             || self.heard.as_ref().is_some_and(|(name, _, at)| name != from && now - at < self.plan.stand);
-        // Danger: a keeper that lost its disk would promise against what it had promised before.
+        // A keeper that lost its disk could break an earlier promise.
         let counts = !self.kept.fresh || (founding && own == Version::NONE);
-        // Danger: a writer that does not hold what a majority holds would take it back.
+        // A writer that lacks a change which a majority holds would undo that change.
         let granted = epoch > self.kept.promised && held >= own && counts && !followed;
         if granted && !trial {
             self.keep(Record::Promised(epoch));
@@ -130,9 +131,10 @@
         let granted = standing.answers.values().filter(|answer| answer.granted && !answer.fresh).count();
         let empty = standing.answers.values().filter(|answer| answer.held == Version::NONE).count();
         let (trial, epoch, founding) = (standing.trial, standing.epoch, standing.founding);
-        // Danger: keepers that lost their disks would found a second fleet; so all of them have to be there and empty.
+        // Keepers that lost their disks could found a second, empty fleet. So founding needs an answer from all
+        // keepers, and none of them may hold anything.
         let founds = empty == self.keepers.len();
-        // Danger: one that lost its disk would write with less than it had said to hold.
+        // A candidate that lost its disk would write without the changes that it had acknowledged.
         let wins = granted >= self.majority() && !self.kept.fresh;
         match trial {
             true if wins => self.ask_votes(now, false, founding),
@@ -142,11 +144,11 @@
         }
     }
 
-    /// The writer speaks: its epoch, what is released, and what is to be held.
+    /// Handles a round of the writer: its epoch, the released version, and the changes to hold.
     pub(super) fn accept(&mut self, now: Tenths, from: &Name, message: Message) {
         let Message::Accept { epoch, round, released, tail, judged, mark, sure } = message else { return };
         let known = self.heard.as_ref().map_or(0, |(_, epoch, _)| *epoch).max(self.kept.promised);
-        // Danger: an old writer that comes back, or one that was only delayed.
+        // Rejects a deposed writer that comes back, or whose message was delayed.
         if epoch < known || self.writes().is_some_and(|own| epoch <= own) {
             return self.answer(from, known.max(self.writes().unwrap_or(0)), round);
         }
@@ -186,7 +188,7 @@
         }
     }
 
-    /// What it holds itself up to there is released now; what it does not hold it has to fetch.
+    /// Releases the held changes up to this version. What this machine does not hold has to be fetched.
     fn learn_released(&mut self, now: Tenths, released: Version) {
         if let Some(at) = self.kept.tail.iter().position(|change| change.version == released) {
             let changes = self.kept.tail[..=at].to_vec();
@@ -195,14 +197,15 @@
         self.catch.wanted = self.catch.wanted.max(released);
     }
 
-    /// Takes what follows the released version, as a keeper. The writer may know less to be released than this keeper does.
+    /// As a keeper, holds the changes that follow the released version. This keeper may know of a later released
+    /// version than the writer does.
     fn hold(&mut self, released: Version, mut tail: Vec<Change>) {
         if self.kept.version() != released {
             let known = tail.iter().position(|change| change.version == self.kept.version());
             let Some(at) = known else { return };
             tail.drain(..=at);
         }
-        // Danger: an accept that was overtaken is shorter, and would take back what this keeper said to hold.
+        // A reordered accept has a shorter tail and would drop changes that this keeper has already acknowledged.
         let own = &self.kept.tail;
         let same = own.iter().zip(&tail).take_while(|(own, new)| own.version == new.version).count();
         if same == tail.len() {
--- a/crates/configuration/src/machine/write.rs
+++ b/crates/configuration/src/machine/write.rs
@@ -1,4 +1,4 @@
-//! The writer: one change at a time, released once a majority of keepers hold it.
+//! The writer: replicates one change at a time, and releases it once a majority of keepers hold it.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,37 +6,37 @@
 use crate::kept::Record;
 use crate::{Change, Edit, Message, Name, Tenths, Version};
 
-/// Most marks of one machine that wait; at the bound the last one is replaced.
+/// Maximum number of unconfirmed marks of one machine; at the bound the last one is replaced.
 const MOST_MARKS: usize = 64;
 
-/// What a writer knows.
+/// The state of the writer.
 pub(super) struct Writing {
     pub(super) epoch: u32,
     began: Tenths,
     round: u64,
     next_round: Tenths,
     peers: BTreeMap<Name, Peer>,
-    /// When a majority of keepers followed last.
+    /// When a majority of keepers last followed this writer.
     pub(super) followed: Tenths,
     /// The last round that a majority of keepers followed.
     confirmed: u64,
     waiting: BTreeMap<String, Option<String>>,
     waiting_bytes: usize,
     published: Tenths,
-    /// Released versions without a verdict, and when it is due.
+    /// Released versions that have no verdict yet, and when each verdict is due.
     pending: BTreeMap<Version, Tenths>,
-    /// The ledger has changed, or a version has come: look for a verdict at this time.
+    /// When to check for verdicts, set when the ledger has changed or a version was released.
     look: Option<Tenths>,
 }
 
-/// What it knows of one machine.
+/// What the writer knows of one machine.
 #[derive(Default)]
 struct Peer {
     heard: Option<Tenths>,
     round: u64,
     held: Version,
     fresh: bool,
-    /// The last report, and those before that wait, with the round under way when they came.
+    /// The mark of the last report; `marks` are those not confirmed yet, each with the round in flight when it arrived.
     mark: u64,
     marks: VecDeque<(u64, u64)>,
     sure: u64,
@@ -47,7 +47,8 @@
         let mut peers: BTreeMap<Name, Peer> =
             self.others.iter().map(|name| (name.clone(), Peer::default())).collect();
         peers.insert(self.me.clone(), Peer::default());
-        // What an earlier writer released is to be judged by this one, sooner: some of its time is over.
+        // Versions released by an earlier writer get their verdict from this one, in half the time, because part of
+        // their time has passed.
         let inherited = now + self.plan.verdict / 2;
         let log = self.kept.log.iter().rev().take(64).map(|change| change.version);
         let pending =
@@ -70,8 +71,8 @@
             self.tell(Event::Joined(self.me.clone()));
         }
         self.tell(Event::Writing(epoch));
-        // Danger: what an earlier writer left may be held by a majority or not; it counts only below a change of this
-        // epoch, which nobody else can have written.
+        // A change left by an earlier writer may be held by a majority or not. It counts as released only together with
+        // a later change of this epoch, which no other machine can have written.
         self.hold_change(now, Vec::new());
     }
 
@@ -108,7 +109,7 @@
         Ok(())
     }
 
-    /// When the writer has something to do.
+    /// When the writer next has something to do.
     pub(super) fn write_at(&self, writing: &Writing) -> Tenths {
         let verdict = writing.pending.values().min().copied();
         let look = writing.look.filter(|_| !writing.pending.is_empty());
@@ -120,7 +121,7 @@
     pub(super) fn write(&mut self, now: Tenths) {
         let Role::Writes(writing) = &mut self.role else { return };
         if now - writing.followed >= self.plan.patience {
-            // A minority: nothing comes in force here, and those who ask are told so.
+            // Without a majority nothing can be released here; stopping lets those who ask know it.
             return self.stop_writing(now);
         }
         if self.kept.tail.is_empty() && !writing.waiting.is_empty() {
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Holds a change itself, and is to say so to all.
+    /// Holds a new change on this machine, and schedules a round that sends it to the others.
     fn hold_change(&mut self, now: Tenths, edits: Vec<Edit>) {
         let Ok(before) = self.kept.newest() else { return };
         let Ok(document) = before.changed(&edits) else { return };
@@ -156,7 +157,7 @@
         self.count_holders(now);
     }
 
-    /// One round: to all machines.
+    /// Sends one round of accepts to all machines.
     fn speak(&mut self) {
         let Role::Writes(writing) = &mut self.role else { return };
         writing.round += 1;
@@ -182,12 +183,12 @@
         self.seen = self.seen.max(epoch);
         let Role::Writes(writing) = &mut self.role else { return };
         if epoch > writing.epoch {
-            // Danger: this writer is an old one, it only does not know.
+            // This writer was deposed and did not know it yet.
             return self.stop_writing(now);
         }
         let Some(peer) = writing.peers.get_mut(from).filter(|_| epoch == writing.epoch) else { return };
         peer.heard = Some(now);
-        // Danger: a keeper that lost its disk since holds less than its last word.
+        // A keeper that has lost its disk holds less than its last answer.
         if round > peer.round {
             (peer.round, peer.held, peer.fresh) = (round, held, fresh);
             self.confirm(now);
@@ -195,7 +196,8 @@
         }
     }
 
-    /// Which round a majority of keepers followed: whoever had been promised more would have said so.
+    /// Determines the latest round that a majority of keepers followed. A keeper that had promised a higher epoch would
+    /// have rejected the round.
     fn confirm(&mut self, now: Tenths) {
         let majority = self.majority();
         let Role::Writes(writing) = &mut self.role else { return };
@@ -210,7 +212,7 @@
             return;
         }
         (writing.confirmed, writing.followed) = (confirmed, now);
-        // Danger: before a change of its own epoch is released a writer does not know all that was.
+        // Until a change of its own epoch is released, a writer does not know everything that was released before.
         if self.kept.version().epoch != writing.epoch {
             return;
         }
@@ -225,7 +227,7 @@
         self.floors(now, |mark| super::report::covers(own, mark), released);
     }
 
-    /// A report, or for the writer's own routers the like of one, has come.
+    /// Records the mark of a report that arrived, or of the writer's own routers.
     pub(super) fn mark(&mut self, from: &Name, mark: u64) {
         let Role::Writes(writing) = &mut self.role else { return };
         let round = writing.round;
@@ -238,7 +240,7 @@
         }
     }
 
-    /// Releases what a majority of keepers hold.
+    /// Releases the changes that a majority of keepers hold.
     fn count_holders(&mut self, now: Tenths) {
         let majority = self.majority();
         let Role::Writes(writing) = &mut self.role else { return };
@@ -262,14 +264,14 @@
         self.release(now, Record::Released(changes));
     }
 
-    /// The ledger has changed: a version may be in force everywhere.
+    /// Schedules a check for verdicts after a change of the ledger.
     pub(super) fn look_again(&mut self, now: Tenths) {
         if let Role::Writes(writing) = &mut self.role {
             writing.look.get_or_insert(now + self.plan.report);
         }
     }
 
-    /// Says of each released version whether it is in force everywhere: as soon as it is, or when its time is over.
+    /// Issues the verdict on each released version: as soon as it is in force everywhere, or when its time is over.
     pub(super) fn judge(&mut self, now: Tenths) {
         let Role::Writes(writing) = &mut self.role else { return };
         let due = writing.pending.values().any(|due| *due <= now);
@@ -277,7 +279,8 @@
             return;
         }
         writing.look = None;
-        // Danger: a new writer knows nobody at first, and would call nobody everywhere.
+        // A new writer has an empty ledger at first, and would declare a version in force everywhere without knowing
+        // any router.
         let knows = now - writing.began >= 2 * self.plan.patience;
         let hears = |peer: &Peer| peer.heard.is_some_and(|at| now - at < self.plan.patience);
         let mut verdicts = Vec::new();
--- a/crates/configuration/src/message.rs
+++ b/crates/configuration/src/message.rs
@@ -1,174 +1,176 @@
-//! What goes between routers and machines.
+//! Messages between routers and control machines.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ledger::Entry;
 use crate::{Change, Name, Tenths, Version};
 
-/// What became of a version at a router.
+/// What a router did with a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It is in force, and kept where the router keeps.
+    /// The version is in force, and persisted if the router persists its configuration.
     Applied,
-    /// It is not, and the one before stays.
+    /// The version was refused; the previous one stays in force.
     Refused {
-        /// For a person.
+        /// The reason, for the operator.
         why: String,
     },
 }
 
-/// One message. All may be lost, doubled, late or overtaken. New kinds only go to the end.
+/// A message. Any message may be lost, duplicated, delayed or reordered. New variants have to be added at the end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Router to machine, and machine to machine: serve me from here on.
+    /// Router or machine to machine: subscribes from a given version on.
     Ask {
-        /// Grows with each start of its name.
+        /// Grows with each start of the sender.
         start: u64,
         /// Grows with each ask of one start.
         turn: u32,
-        /// What it holds; [`Version::NONE`] for nothing, or for the whole to be sent.
+        /// The version that the sender holds; [`Version::NONE`] if it holds nothing or requests a snapshot.
         holds: Version,
-        /// Of the document that it holds; with nothing held, another one than the empty document's asks for the whole.
+        /// The digest of the document that the sender holds. With [`Version::NONE`], a digest other than that of the
+        /// empty document requests a snapshot.
         digest: u64,
-        /// It started with nothing kept, and no machine has told its floor.
+        /// The sender started without a persisted configuration, and no machine has told it its floor yet.
         lost: bool,
     },
-    /// Router to machine: what became of a version. Said again and again, also as a sign of life.
+    /// Router to machine: what the router did with a version. Repeated at intervals as a sign of life.
     Told {
-        /// As in the ask.
+        /// The start given in the ask.
         start: u64,
-        /// As in the ask.
+        /// The turn given in the ask.
         turn: u32,
-        /// What is in force.
+        /// The version in force.
         in_force: Version,
-        /// The version that it speaks of.
+        /// The version that `outcome` is about.
         version: Version,
-        /// What became of it.
+        /// What the router did with `version`.
         outcome: Outcome,
     },
-    /// Router to machine: I have left for another one.
+    /// Router to machine: the router ends its subscription and moves to another machine.
     Bye {
-        /// As in the ask.
+        /// The start given in the ask.
         start: u64,
-        /// As in the ask.
+        /// The turn given in the ask.
         turn: u32,
     },
-    /// Machine to router: what follows what you hold.
+    /// Machine to router or machine: the changes that follow the version held.
     Changes {
-        /// As in the ask that it answers.
+        /// The turn of the ask that this answers.
         turn: u32,
-        /// In order.
+        /// The changes, in order.
         changes: Vec<Change>,
     },
-    /// Machine to router: a part of a whole copy.
+    /// Machine to router or machine: a part of a snapshot.
     Whole {
-        /// As in the ask that it answers.
+        /// The turn of the ask that this answers.
         turn: u32,
-        /// Of the copy.
+        /// The version of the snapshot.
         version: Version,
-        /// As in its change.
+        /// When that version was published.
         published: Tenths,
-        /// Which part, from 0.
+        /// The number of the part, from 0.
         part: u16,
-        /// Of so many.
+        /// The number of parts.
         of: u16,
-        /// A part of the document, compressed.
+        /// The bytes of this part of the compressed document.
         bytes: Vec<u8>,
     },
-    /// Machine to router: still here.
+    /// Machine to router or machine: a sign of life.
     Beat {
-        /// As in the ask that it answers.
+        /// The turn of the ask that this answers.
         turn: u32,
-        /// The newest released one that it holds.
+        /// The newest released version that the machine holds.
         version: Version,
-        /// The router is not to serve below this one; none: not known yet.
+        /// The router must not serve below this version; `None` if the floor is not known yet.
         floor: Option<Version>,
-        /// The machine hears no writer, and may be behind.
+        /// The machine has no contact with a writer and may be out of date.
         apart: bool,
     },
-    /// Machine to router: go elsewhere.
+    /// Machine to router: subscribe elsewhere.
     Away {
-        /// As in the ask that it answers.
+        /// The turn of the ask that this answers.
         turn: u32,
-        /// Not back here before this is over.
+        /// How long not to ask this machine again.
         wait: Tenths,
     },
-    /// Machine to keeper: may I write in this epoch?
+    /// Candidate to keeper: requests a vote for an epoch.
     Prepare {
-        /// The new one.
+        /// The new epoch.
         epoch: u32,
-        /// What the candidate holds.
+        /// The newest version that the candidate holds.
         held: Version,
-        /// Only: would you? Nothing is promised by the answer.
+        /// A trial ballot: the keeper answers whether it would grant the vote, but promises nothing.
         trial: bool,
-        /// All keepers answered, and none holds anything.
+        /// Set if all keepers answered and none of them holds anything.
         founding: bool,
     },
-    /// Keeper to machine: the answer.
+    /// Keeper to candidate: the answer to a vote request.
     Promised {
-        /// The epoch asked for.
+        /// The epoch given in the request.
         epoch: u32,
-        /// As asked.
+        /// Whether the request was a trial ballot.
         trial: bool,
-        /// Yes.
+        /// Whether the vote is granted.
         granted: bool,
-        /// The highest epoch that the keeper promised.
+        /// The highest epoch that the keeper has promised.
         promised: u32,
-        /// What the keeper holds.
+        /// The newest version that the keeper holds.
         held: Version,
-        /// It has lost what it kept, or never kept anything: its word does not count yet.
+        /// The keeper has lost its persisted state or never had any, so its vote does not count yet.
         fresh: bool,
     },
-    /// Writer to all machines: my epoch goes on, hold this.
+    /// Writer to all machines: renews the writer's epoch and replicates unreleased changes to the keepers.
     Accept {
-        /// The writer's.
+        /// The writer's epoch.
         epoch: u32,
-        /// Grows with each one.
+        /// Grows with each round of the writer.
         round: u64,
-        /// What is released.
+        /// The newest released version.
         released: Version,
-        /// What follows it and is not released yet.
+        /// The changes that follow it and are not released yet.
         tail: Vec<Change>,
-        /// Up to this one every version has had its verdict.
+        /// Every version up to this one has had its verdict.
         judged: Version,
-        /// The last report that came from this machine.
+        /// The mark of the last report that arrived from the recipient.
         mark: u64,
-        /// A majority of keepers still followed this writer after this report had come.
+        /// A majority of keepers still followed the writer after the report with this mark had arrived.
         sure: u64,
     },
-    /// Machine to writer: the answer.
+    /// Machine to writer: the answer to an accept.
     Accepted {
-        /// The highest epoch that it promised: above the writer's, that one is over.
+        /// The highest epoch that the sender has promised or follows. If it is above the writer's, the writer has been
+        /// deposed.
         epoch: u32,
-        /// As in the accept.
+        /// The round given in the accept.
         round: u64,
-        /// What it holds, released or not.
+        /// The newest version that the sender holds, released or not.
         held: Version,
-        /// What it knows to be released.
+        /// The newest version that the sender knows to be released.
         released: Version,
-        /// As in [`Message::Promised`].
+        /// The same as in [`Message::Promised`].
         fresh: bool,
     },
-    /// Machine to writer, and to the other keepers: what changed in its part of the ledger.
+    /// Machine to the writer and to the other keepers: changes to its part of the ledger.
     Report {
-        /// Grows with each one; 0 to a keeper that does not write.
+        /// Grows with each report; 0 in the copies for keepers other than the writer.
         mark: u64,
-        /// Whose routers: the sender's, or what a keeper knows of another machine's.
+        /// The machine whose routers these are: the sender, or another machine if a keeper relays what it knows.
         by: Name,
-        /// At most [`crate::wire::ENTRIES_MOST`].
+        /// At most [`crate::wire::ENTRIES_MOST`] entries.
         entries: Vec<Entry>,
     },
-    /// Machine to router: a part of changes that are too long for one message.
+    /// Machine to router or machine: a part of changes that are too long for one message.
     Long {
-        /// As in the ask that it answers.
+        /// The turn of the ask that this answers.
         turn: u32,
-        /// That the last of them leads to.
+        /// The version that the last change leads to.
         version: Version,
-        /// Which part, from 0.
+        /// The number of the part, from 0.
         part: u16,
-        /// Of so many.
+        /// The number of parts.
         of: u16,
-        /// A part of the changes, compressed.
+        /// The bytes of this part of the compressed changes.
         bytes: Vec<u8>,
     },
 }
--- a/crates/configuration/src/name.rs
+++ b/crates/configuration/src/name.rs
@@ -1,32 +1,32 @@
-//! What routers and control machines call each other.
+//! Names of routers and control machines.
 
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// The name of a router or control machine, kept over restarts: 1 to [`Name::LONGEST`] letters, digits, `-`, `_` or `.`.
+/// The name of a router or control machine, the same across restarts: 1 to [`Name::LONGEST`] letters, digits, `-`, `_`
+/// or `.`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name(Arc<str>);
 
-/// A name that can't be used.
+/// A name that is not valid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BadName(pub String);
 
 impl Name {
-    /// Longest name, in bytes.
+    /// Maximum length of a name, in bytes.
     pub const LONGEST: usize = 32;
 
     /// # Errors
-    /// [`BadName`] if it is empty, too long, or has other characters.
+    /// [`BadName`] if the name is empty, too long, or has other characters.
     pub fn new(name: &str) -> Result<Name, BadName> {
         let fits = (1..=Self::LONGEST).contains(&name.len());
         let plain = name.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte));
         if fits && plain { Ok(Name(name.into())) } else { Err(BadName(name.into())) }
     }
 
-    /// The name as written.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/crates/configuration/src/parts.rs
+++ b/crates/configuration/src/parts.rs
@@ -1,27 +1,27 @@
-//! What comes in parts, until it is whole.
+//! Data sent in parts, and its reassembly.
 
 use std::collections::BTreeMap;
 
 use crate::document::{Bad, DOCUMENT_MOST};
 use crate::{Tenths, Version};
 
-/// Bytes of one part: eight a second fit what a router has for control.
+/// Size of one part in bytes: eight parts per second fit the bandwidth that a router has for control traffic.
 pub(crate) const PART: usize = 512;
-/// Most bytes of all parts together, compressed.
+/// Maximum size of all parts together, compressed.
 const PARTS_MOST: usize = 2 * DOCUMENT_MOST;
 
-/// What the parts are of.
+/// What the parts contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Of {
     Whole,
     Changes,
 }
 
-/// Something packed, sent in parts.
+/// Compressed data that is sent in parts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Packed {
     pub(crate) of: Of,
-    /// That it leads to.
+    /// The version that the data leads to.
     pub(crate) version: Version,
     pub(crate) published: Tenths,
     pub(crate) bytes: Vec<u8>,
@@ -38,7 +38,7 @@
     }
 }
 
-/// One part, as it came.
+/// One part, as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Part {
     pub(crate) kind: Of,
@@ -48,7 +48,7 @@
     pub(crate) bytes: Vec<u8>,
 }
 
-/// Parts of one thing, the last begun.
+/// The parts received so far of the most recently begun snapshot or run of changes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Parts {
     of: Option<(Of, Version, u16)>,
@@ -57,10 +57,10 @@
 }
 
 impl Parts {
-    /// Takes one; all bytes in order when it was the last one missing.
+    /// Adds a part. Returns all bytes in order when no part is missing any more.
     ///
     /// # Errors
-    /// [`Bad::Bytes`] if they are too many; all are forgotten.
+    /// [`Bad::Bytes`] if there are too many bytes; all parts received so far are dropped.
     pub(crate) fn take(&mut self, part: Part) -> Result<Option<Vec<u8>>, Bad> {
         let of = (part.kind, part.version, part.of);
         if part.part >= part.of {
--- a/crates/configuration/src/plan.rs
+++ b/crates/configuration/src/plan.rs
@@ -1,46 +1,49 @@
-//! How often and how patiently configuration goes round. The same on every control machine and router.
+//! Intervals, timeouts and bounds of distribution. They are the same on every control machine and router.
 
 use std::fmt;
 
 use crate::Tenths;
 
-/// The rhythm, and the bounds that follow from the size of a fleet.
+/// Intervals and timeouts, and the bounds that follow from the size of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// Time between two words of a machine to a router that has all, and of a writer to the machines twice as often.
+    /// Interval between a machine's beats to a router that is up to date. The writer sends its rounds to the machines
+    /// twice as often.
     pub beat: Tenths,
-    /// Time between two words of a router to its machine.
+    /// Interval between a router's status messages to its machine.
     pub say: Tenths,
-    /// A router leaves a machine that said nothing for so long; a machine that heard no writer for so long says so.
+    /// A router leaves a machine that sent nothing for this long. A machine that heard from no writer for this long
+    /// reports that it has none.
     pub patience: Tenths,
-    /// A keeper that heard no writer for once to twice this stands itself.
+    /// Election timeout: a keeper that heard from no writer for once to twice this time becomes a candidate.
     pub stand: Tenths,
-    /// Time over which routers spread what they all would do at once: asks at a start.
+    /// Time over which routers spread their first asks when many start at once.
     pub spread: Tenths,
-    /// Longest pause between two asks of a router that finds nobody; the first is a hundredth.
+    /// Maximum backoff between two asks of a router that finds no machine; the first backoff is a hundredth of it.
     pub pause: Tenths,
-    /// A router that is not at the machine it prefers tries that one again after once to twice this.
+    /// A router that is not served by its preferred machine tries that one again after once to twice this time.
     pub home: Tenths,
-    /// A router that kept a document and hears nobody serves under it after this.
+    /// A router that persisted a document and is in contact with no machine serves under that document after this time.
     pub start_wait: Tenths,
-    /// Time after a release until who is not at it is named.
+    /// Time from a release until its verdict names the routers that are not at that version.
     pub verdict: Tenths,
-    /// Time between two reports of a machine to the writer.
+    /// Interval between a machine's reports to the writer.
     pub report: Tenths,
-    /// A router not heard for so long is forgotten in the ledger.
+    /// A router that was not heard from for this long is removed from the ledger.
     pub forget: Tenths,
-    /// Bytes a second that a machine sends to one router.
+    /// Bytes per second that a machine sends to one router.
     pub bytes_a_second: u32,
-    /// Routers that one machine serves; a further one is sent elsewhere.
+    /// Maximum number of routers that one machine serves; further ones are sent elsewhere.
     pub places: usize,
-    /// Routers in the ledger. At the bound the one not heard for longest goes; if all are heard, a further one is served
-    /// and not counted, and [`crate::Event::Uncounted`] says so.
+    /// Maximum number of routers in the ledger. At the bound, the unlinked router that was not heard from for longest
+    /// is removed; if all are linked, a further router is served but not counted, and [`crate::Event::Uncounted`]
+    /// reports it.
     pub names: usize,
-    /// Released changes kept for resuming; the oldest go.
+    /// Maximum number of released changes in the log; the oldest are dropped.
     pub log_changes: usize,
-    /// Bytes of them ([`crate::Change::bytes`]).
+    /// Maximum size of the changes in the log ([`crate::Change::bytes`]).
     pub log_bytes: usize,
-    /// Bytes of edits that wait at the writer; at the bound [`crate::Refused::Full`].
+    /// Maximum bytes of edits that wait at the writer; beyond it, [`crate::Refused::Full`].
     pub waiting_bytes: usize,
 }
 
@@ -68,12 +71,12 @@
     }
 }
 
-/// A plan that can't be used: which value, and what was expected.
+/// A plan value that cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BadPlan {
-    /// The value.
+    /// The name of the value.
     pub what: &'static str,
-    /// What it should be.
+    /// The values that are allowed.
     pub expected: &'static str,
 }
 
@@ -87,7 +90,7 @@
 
 impl Plan {
     /// # Errors
-    /// [`BadPlan`] names the first value that can't be used.
+    /// [`BadPlan`] names the first value that cannot be used.
     pub fn check(&self) -> Result<(), BadPlan> {
         let rules = [
             ((1_000..=100_000).contains(&self.beat), "beat", "0.1 to 10 s"),
--- a/crates/configuration/src/replica.rs
+++ b/crates/configuration/src/replica.rs
@@ -1,10 +1,11 @@
-//! A version and its document, taken on by changes and whole copies: forward only, all of it or nothing.
+//! A replica of the document. Changes and snapshots only move it to later versions, and each applies entirely or not at
+//! all.
 
 use crate::document::{Bad, Document};
 use crate::parts::{Of, Part, Parts};
 use crate::{Change, Version, whole};
 
-/// What is held, and what comes in parts.
+/// The version and document held, and the parts received so far.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Replica {
     pub(crate) version: Version,
@@ -12,21 +13,21 @@
     parts: Parts,
 }
 
-/// The document after a change made for this version.
+/// The document after a change that applies to this version.
 ///
 /// # Errors
-/// [`Bad`]: base, order, digest or a bound that does not fit.
+/// [`Bad`]: the base version, the order, the digest or a bound is wrong.
 pub(crate) fn after(version: Version, document: &Document, change: &Change) -> Result<Document, Bad> {
     if change.after != version {
         return Err(Bad::Base { held: version, after: change.after });
     }
-    // Danger: an old writer's change, or one that leads in a circle.
+    // Guards against a change from an earlier writer, and against changes that form a cycle.
     if change.version <= version || change.version.number <= version.number {
         return Err(Bad::Order(change.version));
     }
     let next = document.changed(&change.edits)?;
     match next.digest() {
-        // Danger: a change that was damaged, or made for another document under this version.
+        // Guards against a change that was damaged, or that was made for a different document under the same version.
         found if found != change.digest => Err(Bad::Digest { found, expected: change.digest }),
         _ => Ok(next),
     }
@@ -37,13 +38,13 @@
         Replica { version, document, parts: Parts::default() }
     }
 
-    /// Takes changes in order; those at or below what is held are passed over.
+    /// Applies changes in order, and ignores those up to the version held.
     ///
     /// # Errors
-    /// The first one that does not fit, and why; those before it are taken.
+    /// The version of the first change that does not apply, and why; the changes before it are applied.
     pub(crate) fn take(&mut self, changes: &[Change]) -> Result<(), (Version, Bad)> {
         for change in changes {
-            // Danger: one that came twice, or late, would lead back.
+            // A duplicated or delayed change would take the replica back.
             if change.version <= self.version {
                 continue;
             }
@@ -53,12 +54,13 @@
         Ok(())
     }
 
-    /// Takes a part, and all of it when it was the last one missing.
+    /// Adds a part, and applies the whole when no part is missing any more.
     ///
     /// # Errors
-    /// What it is part of does not fit; nothing of it is taken, or of changes those before the first that does not.
+    /// A snapshot that cannot be used is not applied. Of a run of changes, those before the first invalid one are
+    /// applied.
     pub(crate) fn part(&mut self, part: Part) -> Result<(), (Version, Bad)> {
-        // Danger: a copy that would lead back.
+        // A late snapshot would take the replica back.
         if part.version <= self.version {
             return Ok(());
         }
--- a/crates/configuration/src/subscriber.rs
+++ b/crates/configuration/src/subscriber.rs
@@ -1,4 +1,4 @@
-//! A router's side: whom it asks, what it holds, and what is in force.
+//! The router's side: which machine it subscribes to, which version it holds, and which one is in force.
 
 mod feed;
 mod link;
@@ -14,97 +14,98 @@
 use crate::{BadPlan, Document, Message, Name, Plan, Tenths, Version};
 use link::{Link, answers};
 
-/// Most notices that wait to be pulled; at the bound the oldest goes.
+/// Maximum number of notices that wait for the host; at the bound the oldest is dropped.
 const MOST_NOTICES: usize = 64;
 
-/// What the host is to do.
+/// What the host has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it to this machine; it may be lost.
+    /// Send a message to this machine. It may be lost.
     Send {
-        /// The machine.
+        /// The recipient.
         to: Name,
-        /// What.
         message: Message,
     },
-    /// Check it, put it in force between two turns of the loop, keep it where asked to, and only then say
-    /// [`Subscriber::applied`], or [`Subscriber::refused`]. The next one comes only after that.
+    /// Check the document, put it in force between two iterations of the event loop, persist it if the router persists
+    /// its configuration, and only then call [`Subscriber::applied`] or [`Subscriber::refused`]. The next document
+    /// follows only after that call.
     Apply {
-        /// Its version.
         version: Version,
-        /// All of it.
+        /// The whole document.
         document: Document,
     },
-    /// For log and counters.
+    /// Log and count a notice.
     Tell(Notice),
 }
 
-/// Something that a person wants to know.
+/// An event of interest to the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// No machine that hears a writer was heard since then; what is in force stays.
+    /// No machine that is in contact with a writer has been heard from since this time. The configuration in force
+    /// stays.
     Silent {
-        /// Since when.
+        /// The time of the last contact.
         since: Tenths,
     },
-    /// One is heard again.
+    /// A machine that is in contact with a writer is heard from again.
     Heard {
-        /// Which.
+        /// That machine.
         machine: Name,
-        /// It was silent for so long.
+        /// How long there was no contact.
         after: Tenths,
     },
-    /// This version was refused; the one before stays.
+    /// This version was refused; the previous one stays in force.
     Refused {
-        /// Which.
+        /// The refused version.
         version: Version,
-        /// Why.
+        /// The reason.
         why: String,
     },
-    /// What it holds is not in the machine's log any more: a whole copy comes.
+    /// The version held is no longer in the machine's log, so a snapshot is being sent.
     BaseGone {
-        /// What it holds.
+        /// The version held.
         holds: Version,
     },
-    /// It serves from now on.
+    /// The router serves from now on.
     Serving {
-        /// Under this version.
+        /// The version in force.
         version: Version,
-        /// No machine told what it had been told before: it goes by what was kept.
+        /// No machine reported which version the router had in force before its start, so it relies on the
+        /// configuration that it persisted.
         unsure: bool,
     },
 }
 
-/// The configuration as one router knows it. It holds at most three documents: the newest, and for the host's hands one in
-/// force and one about to be.
+/// The configuration on one router. At most three documents exist at a time: the newest one here, and at the host the
+/// one in force and the one about to be put in force.
 pub struct Subscriber {
     plan: Plan,
     me: Name,
     start: u64,
     turn: u32,
-    /// All control machines, the preferred ones first.
+    /// All control machines, in order of preference.
     machines: Vec<Name>,
     chance: WyRand,
     replica: Replica,
-    /// Given to the host, no answer yet.
+    /// Handed to the host, which has not answered yet.
     applying: Option<Version>,
     in_force: Version,
     refused: Option<(Version, String)>,
-    /// The next ask is for the whole.
+    /// The next ask requests a snapshot.
     whole: bool,
-    /// A whole copy of this version could not be used: none is asked for before there is a later one.
+    /// The snapshot of this version could not be used. No further snapshot is requested until there is a later version.
     spoilt: Version,
     link: Option<Link>,
-    /// Machines that are not to be asked before then.
+    /// Machines that are not to be asked before the given time.
     away: BTreeMap<Name, Tenths>,
     next_ask: Tenths,
-    /// Asks in a row that led to nothing.
+    /// Consecutive asks that failed.
     fails: u32,
-    /// Moves in a row from machines that hear no writer.
+    /// Consecutive moves away from machines without contact to a writer.
     roams: u32,
     home: Tenths,
     next_say: Tenths,
-    /// When a machine that hears a writer was heard last.
+    /// When a machine in contact with a writer was last heard from.
     touched: Tenths,
     silent: Option<Tenths>,
     silence_told: bool,
@@ -117,12 +118,12 @@
 }
 
 impl Subscriber {
-    /// A router that starts now, with what it kept. `start` grows with each start of its name (milliseconds since 1970 will
-    /// do). `machines` are all control machines, in any order: those it prefers are drawn from its name. The first decision
-    /// is to apply what was kept.
+    /// Starts a router from the configuration that it persisted. `start` grows with each start of this name
+    /// (milliseconds since 1970 will do). `machines` are all control machines, in any order; the order of preference is
+    /// derived from the router's name. The first decision is to apply the persisted configuration.
     ///
     /// # Errors
-    /// [`BadPlan`] names the first value that can't be used; no machine is one.
+    /// [`BadPlan`] names the first value that cannot be used; an empty `machines` is one.
     pub fn new(
         plan: Plan,
         me: Name,
@@ -175,7 +176,7 @@
         Ok(subscriber)
     }
 
-    /// These machines, of its own zone or region, are to be tried first.
+    /// Machines in the router's own zone or region, which are to be tried first.
     pub fn prefer(&mut self, near: &[Name]) {
         let seed = xxh3_64(self.me.as_str().as_bytes());
         let drawn = |machine: &Name| xxh3_64_with_seed(machine.as_str().as_bytes(), seed);
@@ -183,11 +184,11 @@
         self.machines.dedup();
     }
 
-    /// A message of a machine has come.
+    /// Handles a message from a machine.
     pub fn heard(&mut self, now: Tenths, from: &Name, message: Message) {
         let turn = self.turn;
         let Some(link) = self.link.as_mut().filter(|link| link.machine == *from) else { return };
-        // Danger: what a machine sent for an earlier ask, or an earlier start, does not follow on what is held.
+        // What a machine sent for an earlier ask or an earlier start does not continue from the version held.
         if answers(&message) != Some(turn) {
             return;
         }
@@ -214,14 +215,14 @@
         }
     }
 
-    /// The stream to a machine broke, or it can't be reached.
+    /// The stream to a machine broke, or the machine cannot be reached.
     pub fn broken(&mut self, now: Tenths, machine: &Name) {
         if self.link.as_ref().is_some_and(|link| link.machine == *machine) {
             self.fail(now, now + self.plan.patience);
         }
     }
 
-    /// The host put this version in force, and kept it where it keeps.
+    /// The host has put this version in force, and persisted it if the router persists its configuration.
     pub fn applied(&mut self, now: Tenths, version: Version) {
         if self.applying != Some(version) {
             return;
@@ -232,7 +233,7 @@
         self.next_say = now;
     }
 
-    /// The host refuses this version; the one before stays in force.
+    /// The host refuses this version; the previous one stays in force.
     pub fn refused(&mut self, now: Tenths, version: Version, why: String) {
         if self.applying != Some(version) {
             return;
@@ -241,7 +242,7 @@
         self.refuse(now, version, why);
     }
 
-    /// The next thing to do, until none is left.
+    /// The next decision for the host, or `None` if there is nothing left to do.
     pub fn next_decision(&mut self, now: Tenths) -> Option<Decision> {
         self.look(now);
         if let Some(notice) = self.notices.pop_front() {
@@ -254,7 +255,7 @@
         send.map(|(to, message)| Decision::Send { to, message })
     }
 
-    /// When to come back if nothing is heard before.
+    /// When to call `next_decision` again if nothing arrives before.
     pub fn wake_at(&self) -> Option<Tenths> {
         let mut at = match &self.link {
             None => self.next_ask,
@@ -273,45 +274,47 @@
         Some(at)
     }
 
-    /// The newest version that it holds, in force or about to be.
+    /// The newest version held, whether it is in force yet or not.
     pub fn holds(&self) -> Version {
         self.replica.version
     }
 
-    /// What the host said to be in force last; [`Version::NONE`] before any.
+    /// The version that the host last reported in force; [`Version::NONE`] before the first.
     pub fn in_force(&self) -> Version {
         self.in_force
     }
 
-    /// Since when no machine that hears a writer was heard; none if one is.
+    /// The time since which no machine in contact with a writer was heard from; `None` while one is.
     pub fn silent_since(&self) -> Option<Tenths> {
         self.silent
     }
 
-    /// The machine that serves it, if one has answered.
+    /// The machine that serves the router, once it has answered.
     pub fn served_by(&self) -> Option<&Name> {
         self.link.as_ref().filter(|link| link.heard.is_some()).map(|link| &link.machine)
     }
 
-    /// May the router serve? Not before what is in force is at least what it had been told before its start, by word of the
-    /// machines; or, if none says so in time, what it kept. One that kept nothing and hears nobody does not serve.
+    /// Whether the router may serve. It may once the version in force is at least the one that it had in force before
+    /// its start, as reported by the machines. If no machine reports that in time, it may serve under the configuration
+    /// that it persisted. A router that persisted nothing and has no contact with a machine does not serve.
     pub fn may_serve(&self, now: Tenths) -> bool {
         self.serving || self.serves(now).is_some()
     }
 
-    /// Would it serve, and without the word of a machine?
+    /// Whether the router may serve and, if so, whether it does so without a machine's confirmation.
     fn serves(&self, now: Tenths) -> Option<bool> {
         if self.in_force == Version::NONE {
             return None;
         }
         match self.floor {
-            // Danger: a router whose disk was lost or put back would serve under what the fleet has left.
+            // A router whose disk was lost or restored from an old copy would otherwise serve under a version that the
+            // fleet has left.
             Some(floor) => (self.in_force >= floor).then_some(false),
             None => (self.kept && now - self.began >= self.plan.start_wait).then_some(true),
         }
     }
 
-    /// What time alone brings.
+    /// Handles what is due by time alone: serving, loss of contact, and moves to another machine.
     fn look(&mut self, now: Tenths) {
         if !self.serving
             && let Some(unsure) = self.serves(now)
@@ -326,7 +329,7 @@
         }
         let Some(link) = &self.link else { return };
         if now >= self.leave_at(link) {
-            // Danger: a machine that is stopped holds its streams open and says nothing.
+            // A suspended machine keeps its streams open but sends nothing.
             self.leave();
             self.fail(now, now + 2 * self.plan.patience);
         } else if link.roam.is_some_and(|at| now >= at) {
--- a/crates/configuration/src/subscriber/feed.rs
+++ b/crates/configuration/src/subscriber/feed.rs
@@ -1,4 +1,4 @@
-//! What a router takes of what it is sent.
+//! How a router applies the changes and snapshots that it receives.
 
 use super::Subscriber;
 use crate::document::Bad;
@@ -7,7 +7,7 @@
 use crate::{Tenths, Version};
 
 impl Subscriber {
-    /// Takes changes on.
+    /// Applies changes.
     pub(super) fn take(&mut self, now: Tenths, of: impl FnOnce(&mut Replica) -> Result<(), (Version, Bad)>) {
         let before = self.replica.version;
         let taken = of(&mut self.replica);
@@ -15,7 +15,7 @@
         match taken {
             Ok(()) => {}
             Err((version, Bad::Base { .. })) if version > self.replica.version => self.ask_again(now),
-            // A change that does not fit: the whole once, for it may be the change alone that is damaged.
+            // Requests a snapshot once, because the change alone may be damaged.
             Err((version, _)) if version > self.spoilt => {
                 self.whole = true;
                 self.ask_again(now);
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Takes a part of a whole copy on.
+    /// Applies a part of a snapshot.
     pub(super) fn take_whole(&mut self, now: Tenths, part: Part) {
         let before = self.replica.version;
         let taken = self.replica.part(part);
@@ -32,7 +32,7 @@
         if let Err((version, bad)) = taken
             && version > self.spoilt
         {
-            // Danger: asking for a broken copy again and again.
+            // Without this, the router would request an unusable snapshot again and again.
             self.spoilt = version;
             self.whole = false;
             self.refuse(now, version, bad.to_string());
--- a/crates/configuration/src/subscriber/link.rs
+++ b/crates/configuration/src/subscriber/link.rs
@@ -1,24 +1,24 @@
-//! Which machine a router asks, and when it goes to another.
+//! Which machine a router subscribes to, and when it moves to another.
 
 use super::{Subscriber, between};
 use crate::{Message, Name, Notice, Outcome, Tenths, Version};
 
-/// The machine that serves it, or that it has asked.
+/// The machine that serves the router, or that it has asked.
 pub(super) struct Link {
     pub(super) machine: Name,
     pub(super) asked: Tenths,
     pub(super) heard: Option<Tenths>,
-    /// When changes or a part came last, or were asked for.
+    /// When changes or a part were last received or requested.
     pub(super) fed: Tenths,
     /// When to ask again because something is missing.
     pub(super) again: Option<Tenths>,
-    /// How often in a row something was.
+    /// The number of consecutive times that something was missing.
     pub(super) gaps: u32,
-    /// When to leave it because it hears no writer.
+    /// When to leave the machine because it has no contact with a writer.
     pub(super) roam: Option<Tenths>,
 }
 
-/// The ask that a message answers.
+/// The turn of the ask that a message answers.
 pub(super) fn answers(message: &Message) -> Option<u32> {
     match message {
         Message::Changes { turn, .. }
@@ -31,7 +31,7 @@
 }
 
 impl Subscriber {
-    /// Asks a machine, or the same one again because something is missing.
+    /// Asks a machine, or asks the current one again because something is missing.
     pub(super) fn next_ask(&mut self, now: Tenths) -> Option<(Name, Message)> {
         match &mut self.link {
             Some(link) => {
@@ -53,12 +53,12 @@
             false => (self.replica.version, self.replica.document.digest()),
         };
         let to = self.link.as_ref()?.machine.clone();
-        // Danger: what it was sent since its start is not what it had been told before.
+        // What the router received since its start does not tell it which version it had in force before.
         let lost = !self.kept && self.floor.is_none();
         Some((to, Message::Ask { start: self.start, turn: self.turn, holds, digest, lost }))
     }
 
-    /// Says what is in force, as news and as a sign of life.
+    /// Sends the router's status, when it has changed and at intervals as a sign of life.
     pub(super) fn next_say(&mut self, now: Tenths) -> Option<(Name, Message)> {
         let link = self.link.as_ref().filter(|_| now >= self.next_say)?;
         self.next_say = now + self.plan.say;
@@ -71,7 +71,7 @@
     }
 
     pub(super) fn beat(&mut self, now: Tenths, version: Version, floor: Option<Version>, apart: bool) {
-        // Danger: a machine that knows less than another must not take back what that one said.
+        // A machine that knows less than another must not lower the floor that the other has set.
         self.floor = self.floor.max(floor);
         self.fails = 0;
         let Some(link) = &mut self.link else { return };
@@ -93,7 +93,7 @@
         }
     }
 
-    /// One that hears a writer was heard.
+    /// Records contact with a machine that is in contact with a writer.
     fn touch(&mut self, now: Tenths) {
         if let (Some(since), Some(link)) = (self.silent.take(), &self.link)
             && self.silence_told
@@ -104,19 +104,19 @@
         (self.touched, self.silence_told) = (now, false);
     }
 
-    /// The machine said farewell, or nothing; not back there before then.
+    /// Abandons the machine because it declined, failed or fell silent. It is not asked again before `until`.
     pub(super) fn fail(&mut self, now: Tenths, until: Tenths) {
         if let Some(link) = self.link.take() {
             self.away.insert(link.machine, until);
         }
-        // Danger: all routers at once at the machines that are left, again and again.
+        // Backs off, so that the routers do not all ask the remaining machines at once, again and again.
         let rounds = self.fails.saturating_sub(self.machines.len() as u32).min(10);
         let pause = ((self.plan.pause / 100) << rounds).min(self.plan.pause);
         self.fails = self.fails.saturating_add(1);
         self.next_ask = now + between(&mut self.chance, pause / 2, pause);
     }
 
-    /// Tells its machine that it goes.
+    /// Notifies the machine that the router leaves it.
     pub(super) fn leave(&mut self) {
         if let Some(link) = &self.link {
             let bye = Message::Bye { start: self.start, turn: self.turn };
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Away from a machine that hears no writer, if there is another to be tried.
+    /// Leaves a machine that has no contact with a writer, if there is another one to try.
     pub(super) fn roam(&mut self, now: Tenths) {
         let Some(here) = self.link.as_ref().map(|link| link.machine.clone()) else { return };
         let away = &self.away;
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Back to the machine that it prefers, once that one may have returned.
+    /// Returns to the preferred machine, if that one may be asked again.
     pub(super) fn go_home(&mut self, now: Tenths) {
         self.home = now + between(&mut self.chance, self.plan.home, 2 * self.plan.home);
         let first = self.machines.first();
@@ -153,7 +153,7 @@
         }
     }
 
-    /// The first of its order that may be asked; if none may, the one that may first.
+    /// The first machine in order of preference that may be asked; if none may, the one that may be asked soonest.
     fn pick(&mut self, now: Tenths) -> Name {
         self.away.retain(|_, until| *until > now);
         let free = self.machines.iter().find(|machine| !self.away.contains_key(*machine));
--- a/crates/configuration/src/whole.rs
+++ b/crates/configuration/src/whole.rs
@@ -1,5 +1,5 @@
-//! A whole document as bytes: compressed, with its version and digest. What a router keeps on its disk, and what is sent
-//! in parts where the log is gone.
+//! Snapshots: a whole document as compressed bytes, with its version and digest. A router persists snapshots, and
+//! machines send them in parts where the log does not reach back far enough.
 
 use std::collections::BTreeMap;
 use std::io::Read;
@@ -9,9 +9,9 @@
 use crate::document::{Bad, DOCUMENT_MOST, Document, NAMES_MOST};
 use crate::{Change, Tenths, Version};
 
-/// Level of compression: what is sent 2,100 times is packed once.
+/// Compression level. A snapshot that is sent 2,100 times is compressed once.
 const LEVEL: i32 = 9;
-/// Most bytes that are unpacked: twice a document at its bounds, for changes have frames of their own.
+/// Maximum size after decompression: twice a document at its bounds, because changes have their own framing.
 const UNPACKED_MOST: u64 = (2 * DOCUMENT_MOST + 8 * NAMES_MOST + 64) as u64;
 
 #[derive(Serialize, Deserialize)]
@@ -22,7 +22,7 @@
     names: BTreeMap<String, String>,
 }
 
-/// The document as bytes.
+/// Compresses a document.
 pub fn pack(version: Version, published: Tenths, document: &Document) -> Vec<u8> {
     let names = document.clone().into_map();
     let frame = Frame { version, published, digest: document.digest(), names };
@@ -30,10 +30,10 @@
     zstd::bulk::compress(&plain, LEVEL).unwrap_or_default()
 }
 
-/// The version, when it was published, and the document.
+/// Decompresses a document, with its version and the time when it was published.
 ///
 /// # Errors
-/// [`Bad`]: bytes that can't be read, a digest or a bound that does not fit.
+/// [`Bad`]: the bytes cannot be decoded, or the digest or a bound is wrong.
 pub fn unpack(bytes: &[u8]) -> Result<(Version, Tenths, Document), Bad> {
     let plain = unpacked(bytes)?;
     let frame: Frame = postcard::from_bytes(&plain).map_err(|_| Bad::Copy)?;
@@ -44,20 +44,20 @@
     }
 }
 
-/// Changes as bytes.
+/// Compresses changes.
 pub(crate) fn pack_changes(changes: &[Change]) -> Vec<u8> {
     let plain = postcard::to_stdvec(changes).unwrap_or_default();
     zstd::bulk::compress(&plain, LEVEL).unwrap_or_default()
 }
 
 /// # Errors
-/// [`Bad`]: bytes that can't be read, or too many.
+/// [`Bad`]: the bytes cannot be decoded, or there are too many.
 pub(crate) fn unpack_changes(bytes: &[u8]) -> Result<Vec<Change>, Bad> {
     postcard::from_bytes(&unpacked(bytes)?).map_err(|_| Bad::Copy)
 }
 
 fn unpacked(bytes: &[u8]) -> Result<Vec<u8>, Bad> {
-    // Danger: a few bytes that unpack to gigabytes.
+    // Limits the output: a few bytes can decompress to gigabytes.
     let mut plain = Vec::new();
     let unpacking = zstd::Decoder::new(bytes).map_err(|_| Bad::Copy)?;
     unpacking.take(UNPACKED_MOST + 1).read_to_end(&mut plain).map_err(|_| Bad::Copy)?;
--- a/crates/configuration/src/wire.rs
+++ b/crates/configuration/src/wire.rs
@@ -1,41 +1,42 @@
-//! Messages as bytes: one byte of version, then postcard. Bounded; what is not known is refused by name.
+//! The wire format of messages: one version byte, then postcard. The length is bounded, and anything unknown is
+//! rejected with a specific error.
 
 use std::fmt;
 
 use crate::Message;
 
-/// Version of this wire form. Another one is refused by name.
+/// Version of this wire format. Any other version is rejected with [`Unread::Version`].
 pub const VERSION: u8 = 1;
-/// Longest message, in bytes: a change of a whole document, and its frame.
+/// Maximum length of a message in bytes: a change of a whole document, and its framing.
 pub const LONGEST: usize = 2 << 20;
-/// Most entries of a report.
+/// Maximum number of entries in a report.
 pub const ENTRIES_MOST: usize = 512;
-/// Longest reason of a refusal, in bytes; longer ones are cut.
+/// Maximum length of a refusal's reason, in bytes; longer ones are truncated.
 pub const WHY_MOST: usize = 200;
 
-/// Why bytes were not taken.
+/// Why received bytes were rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
-    /// No byte at all.
+    /// There are no bytes.
     Empty,
-    /// More than [`LONGEST`] bytes.
+    /// There are more than [`LONGEST`] bytes.
     TooLong(usize),
-    /// Another version of the wire form.
+    /// The bytes have another version of the wire format.
     Version(u8),
-    /// This version, but not a message of it.
+    /// The version is known, but the bytes are not a message.
     Malformed,
-    /// A message with something behind it.
+    /// There are bytes after the message.
     Trailing(usize),
 }
 
 impl fmt::Display for Unread {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unread::Empty => write!(out, "an empty message"),
-            Unread::TooLong(length) => write!(out, "{length} bytes, at most {LONGEST} are taken"),
-            Unread::Version(version) => write!(out, "wire version {version}, this one speaks {VERSION}"),
+            Unread::Empty => write!(out, "empty message"),
+            Unread::TooLong(length) => write!(out, "message of {length} bytes, expected at most {LONGEST}"),
+            Unread::Version(version) => write!(out, "wire version {version}, expected {VERSION}"),
             Unread::Malformed => write!(out, "not a message of wire version {VERSION}"),
-            Unread::Trailing(length) => write!(out, "{length} bytes behind the message"),
+            Unread::Trailing(length) => write!(out, "{length} unexpected bytes after the message"),
         }
     }
 }
@@ -43,14 +44,14 @@
 impl std::error::Error for Unread {}
 
 /// # Errors
-/// [`Unread::TooLong`] if it does not fit; [`Unread::Malformed`] if it can't be written.
+/// [`Unread::TooLong`] if the message is too long; [`Unread::Malformed`] if it cannot be encoded.
 pub fn encode(message: &Message) -> Result<Vec<u8>, Unread> {
     let bytes = postcard::to_extend(message, vec![VERSION]).map_err(|_| Unread::Malformed)?;
     if bytes.len() > LONGEST { Err(Unread::TooLong(bytes.len())) } else { Ok(bytes) }
 }
 
 /// # Errors
-/// [`Unread`], by name.
+/// [`Unread`] tells why the bytes were rejected.
 pub fn decode(bytes: &[u8]) -> Result<Message, Unread> {
     let (&version, rest) = bytes.split_first().ok_or(Unread::Empty)?;
     if bytes.len() > LONGEST {
@@ -66,7 +67,7 @@
     }
 }
 
-/// Bytes that a message takes, with its byte of version.
+/// The encoded length of a message, including the version byte.
 pub fn length(message: &Message) -> usize {
     1 + postcard::experimental::serialized_size(message).unwrap_or(LONGEST)
 }
