--- a/crates/configuration/examples/figures.rs
+++ b/crates/configuration/examples/figures.rs
@@ -13,7 +13,7 @@
 const MACHINES: usize = 20;
 const KEEPERS: usize = 5;
 /// Interval between two published changes: 6,400 a day.
-const EVERY: Tenths = 135_000;
+const PUBLISH_INTERVAL: Tenths = 135_000;
 const SEEDS: u64 = 2;
 
 /// The median, the 99th percentile and the maximum, in milliseconds.
@@ -55,15 +55,15 @@
             edit(&format!("group-{number:04}"), &value[..190])
         });
         let edits: Vec<_> = edits.collect();
-        let writer = world.writer().expect("one writes");
-        world.publish_at(writer, edits).expect("it is taken");
+        let writer = world.writer().expect("there is a writer");
+        world.publish_at(writer, edits).expect("the writer accepts the edits");
         world.run(SECOND);
     }
-    world.run_until(120 * SECOND, World::agreed).expect("all have it");
+    world.run_until(120 * SECOND, World::agreed).expect("all routers have the newest version");
 }
 
 /// Average bytes per second of a router and of a control machine.
-fn counted(world: &mut World, length: Tenths) -> (u64, u64) {
+fn bytes_per_second(world: &mut World, length: Tenths) -> (u64, u64) {
     (world.count, world.between) = (true, 0);
     world.bytes = BTreeMap::new();
     world.run(length);
@@ -74,7 +74,7 @@
     (all / routers / length, (all + 2 * world.between) / MACHINES as u64 / length)
 }
 
-fn changes(routers: usize) {
+fn report_changes(routers: usize) {
     let (mut times, mut verdicts) = (Vec::new(), Vec::new());
     for seed in 0..SEEDS {
         let mut world = fleet(routers, seed);
@@ -84,13 +84,13 @@
         for number in 0..3 {
             let at = world.now;
             assert!(world.publish(&format!("group-{number}"), &"x".repeat(200)));
-            world.run(EVERY);
+            world.run(PUBLISH_INTERVAL);
             published.push((world.newest, at));
         }
         for (version, at) in published {
             let of = world.applied.iter().filter(|((of, _), _)| *of == version);
             let of: Vec<Tenths> = of.map(|(_, when)| when - at).collect();
-            assert_eq!(of.len(), routers, "not everywhere");
+            assert_eq!(of.len(), routers, "not in force on every router");
             times.extend(of);
             let known = world.verdicts.iter().find(|(.., verdict)| verdict.version == version);
             let (when, _, verdict) = known.expect("a verdict");
@@ -102,19 +102,19 @@
     println!("| {routers} | {} | {} |", quantiles(times), known.unwrap_or(0) / 10);
 }
 
-fn traffic(routers: usize) {
+fn report_traffic(routers: usize) {
     let mut rows = Vec::new();
     for seed in 0..SEEDS {
         let mut world = fleet(routers, seed);
-        let idle = counted(&mut world, 14 * SECOND);
+        let idle = bytes_per_second(&mut world, 14 * SECOND);
         (world.count, world.between, world.bytes) = (true, 0, BTreeMap::new());
         for number in 0..2 {
             assert!(world.publish(&format!("group-{number}"), &"x".repeat(200)));
-            world.run(EVERY);
+            world.run(PUBLISH_INTERVAL);
         }
         let all: u64 = world.bytes.values().sum();
         let most = world.bytes.values().max().copied().unwrap_or(0);
-        let length = 2 * EVERY as u64;
+        let length = 2 * PUBLISH_INTERVAL as u64;
         let each = |all: u64, count: usize| all * SECOND as u64 / length / count as u64;
         let machine = each(all + 2 * world.between, MACHINES);
         rows.push([idle.0, each(all, routers), most, idle.1, machine]);
@@ -134,7 +134,7 @@
         world.plan.log_changes = 2;
     }
     world.start_all();
-    world.run_until(60 * SECOND, World::agreed).expect("all are at one version");
+    world.run_until(60 * SECOND, World::agreed).expect("all routers are at one version");
     fill(&mut world, 50, repeats);
     world
 }
@@ -172,7 +172,7 @@
         assert!(world.publish(&format!("group-{number:04}"), &"y".repeat(190)));
         world.run(SECOND);
     }
-    world.run_until(60 * SECOND, World::agreed).expect("all have it");
+    world.run_until(60 * SECOND, World::agreed).expect("all routers have the newest version");
     for router in world.routers() {
         world.kill(router);
         world.places[router].file = behind.clone();
@@ -192,7 +192,7 @@
     let mut named = Vec::new();
     for seed in 0..SEEDS {
         let mut world = fleet(routers, seed);
-        let writer = world.writer().expect("one writes");
+        let writer = world.writer().expect("there is a writer");
         let keeper = (0..KEEPERS).find(|at| *at != writer).expect("a keeper");
         world.verdicts.clear();
         let from = world.now;
@@ -216,7 +216,7 @@
     println!("| {routers} | {} | {} | {} |", seconds(least), seconds(most), named.join(", "));
 }
 
-fn ten_lost(routers: usize) {
+fn ten_machines_lost(routers: usize) {
     let mut world = fleet(routers, 5);
     let from = world.now;
     for at in [0, 1, 5, 6, 7, 8, 9, 10, 11, 12] {
@@ -242,7 +242,7 @@
     );
 }
 
-fn regions(routers: usize) {
+fn region_partitioned(routers: usize) {
     let mut world = fleet(routers, 9);
     // Separates one region from the other three: 5 of the 20 machines, with one or two of the five keepers.
     let alone = |node: usize| usize::from(node % REGIONS == 1);
@@ -251,7 +251,7 @@
     let mut published = 0;
     for number in 0..10 {
         published += usize::from(world.publish(&format!("group-{number}"), &"x".repeat(200)));
-        world.run(EVERY);
+        world.run(PUBLISH_INTERVAL);
     }
     let behind = world
         .live_routers()
@@ -282,13 +282,13 @@
     println!("## A change until it is in force, and known to be\n");
     println!("| routers | p50, ms | p99, ms | last, ms | known everywhere by the latest, ms |");
     println!("| --- | --- | --- | --- | --- |");
-    SIZES.into_iter().for_each(changes);
+    SIZES.into_iter().for_each(report_changes);
     println!("\n## Bytes a second\n");
     println!(
         "| routers | a router, idle | a router, changes | a router's most in one second | a machine, idle | a machine, changes |"
     );
     println!("| --- | --- | --- | --- | --- | --- |");
-    SIZES.into_iter().for_each(traffic);
+    SIZES.into_iter().for_each(report_traffic);
     println!("\n## All routers started at once\n");
     println!(
         "| routers | what they kept | the document, 50 KB | p50, ms | p99, ms | last, ms | most bytes in one second | parts of whole copies |"
@@ -304,12 +304,12 @@
         "| routers | a change until in force, from the loss, s | the next one, s | most routers at one machine |"
     );
     println!("| --- | --- | --- | --- |");
-    SIZES.into_iter().for_each(ten_lost);
+    SIZES.into_iter().for_each(ten_machines_lost);
     println!("\n## One region cut off for ten changes, and joined\n");
     println!(
         "| routers | changes released meanwhile | routers behind | named by the last verdict | joined: p50, ms | p99, ms | last, ms | parts of whole copies |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    SIZES.into_iter().for_each(regions);
+    SIZES.into_iter().for_each(region_partitioned);
     eprintln!("took {} s", began.elapsed().as_secs());
 }
--- a/crates/configuration/src/kept.rs
+++ b/crates/configuration/src/kept.rs
@@ -96,10 +96,10 @@
     ///
     /// # Errors
     /// [`Bad`] if a held change does not apply to the one before it.
-    pub(crate) fn newest(&self) -> Result<Document, Bad> {
+    pub(crate) fn newest_document(&self) -> Result<Document, Bad> {
         let (mut version, mut document) = (self.version, self.document.clone());
         for change in &self.tail {
-            document = replica::after(version, &document, change)?;
+            document = replica::apply(version, &document, change)?;
             version = change.version;
         }
         Ok(document)
@@ -118,25 +118,25 @@
             Record::Forgotten(names) => self.routers.retain(|name| !names.contains(name)),
             Record::Released(changes) => {
                 for change in changes {
-                    let Ok(next) = replica::after(self.version, &self.document, change) else { continue };
+                    let Ok(next) = replica::apply(self.version, &self.document, change) else { continue };
                     self.document = next;
                     (self.version, self.published) = (change.version, change.published);
                     self.log.push(change.clone(), plan.log_changes, plan.log_bytes);
                 }
-                self.trim();
+                self.drop_superseded();
             }
             Record::Whole { version, published, document } if *version > self.version => {
                 self.document = document.clone();
                 (self.version, self.published) = (*version, *published);
                 self.log.clear();
-                self.trim();
+                self.drop_superseded();
             }
             Record::Whole { .. } => {}
         }
     }
 
     /// Drops the unreleased changes that are released now, or that another writer's release has superseded.
-    fn trim(&mut self) {
+    fn drop_superseded(&mut self) {
         match self.tail.iter().position(|change| change.version == self.version) {
             Some(at) => drop(self.tail.drain(..=at)),
             None if self.tail.first().is_some_and(|first| first.after != self.version) => self.tail.clear(),
--- a/crates/configuration/src/ledger.rs
+++ b/crates/configuration/src/ledger.rs
@@ -52,9 +52,9 @@
 struct Row {
     entry: Entry,
     /// The machine that reported the entry.
-    by: Name,
+    reported_by: Name,
     /// When the router was last known to be served.
-    heard: Tenths,
+    last_heard: Tenths,
 }
 
 impl Ledger {
@@ -79,24 +79,31 @@
 
     /// Records an entry that the machine `by` reported about one of its own routers. `relayed` is set if a keeper
     /// passes on what it knows of another machine's router.
-    pub(crate) fn take(&mut self, now: Tenths, by: &Name, entry: Entry, relayed: bool, most: usize) -> Taken {
+    pub(crate) fn record(
+        &mut self,
+        now: Tenths,
+        by: &Name,
+        entry: Entry,
+        relayed: bool,
+        most: usize,
+    ) -> EntryUpdate {
         if let Some(row) = self.rows.get_mut(&entry.name) {
-            return row.take(now, by, entry, relayed);
+            return row.update(now, by, entry, relayed);
         }
-        if self.rows.len() >= most && !self.make_room() {
-            return Taken::NoRoom;
+        if self.rows.len() >= most && !self.evict_longest_silent() {
+            return EntryUpdate::NoRoom;
         }
-        self.rows.insert(entry.name.clone(), Row { entry, by: by.clone(), heard: now });
-        Taken::New
+        self.rows.insert(entry.name.clone(), Row { entry, reported_by: by.clone(), last_heard: now });
+        EntryUpdate::New
     }
 
     /// Removes the routers that were not served for this long. Routers served by this machine itself count as heard
     /// now; those of other machines are kept by the reports that these machines repeat.
     pub(crate) fn forget(&mut self, now: Tenths, me: &Name, after: Tenths) -> Vec<Name> {
-        for row in self.rows.values_mut().filter(|row| row.entry.linked && row.by == *me) {
-            row.heard = now;
+        for row in self.rows.values_mut().filter(|row| row.entry.linked && row.reported_by == *me) {
+            row.last_heard = now;
         }
-        let gone = self.rows.iter().filter(|(_, row)| now - row.heard >= after);
+        let gone = self.rows.iter().filter(|(_, row)| now - row.last_heard >= after);
         let gone: Vec<Name> = gone.map(|(name, _)| name.clone()).collect();
         gone.iter().for_each(|name| drop(self.rows.remove(name)));
         gone
@@ -110,7 +117,7 @@
             match &entry.refused {
                 _ if entry.version >= version => at += 1,
                 Some((other, why)) if *other >= version => refused.push((name.clone(), why.clone())),
-                _ if entry.linked && hears(&row.by) => behind.push(name.clone()),
+                _ if entry.linked && hears(&row.reported_by) => behind.push(name.clone()),
                 _ => silent.push(name.clone()),
             }
         }
@@ -124,19 +131,19 @@
     }
 
     /// The routers that were last reported by this machine.
-    pub(crate) fn said_by(&self, machine: &Name) -> Vec<Name> {
-        let rows = self.rows.iter().filter(|(_, row)| row.by == *machine);
+    pub(crate) fn routers_of(&self, machine: &Name) -> Vec<Name> {
+        let rows = self.rows.iter().filter(|(_, row)| row.reported_by == *machine);
         rows.map(|(name, _)| name.clone()).collect()
     }
 
     /// All machines that have reported a router.
     pub(crate) fn machines(&self) -> BTreeSet<Name> {
-        self.rows.values().map(|row| row.by.clone()).collect()
+        self.rows.values().map(|row| row.reported_by.clone()).collect()
     }
 
-    fn make_room(&mut self) -> bool {
+    fn evict_longest_silent(&mut self) -> bool {
         let gone = self.rows.iter().filter(|(_, row)| !row.entry.linked);
-        let Some(name) = gone.min_by_key(|(_, row)| row.heard).map(|(name, _)| name.clone()) else {
+        let Some(name) = gone.min_by_key(|(_, row)| row.last_heard).map(|(name, _)| name.clone()) else {
             return false;
         };
         self.rows.remove(&name).is_some()
@@ -145,15 +152,15 @@
 
 /// The result of recording an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Taken {
+pub(crate) enum EntryUpdate {
     New,
     Changed,
-    Known,
+    Unchanged,
     NoRoom,
 }
 
 impl Row {
-    fn take(&mut self, now: Tenths, by: &Name, entry: Entry, relayed: bool) -> Taken {
+    fn update(&mut self, now: Tenths, by: &Name, entry: Entry, relayed: bool) -> EntryUpdate {
         let (old, new) = ((self.entry.start, self.entry.turn), (entry.start, entry.turn));
         // The reported version never goes back, whichever start or machine reports it.
         let version = self.entry.version.max(entry.version);
@@ -161,14 +168,14 @@
         self.entry.version = version;
         // Without this, a late report from a machine that the router has left would mark the router as silent.
         if new < old || (relayed && new == old) {
-            return if raised { Taken::Changed } else { Taken::Known };
+            return if raised { EntryUpdate::Changed } else { EntryUpdate::Unchanged };
         }
         if entry.linked {
-            self.heard = now;
+            self.last_heard = now;
         }
         let entry = Entry { version, ..entry };
-        let changed = raised || entry != self.entry || *by != self.by;
-        (self.entry, self.by) = (entry, by.clone());
-        if changed { Taken::Changed } else { Taken::Known }
+        let changed = raised || entry != self.entry || *by != self.reported_by;
+        (self.entry, self.reported_by) = (entry, by.clone());
+        if changed { EntryUpdate::Changed } else { EntryUpdate::Unchanged }
     }
 }
--- a/crates/configuration/src/machine.rs
+++ b/crates/configuration/src/machine.rs
@@ -14,11 +14,11 @@
 use crate::document::Bad;
 use crate::kept::{Kept, Record};
 use crate::{BadPlan, Document, Edit, Ledger, Message, Name, Plan, Tenths, Verdict, Version};
-use follow::Catch;
+use follow::CatchUp;
 use report::Reports;
 use serve::{Cache, Session};
-use vote::Standing;
-use write::Writing;
+use vote::Candidacy;
+use write::WriterState;
 
 /// What the host has to do, in the order in which it is returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -82,11 +82,17 @@
 impl fmt::Display for Refused {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::NotWriter(Some(writer)) => write!(out, "this machine is not the writer; publish at {writer}"),
-            Refused::NotWriter(None) => write!(out, "this machine is not the writer, and no writer is in contact"),
+            Refused::NotWriter(Some(writer)) => {
+                write!(out, "this machine is not the writer; publish at {writer}")
+            }
+            Refused::NotWriter(None) => {
+                write!(out, "this machine is not the writer, and no writer is in contact")
+            }
             Refused::Bad(bad) => write!(out, "{bad}"),
             Refused::Check(why) => write!(out, "{why}"),
-            Refused::Full => write!(out, "too many edits are waiting to be replicated to a majority of keepers"),
+            Refused::Full => {
+                write!(out, "too many edits are waiting to be replicated to a majority of keepers")
+            }
         }
     }
 }
@@ -102,33 +108,33 @@
     /// All keepers, including this machine if it is one.
     keepers: Vec<Name>,
     check: fn(&Document) -> Result<(), String>,
-    chance: WyRand,
+    rng: WyRand,
     kept: Kept,
     orders: VecDeque<Order>,
     role: Role,
     /// The writer heard from last, its epoch, and when it was heard.
-    heard: Option<(Name, u32, Tenths)>,
-    apart_told: bool,
-    began: Tenths,
+    last_writer: Option<(Name, u32, Tenths)>,
+    no_writer_reported: bool,
+    started_at: Tenths,
     /// When this keeper starts an election.
-    stand_at: Tenths,
+    election_at: Tenths,
     /// The highest epoch seen in any message.
-    seen: u32,
+    highest_epoch: u32,
     /// Every version up to this one has had its verdict.
     judged: Version,
     sessions: BTreeMap<Name, Session>,
-    due: BTreeSet<(Tenths, Name)>,
+    schedule: BTreeSet<(Tenths, Name)>,
     cache: Cache,
-    catch: Catch,
+    catch_up: CatchUp,
     ledger: Ledger,
     reports: Reports,
 }
 
 /// The role of this machine.
 enum Role {
-    Follows,
-    Stands(Standing),
-    Writes(Box<Writing>),
+    Follower,
+    Candidate(Candidacy),
+    Writer(Box<WriterState>),
 }
 
 impl Machine {
@@ -163,8 +169,8 @@
         if let Some((_, what, expected)) = rules.into_iter().find(|(good, ..)| !good) {
             return Err(BadPlan { what, expected });
         }
-        let mut chance = WyRand::new_seed(seed);
-        let reports = Reports::new(now, chance.generate::<u32>());
+        let mut rng = WyRand::new_seed(seed);
+        let reports = Reports::new(now, rng.generate::<u32>());
         let kept = kept.unwrap_or_default();
         let mut machine = Machine {
             others: machines.into_iter().filter(|machine| *machine != me).collect(),
@@ -172,25 +178,25 @@
             plan,
             me,
             check,
-            chance,
-            seen: kept.promised,
+            rng,
+            highest_epoch: kept.promised,
             kept,
             orders: VecDeque::new(),
-            role: Role::Follows,
-            heard: None,
-            apart_told: false,
-            began: now,
-            stand_at: now,
+            role: Role::Follower,
+            last_writer: None,
+            no_writer_reported: false,
+            started_at: now,
+            election_at: now,
             judged: Version::NONE,
             sessions: BTreeMap::new(),
-            due: BTreeSet::new(),
+            schedule: BTreeSet::new(),
             cache: Cache::default(),
-            catch: Catch::default(),
+            catch_up: CatchUp::default(),
             ledger: Ledger::default(),
             reports,
         };
-        machine.remember_routers(now);
-        machine.put_off_standing(now);
+        machine.restore_routers(now);
+        machine.reset_election_timer(now);
         Ok(machine)
     }
 
@@ -201,7 +207,7 @@
     /// # Errors
     /// [`Refused`]; none of the edits is accepted.
     pub fn publish(&mut self, now: Tenths, edits: Vec<Edit>) -> Result<(), Refused> {
-        self.write_down(now, edits)
+        self.queue_edits(now, edits)
     }
 
     /// Handles a message from a router or machine.
@@ -209,33 +215,33 @@
         let machine = self.others.contains(from);
         match message {
             Message::Ask { start, turn, holds, digest, lost } => {
-                self.asked(now, from, (start, turn), holds, digest, lost && !machine);
+                self.handle_subscribe(now, from, (start, turn), holds, digest, lost && !machine);
             }
             // Guards against a router that uses a machine's name, or a machine that uses a router's.
             Message::Told { start, turn, in_force, version, outcome } if !machine => {
-                self.told(now, from, (start, turn), in_force, version, outcome);
+                self.handle_status(now, from, (start, turn), in_force, version, outcome);
             }
-            Message::Bye { start, turn } if !machine => self.bye(now, from, (start, turn)),
+            Message::Bye { start, turn } if !machine => self.handle_unsubscribe(now, from, (start, turn)),
             _ if !machine => {}
             Message::Prepare { epoch, held, trial, founding } => {
-                self.prepare(now, from, epoch, held, trial, founding);
+                self.handle_prepare(now, from, epoch, held, trial, founding);
             }
             Message::Promised { epoch, trial, granted, promised, held, fresh } => {
-                self.promised(now, from, (epoch, trial), granted, promised, held, fresh);
+                self.handle_promised(now, from, (epoch, trial), granted, promised, held, fresh);
             }
-            Message::Accept { .. } => self.accept(now, from, message),
+            Message::Accept { .. } => self.handle_accept(now, from, message),
             Message::Accepted { epoch, round, held, fresh, .. } => {
-                self.accepted(now, from, epoch, round, held, fresh);
+                self.handle_accepted(now, from, epoch, round, held, fresh);
             }
-            Message::Report { mark, by, entries } => self.reported(now, from, mark, &by, entries),
-            answer => self.caught(now, from, answer),
+            Message::Report { mark, by, entries } => self.handle_report(now, from, mark, &by, entries),
+            answer => self.handle_catch_up(now, from, answer),
         }
     }
 
     /// The stream to or from this router or machine broke.
     pub fn left(&mut self, now: Tenths, from: &Name) {
         self.drop_session(now, from);
-        self.catch.broken(now, from);
+        self.catch_up.connection_lost(now, from);
     }
 
     /// The next order for the host, or `None` if there is nothing left to do.
@@ -244,12 +250,12 @@
             if let Some(order) = self.orders.pop_front() {
                 return Some(order);
             }
-            self.look(now);
-            self.stand(now);
-            self.write(now);
-            self.catch_up(now);
+            self.check_writer_contact(now);
+            self.run_election(now);
+            self.run_writer(now);
+            self.run_catch_up(now);
             self.report(now);
-            self.judge(now);
+            self.issue_verdicts(now);
             if self.orders.is_empty() && !self.serve(now) {
                 return None;
             }
@@ -259,13 +265,13 @@
     /// When to call `next_decision` again if nothing arrives before.
     pub fn wake_at(&self) -> Option<Tenths> {
         let role = match &self.role {
-            Role::Follows => self.keeps().then_some(self.stand_at),
-            Role::Stands(standing) => Some(standing.until),
-            Role::Writes(writing) => Some(self.write_at(writing)),
+            Role::Follower => self.is_keeper().then_some(self.election_at),
+            Role::Candidate(candidacy) => Some(candidacy.until),
+            Role::Writer(state) => Some(self.writer_wake_at(state)),
         };
-        let apart = (!self.apart_told).then(|| self.touched() + self.plan.patience);
-        let due = self.due.first().map(|(at, _)| *at);
-        [role, apart, due, self.catch_at(), self.report_at()].into_iter().flatten().min()
+        let report = (!self.no_writer_reported).then(|| self.last_writer_contact() + self.plan.patience);
+        let due = self.schedule.first().map(|(at, _)| *at);
+        [role, report, due, self.catch_up_at(), self.report_at()].into_iter().flatten().min()
     }
 
     /// The state to restore at the next start.
@@ -286,7 +292,7 @@
     /// The epoch in which this machine is the writer, if it is.
     pub fn writes(&self) -> Option<u32> {
         match &self.role {
-            Role::Writes(writing) => Some(writing.epoch),
+            Role::Writer(state) => Some(state.epoch),
             _ => None,
         }
     }
@@ -294,11 +300,11 @@
     /// The writer, if it was heard from within the plan's `patience`.
     pub fn writer(&self, now: Tenths) -> Option<&Name> {
         match &self.role {
-            Role::Writes(_) => Some(&self.me),
+            Role::Writer(_) => Some(&self.me),
             _ => {
                 let recent =
                     |heard: &&(Name, u32, Tenths)| heard.0 != self.me && now - heard.2 < self.plan.patience;
-                self.heard.as_ref().filter(recent).map(|(name, ..)| name)
+                self.last_writer.as_ref().filter(recent).map(|(name, ..)| name)
             }
         }
     }
@@ -313,7 +319,7 @@
         &self.ledger
     }
 
-    fn keeps(&self) -> bool {
+    fn is_keeper(&self) -> bool {
         self.keepers.contains(&self.me)
     }
 
@@ -326,30 +332,30 @@
     }
 
     /// When a writer was last heard from; for the writer itself, when a majority of keepers last followed it.
-    fn touched(&self) -> Tenths {
-        match (&self.role, &self.heard) {
-            (Role::Writes(writing), _) => writing.followed,
+    fn last_writer_contact(&self) -> Tenths {
+        match (&self.role, &self.last_writer) {
+            (Role::Writer(state), _) => state.last_majority_at,
             (_, Some((.., at))) => *at,
-            (_, None) => self.began,
+            (_, None) => self.started_at,
         }
     }
 
     /// Whether there is no contact with a writer, so that this machine may be out of date.
-    fn apart(&self, now: Tenths) -> bool {
-        let never = self.heard.is_none() && !matches!(self.role, Role::Writes(_));
-        never || now - self.touched() >= self.plan.patience
+    fn lacks_writer(&self, now: Tenths) -> bool {
+        let never = self.last_writer.is_none() && !matches!(self.role, Role::Writer(_));
+        never || now - self.last_writer_contact() >= self.plan.patience
     }
 
     /// Handles the loss of contact with the writer, once the plan's `patience` is over.
-    fn look(&mut self, now: Tenths) {
-        if !self.apart_told && now - self.touched() >= self.plan.patience {
-            self.apart_told = true;
-            let since = self.touched();
-            self.tell(Event::Apart(since));
+    fn check_writer_contact(&mut self, now: Tenths) {
+        if !self.no_writer_reported && now - self.last_writer_contact() >= self.plan.patience {
+            self.no_writer_reported = true;
+            let since = self.last_writer_contact();
+            self.notify(Event::Apart(since));
         }
     }
 
-    fn keep(&mut self, record: Record) {
+    fn persist(&mut self, record: Record) {
         self.kept.take(&record, &self.plan);
         self.orders.push_back(Order::Keep(record));
     }
@@ -358,25 +364,25 @@
         self.orders.push_back(Order::Send { to: to.clone(), message });
     }
 
-    fn tell(&mut self, event: Event) {
+    fn notify(&mut self, event: Event) {
         self.orders.push_back(Order::Tell(event));
     }
 
     /// Reports the loss of contact with the writer, once the plan's `patience` is over.
     fn release(&mut self, now: Tenths, record: Record) {
         let before = self.kept.version();
-        self.keep(record);
+        self.persist(record);
         if self.kept.version() > before {
-            self.tell(Event::Released(self.kept.version()));
-            self.feed_all(now);
+            self.notify(Event::Released(self.kept.version()));
+            self.schedule_all(now);
         }
     }
 
-    fn chance_below(&mut self, most: usize) -> usize {
-        self.chance.generate_range(0..most)
+    fn random_below(&mut self, most: usize) -> usize {
+        self.rng.generate_range(0..most)
     }
 
-    fn between(&mut self, least: Tenths, most: Tenths) -> Tenths {
-        least + self.chance.generate_range(0..(most - least).max(1) as u64) as Tenths
+    fn random_between(&mut self, least: Tenths, most: Tenths) -> Tenths {
+        least + self.rng.generate_range(0..(most - least).max(1) as u64) as Tenths
     }
 }
--- a/crates/configuration/src/machine/vote.rs
+++ b/crates/configuration/src/machine/vote.rs
@@ -7,15 +7,15 @@
 use crate::{Change, Message, Name, Tenths, Version, replica};
 
 /// The state of a keeper that is a candidate for writer.
-pub(super) struct Standing {
+pub(super) struct Candidacy {
     epoch: u32,
     trial: bool,
     founding: bool,
     pub(super) until: Tenths,
-    answers: BTreeMap<Name, Answer>,
+    votes: BTreeMap<Name, Vote>,
 }
 
-struct Answer {
+struct Vote {
     granted: bool,
     held: Version,
     fresh: bool,
@@ -24,41 +24,41 @@
 impl Machine {
     /// Restarts the election timeout. It leaves the writer time to make contact, and is random so that the keepers do
     /// not all become candidates at once.
-    pub(super) fn put_off_standing(&mut self, now: Tenths) {
-        let wait = self.between(self.plan.stand, 2 * self.plan.stand);
-        self.stand_at = now + wait;
+    pub(super) fn reset_election_timer(&mut self, now: Tenths) {
+        let wait = self.random_between(self.plan.stand, 2 * self.plan.stand);
+        self.election_at = now + wait;
     }
 
     /// Starts an election when no writer was heard within the timeout, and ends an election that has timed out.
-    pub(super) fn stand(&mut self, now: Tenths) {
+    pub(super) fn run_election(&mut self, now: Tenths) {
         match &self.role {
-            Role::Follows if self.keeps() && now >= self.stand_at => {
+            Role::Follower if self.is_keeper() && now >= self.election_at => {
                 // A keeper that was partitioned would raise the epoch again and again, and depose a working writer on
                 // its return. So it first runs a trial ballot, which only asks whether votes would be granted.
-                self.ask_votes(now, true, false);
+                self.request_votes(now, true, false);
             }
-            Role::Stands(standing) if now >= standing.until => {
-                self.role = Role::Follows;
-                self.put_off_standing(now);
+            Role::Candidate(candidacy) if now >= candidacy.until => {
+                self.role = Role::Follower;
+                self.reset_election_timer(now);
             }
             _ => {}
         }
     }
 
-    fn ask_votes(&mut self, now: Tenths, trial: bool, founding: bool) {
-        let epoch = self.seen.max(self.kept.promised).saturating_add(1);
+    fn request_votes(&mut self, now: Tenths, trial: bool, founding: bool) {
+        let epoch = self.highest_epoch.max(self.kept.promised).saturating_add(1);
         if !trial {
-            self.keep(Record::Promised(epoch));
-            self.seen = epoch;
+            self.persist(Record::Promised(epoch));
+            self.highest_epoch = epoch;
             if founding && self.kept.fresh {
                 self.settle();
             }
         }
         let held = self.kept.held();
-        let own = Answer { granted: !self.kept.fresh, held, fresh: self.kept.fresh };
-        let answers = BTreeMap::from([(self.me.clone(), own)]);
+        let own = Vote { granted: !self.kept.fresh, held, fresh: self.kept.fresh };
+        let votes = BTreeMap::from([(self.me.clone(), own)]);
         let until = now + self.plan.patience / 3;
-        self.role = Role::Stands(Standing { epoch, trial, founding, until, answers });
+        self.role = Role::Candidate(Candidacy { epoch, trial, founding, until, votes });
         for keeper in self.other_keepers() {
             self.send(&keeper, Message::Prepare { epoch, held, trial, founding });
         }
@@ -66,12 +66,12 @@
     }
 
     pub(super) fn settle(&mut self) {
-        self.keep(Record::Settled);
-        self.tell(Event::Settled);
+        self.persist(Record::Settled);
+        self.notify(Event::Settled);
     }
 
     /// Handles another keeper's request for a vote.
-    pub(super) fn prepare(
+    pub(super) fn handle_prepare(
         &mut self,
         now: Tenths,
         from: &Name,
@@ -80,32 +80,35 @@
         trial: bool,
         founding: bool,
     ) {
-        if !self.keeps() || !self.keepers.contains(from) {
+        if !self.is_keeper() || !self.keepers.contains(from) {
             return;
         }
-        self.seen = self.seen.max(epoch.min(self.seen.saturating_add(1_000)));
+        self.highest_epoch = self.highest_epoch.max(epoch.min(self.highest_epoch.saturating_add(1_000)));
         let own = self.kept.held();
-        let writes = matches!(self.role, Role::Writes(_));
+        let writes = matches!(self.role, Role::Writer(_));
         let followed = writes
-            || self.heard.as_ref().is_some_and(|(name, _, at)| name != from && now - at < self.plan.stand);
+            || self
+                .last_writer
+                .as_ref()
+                .is_some_and(|(name, _, at)| name != from && now - at < self.plan.stand);
         // A keeper that lost its disk could break an earlier promise.
         let counts = !self.kept.fresh || (founding && own == Version::NONE);
         // A writer that lacks a change which a majority holds would undo that change.
         let granted = epoch > self.kept.promised && held >= own && counts && !followed;
         if granted && !trial {
-            self.keep(Record::Promised(epoch));
+            self.persist(Record::Promised(epoch));
             if self.kept.fresh {
                 self.settle();
             }
-            self.role = Role::Follows;
-            self.put_off_standing(now);
+            self.role = Role::Follower;
+            self.reset_election_timer(now);
         }
         let (promised, fresh) = (self.kept.promised, self.kept.fresh);
         self.send(from, Message::Promised { epoch, trial, granted, promised, held: own, fresh });
     }
 
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn promised(
+    pub(super) fn handle_promised(
         &mut self,
         now: Tenths,
         from: &Name,
@@ -115,91 +118,91 @@
         held: Version,
         fresh: bool,
     ) {
-        self.seen = self.seen.max(promised);
+        self.highest_epoch = self.highest_epoch.max(promised);
         if !self.keepers.contains(from) {
             return;
         }
-        let Role::Stands(standing) = &mut self.role else { return };
-        if (standing.epoch, standing.trial) == (epoch, trial) {
-            standing.answers.insert(from.clone(), Answer { granted, held, fresh });
+        let Role::Candidate(candidacy) = &mut self.role else { return };
+        if (candidacy.epoch, candidacy.trial) == (epoch, trial) {
+            candidacy.votes.insert(from.clone(), Vote { granted, held, fresh });
             self.count_votes(now);
         }
     }
 
     fn count_votes(&mut self, now: Tenths) {
-        let Role::Stands(standing) = &self.role else { return };
-        let granted = standing.answers.values().filter(|answer| answer.granted && !answer.fresh).count();
-        let empty = standing.answers.values().filter(|answer| answer.held == Version::NONE).count();
-        let (trial, epoch, founding) = (standing.trial, standing.epoch, standing.founding);
+        let Role::Candidate(candidacy) = &self.role else { return };
+        let granted = candidacy.votes.values().filter(|vote| vote.granted && !vote.fresh).count();
+        let empty = candidacy.votes.values().filter(|vote| vote.held == Version::NONE).count();
+        let (trial, epoch, founding) = (candidacy.trial, candidacy.epoch, candidacy.founding);
         // Keepers that lost their disks could found a second, empty fleet. So founding needs an answer from all
         // keepers, and none of them may hold anything.
         let founds = empty == self.keepers.len();
         // A candidate that lost its disk would write without the changes that it had acknowledged.
         let wins = granted >= self.majority() && !self.kept.fresh;
         match trial {
-            true if wins => self.ask_votes(now, false, founding),
-            true if founds => self.ask_votes(now, false, true),
-            false if wins => self.begin_writing(now, epoch),
+            true if wins => self.request_votes(now, false, founding),
+            true if founds => self.request_votes(now, false, true),
+            false if wins => self.become_writer(now, epoch),
             _ => {}
         }
     }
 
     /// Handles a round of the writer: its epoch, the released version, and the changes to hold.
-    pub(super) fn accept(&mut self, now: Tenths, from: &Name, message: Message) {
+    pub(super) fn handle_accept(&mut self, now: Tenths, from: &Name, message: Message) {
         let Message::Accept { epoch, round, released, tail, judged, mark, sure } = message else { return };
-        let known = self.heard.as_ref().map_or(0, |(_, epoch, _)| *epoch).max(self.kept.promised);
+        let known = self.last_writer.as_ref().map_or(0, |(_, epoch, _)| *epoch).max(self.kept.promised);
         // Rejects a deposed writer that comes back, or whose message was delayed.
         if epoch < known || self.writes().is_some_and(|own| epoch <= own) {
-            return self.answer(from, known.max(self.writes().unwrap_or(0)), round);
+            return self.send_accepted(from, known.max(self.writes().unwrap_or(0)), round);
         }
-        self.follow(now, from, epoch);
-        if self.keeps() && epoch > self.kept.promised {
-            self.keep(Record::Promised(epoch));
+        self.follow_writer(now, from, epoch);
+        if self.is_keeper() && epoch > self.kept.promised {
+            self.persist(Record::Promised(epoch));
         }
         self.judged = self.judged.max(judged);
-        self.learn_released(now, released);
-        if self.keeps() {
-            self.hold(released, tail);
+        self.advance_released(now, released);
+        if self.is_keeper() {
+            self.hold_unreleased(released, tail);
         }
-        self.sure_of(now, mark, sure, released);
-        self.answer(from, epoch, round);
+        self.handle_confirmation(now, mark, sure, released);
+        self.send_accepted(from, epoch, round);
     }
 
-    fn answer(&mut self, to: &Name, epoch: u32, round: u64) {
+    fn send_accepted(&mut self, to: &Name, epoch: u32, round: u64) {
         let (held, released, fresh) = (self.kept.held(), self.kept.version(), self.kept.fresh);
         self.send(to, Message::Accepted { epoch, round, held, released, fresh });
     }
 
-    fn follow(&mut self, now: Tenths, from: &Name, epoch: u32) {
+    fn follow_writer(&mut self, now: Tenths, from: &Name, epoch: u32) {
         if self.writes().is_some() {
-            self.stop_writing(now);
+            self.step_down(now);
         }
-        self.role = Role::Follows;
-        self.seen = self.seen.max(epoch);
-        if self.heard.as_ref().is_none_or(|(name, old, _)| (name, *old) != (from, epoch)) {
-            self.reports.afresh(now);
+        self.role = Role::Follower;
+        self.highest_epoch = self.highest_epoch.max(epoch);
+        if self.last_writer.as_ref().is_none_or(|(name, old, _)| (name, *old) != (from, epoch)) {
+            self.reports.reset_for_new_writer(now);
         }
-        self.heard = Some((from.clone(), epoch, now));
-        if std::mem::take(&mut self.apart_told) {
-            self.tell(Event::Joined(from.clone()));
+        self.last_writer = Some((from.clone(), epoch, now));
+        if std::mem::take(&mut self.no_writer_reported) {
+            self.notify(Event::Joined(from.clone()));
         }
-        if self.keeps() {
-            self.put_off_standing(now);
+        if self.is_keeper() {
+            self.reset_election_timer(now);
         }
     }
 
     /// Releases the held changes up to this version. What this machine does not hold has to be fetched.
-    fn learn_released(&mut self, now: Tenths, released: Version) {
+    fn advance_released(&mut self, now: Tenths, released: Version) {
         if let Some(at) = self.kept.tail.iter().position(|change| change.version == released) {
             let changes = self.kept.tail[..=at].to_vec();
             self.release(now, Record::Released(changes));
         }
-        self.catch.wanted = self.catch.wanted.max(released);
+        self.catch_up.target = self.catch_up.target.max(released);
     }
 
     /// As a keeper, holds the changes that follow the released version. This keeper may know of a later released
     /// version than the writer does.
-    fn hold(&mut self, released: Version, mut tail: Vec<Change>) {
+    fn hold_unreleased(&mut self, released: Version, mut tail: Vec<Change>) {
         if self.kept.version() != released {
             let known = tail.iter().position(|change| change.version == self.kept.version());
             let Some(at) = known else { return };
@@ -214,11 +217,11 @@
         let mut version = self.kept.version();
         let mut document = self.kept.document().clone();
         for change in &tail {
-            match replica::after(version, &document, change) {
+            match replica::apply(version, &document, change) {
                 Ok(next) => (version, document) = (change.version, next),
-                Err(bad) => return self.tell(Event::Broken(change.version, bad)),
+                Err(bad) => return self.notify(Event::Broken(change.version, bad)),
             }
         }
-        self.keep(Record::Held(tail));
+        self.persist(Record::Held(tail));
     }
 }
--- a/crates/configuration/src/parts.rs
+++ b/crates/configuration/src/parts.rs
@@ -6,21 +6,21 @@
 use crate::{Tenths, Version};
 
 /// Size of one part in bytes: eight parts per second fit the bandwidth that a router has for control traffic.
-pub(crate) const PART: usize = 512;
+pub(crate) const PART_BYTES: usize = 512;
 /// Maximum size of all parts together, compressed.
-const PARTS_MOST: usize = 2 * DOCUMENT_MOST;
+const MAX_PARTS_BYTES: usize = 2 * DOCUMENT_MOST;
 
 /// What the parts contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Of {
-    Whole,
+pub(crate) enum PartKind {
+    Snapshot,
     Changes,
 }
 
 /// Compressed data that is sent in parts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Packed {
-    pub(crate) of: Of,
+    pub(crate) kind: PartKind,
     /// The version that the data leads to.
     pub(crate) version: Version,
     pub(crate) published: Tenths,
@@ -29,19 +29,19 @@
 
 impl Packed {
     pub(crate) fn parts(&self) -> u16 {
-        self.bytes.len().div_ceil(PART).max(1) as u16
+        self.bytes.len().div_ceil(PART_BYTES).max(1) as u16
     }
 
     pub(crate) fn part(&self, number: u16) -> Vec<u8> {
-        let from = usize::from(number) * PART;
-        self.bytes.get(from..self.bytes.len().min(from + PART)).unwrap_or_default().to_vec()
+        let from = usize::from(number) * PART_BYTES;
+        self.bytes.get(from..self.bytes.len().min(from + PART_BYTES)).unwrap_or_default().to_vec()
     }
 }
 
 /// One part, as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Part {
-    pub(crate) kind: Of,
+    pub(crate) kind: PartKind,
     pub(crate) version: Version,
     pub(crate) part: u16,
     pub(crate) of: u16,
@@ -51,8 +51,8 @@
 /// The parts received so far of the most recently begun snapshot or run of changes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Parts {
-    of: Option<(Of, Version, u16)>,
-    came: BTreeMap<u16, Vec<u8>>,
+    of: Option<(PartKind, Version, u16)>,
+    received: BTreeMap<u16, Vec<u8>>,
     bytes: usize,
 }
 
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     /// [`Bad::Bytes`] if there are too many bytes; all parts received so far are dropped.
-    pub(crate) fn take(&mut self, part: Part) -> Result<Option<Vec<u8>>, Bad> {
+    pub(crate) fn add(&mut self, part: Part) -> Result<Option<Vec<u8>>, Bad> {
         let of = (part.kind, part.version, part.of);
         if part.part >= part.of {
             return Ok(None);
@@ -69,19 +69,19 @@
         if self.of != Some(of) {
             *self = Parts { of: Some(of), ..Parts::default() };
         }
-        if !self.came.contains_key(&part.part) {
+        if !self.received.contains_key(&part.part) {
             self.bytes += part.bytes.len();
-            self.came.insert(part.part, part.bytes);
+            self.received.insert(part.part, part.bytes);
         }
-        if self.bytes > PARTS_MOST {
+        if self.bytes > MAX_PARTS_BYTES {
             let bytes = self.bytes;
             *self = Parts::default();
             return Err(Bad::Bytes(bytes));
         }
-        if self.came.len() < usize::from(part.of) {
+        if self.received.len() < usize::from(part.of) {
             return Ok(None);
         }
-        let bytes = self.came.values().flatten().copied().collect();
+        let bytes = self.received.values().flatten().copied().collect();
         *self = Parts::default();
         Ok(Some(bytes))
     }
--- a/crates/configuration/src/replica.rs
+++ b/crates/configuration/src/replica.rs
@@ -2,7 +2,7 @@
 //! all.
 
 use crate::document::{Bad, Document};
-use crate::parts::{Of, Part, Parts};
+use crate::parts::{Part, PartKind, Parts};
 use crate::{Change, Version, whole};
 
 /// The version and document held, and the parts received so far.
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 /// [`Bad`]: the base version, the order, the digest or a bound is wrong.
-pub(crate) fn after(version: Version, document: &Document, change: &Change) -> Result<Document, Bad> {
+pub(crate) fn apply(version: Version, document: &Document, change: &Change) -> Result<Document, Bad> {
     if change.after != version {
         return Err(Bad::Base { held: version, after: change.after });
     }
@@ -42,13 +42,13 @@
     ///
     /// # Errors
     /// The version of the first change that does not apply, and why; the changes before it are applied.
-    pub(crate) fn take(&mut self, changes: &[Change]) -> Result<(), (Version, Bad)> {
+    pub(crate) fn apply(&mut self, changes: &[Change]) -> Result<(), (Version, Bad)> {
         for change in changes {
             // A duplicated or delayed change would take the replica back.
             if change.version <= self.version {
                 continue;
             }
-            let next = after(self.version, &self.document, change).map_err(|bad| (change.version, bad))?;
+            let next = apply(self.version, &self.document, change).map_err(|bad| (change.version, bad))?;
             (self.version, self.document) = (change.version, next);
         }
         Ok(())
@@ -59,17 +59,17 @@
     /// # Errors
     /// A snapshot that cannot be used is not applied. Of a run of changes, those before the first invalid one are
     /// applied.
-    pub(crate) fn part(&mut self, part: Part) -> Result<(), (Version, Bad)> {
+    pub(crate) fn add_part(&mut self, part: Part) -> Result<(), (Version, Bad)> {
         // A late snapshot would take the replica back.
         if part.version <= self.version {
             return Ok(());
         }
         let (kind, version) = (part.kind, part.version);
         let named = |bad| (version, bad);
-        let Some(bytes) = self.parts.take(part).map_err(named)? else { return Ok(()) };
+        let Some(bytes) = self.parts.add(part).map_err(named)? else { return Ok(()) };
         match kind {
-            Of::Changes => self.take(&whole::unpack_changes(&bytes).map_err(named)?),
-            Of::Whole => {
+            PartKind::Changes => self.apply(&whole::unpack_changes(&bytes).map_err(named)?),
+            PartKind::Snapshot => {
                 let (found, _, document) = whole::unpack(&bytes).map_err(named)?;
                 if found != version {
                     return Err(named(Bad::Copy));
--- a/crates/configuration/src/subscriber.rs
+++ b/crates/configuration/src/subscriber.rs
@@ -8,14 +8,14 @@
 use nanorand::{Rng, WyRand};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use crate::parts::{Of, Part};
+use crate::parts::{Part, PartKind};
 use crate::replica::Replica;
 use crate::wire::WHY_MOST;
 use crate::{BadPlan, Document, Message, Name, Plan, Tenths, Version};
-use link::{Link, answers};
+use link::{Link, answered_turn};
 
 /// Maximum number of notices that wait for the host; at the bound the oldest is dropped.
-const MOST_NOTICES: usize = 64;
+const MAX_NOTICES: usize = 64;
 
 /// What the host has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -85,36 +85,36 @@
     turn: u32,
     /// All control machines, in order of preference.
     machines: Vec<Name>,
-    chance: WyRand,
+    rng: WyRand,
     replica: Replica,
     /// Handed to the host, which has not answered yet.
     applying: Option<Version>,
     in_force: Version,
     refused: Option<(Version, String)>,
     /// The next ask requests a snapshot.
-    whole: bool,
+    need_snapshot: bool,
     /// The snapshot of this version could not be used. No further snapshot is requested until there is a later version.
-    spoilt: Version,
+    unusable_snapshot: Version,
     link: Option<Link>,
     /// Machines that are not to be asked before the given time.
-    away: BTreeMap<Name, Tenths>,
-    next_ask: Tenths,
+    avoid_until: BTreeMap<Name, Tenths>,
+    next_ask_at: Tenths,
     /// Consecutive asks that failed.
-    fails: u32,
+    failed_asks: u32,
     /// Consecutive moves away from machines without contact to a writer.
-    roams: u32,
-    home: Tenths,
-    next_say: Tenths,
+    isolated_moves: u32,
+    next_home_at: Tenths,
+    next_status_at: Tenths,
     /// When a machine in contact with a writer was last heard from.
-    touched: Tenths,
-    silent: Option<Tenths>,
-    silence_told: bool,
-    began: Tenths,
-    kept: bool,
+    last_contact: Tenths,
+    no_contact_since: Option<Tenths>,
+    no_contact_reported: bool,
+    started_at: Tenths,
+    has_persisted: bool,
     floor: Option<Version>,
     serving: bool,
     notices: VecDeque<Notice>,
-    bye: Option<(Name, Message)>,
+    pending_bye: Option<(Name, Message)>,
 }
 
 impl Subscriber {
@@ -137,9 +137,9 @@
         if machines.is_empty() {
             return Err(BadPlan { what: "machines", expected: "at least one" });
         }
-        let mut chance = WyRand::new_seed(seed);
-        let next_ask = now + between(&mut chance, 0, plan.spread);
-        let home = now + between(&mut chance, plan.home, 2 * plan.home);
+        let mut rng = WyRand::new_seed(seed);
+        let next_ask_at = now + between(&mut rng, 0, plan.spread);
+        let next_home_at = now + between(&mut rng, plan.home, 2 * plan.home);
         let has_kept = kept.is_some();
         let (version, document) = kept.unwrap_or_default();
         let mut subscriber = Subscriber {
@@ -148,29 +148,29 @@
             start,
             turn: 0,
             machines,
-            chance,
+            rng,
             replica: Replica::new(version, document),
             applying: None,
             in_force: Version::NONE,
             refused: None,
-            whole: false,
-            spoilt: Version::NONE,
+            need_snapshot: false,
+            unusable_snapshot: Version::NONE,
             link: None,
-            away: BTreeMap::new(),
-            next_ask,
-            fails: 0,
-            roams: 0,
-            home,
-            next_say: now,
-            touched: now,
-            silent: Some(now),
-            silence_told: false,
-            began: now,
-            kept: has_kept,
+            avoid_until: BTreeMap::new(),
+            next_ask_at,
+            failed_asks: 0,
+            isolated_moves: 0,
+            next_home_at,
+            next_status_at: now,
+            last_contact: now,
+            no_contact_since: Some(now),
+            no_contact_reported: false,
+            started_at: now,
+            has_persisted: has_kept,
             floor: None,
             serving: false,
             notices: VecDeque::new(),
-            bye: None,
+            pending_bye: None,
         };
         subscriber.prefer(&[]);
         Ok(subscriber)
@@ -179,8 +179,8 @@
     /// Machines in the router's own zone or region, which are to be tried first.
     pub fn prefer(&mut self, near: &[Name]) {
         let seed = xxh3_64(self.me.as_str().as_bytes());
-        let drawn = |machine: &Name| xxh3_64_with_seed(machine.as_str().as_bytes(), seed);
-        self.machines.sort_by_key(|machine| (!near.contains(machine), drawn(machine), machine.clone()));
+        let preference = |machine: &Name| xxh3_64_with_seed(machine.as_str().as_bytes(), seed);
+        self.machines.sort_by_key(|machine| (!near.contains(machine), preference(machine), machine.clone()));
         self.machines.dedup();
     }
 
@@ -189,27 +189,27 @@
         let turn = self.turn;
         let Some(link) = self.link.as_mut().filter(|link| link.machine == *from) else { return };
         // What a machine sent for an earlier ask or an earlier start does not continue from the version held.
-        if answers(&message) != Some(turn) {
+        if answered_turn(&message) != Some(turn) {
             return;
         }
-        link.heard = Some(now);
+        link.last_heard = Some(now);
         match message {
-            Message::Changes { changes, .. } => self.take(now, |replica| replica.take(&changes)),
+            Message::Changes { changes, .. } => self.apply_received(now, |replica| replica.apply(&changes)),
             Message::Long { version, part, of, bytes, .. } => {
-                let part = Part { kind: Of::Changes, version, part, of, bytes };
-                self.take(now, |replica| replica.part(part));
+                let part = Part { kind: PartKind::Changes, version, part, of, bytes };
+                self.apply_received(now, |replica| replica.add_part(part));
             }
             Message::Whole { version, part, of, bytes, .. } => {
                 if part == 0 && self.replica.version != Version::NONE {
-                    self.tell(Notice::BaseGone { holds: self.replica.version });
+                    self.notify(Notice::BaseGone { holds: self.replica.version });
                 }
-                let part = Part { kind: Of::Whole, version, part, of, bytes };
-                self.take_whole(now, part);
+                let part = Part { kind: PartKind::Snapshot, version, part, of, bytes };
+                self.apply_snapshot_part(now, part);
             }
-            Message::Beat { version, floor, apart, .. } => self.beat(now, version, floor, apart),
+            Message::Beat { version, floor, apart, .. } => self.handle_beat(now, version, floor, apart),
             Message::Away { wait, .. } => {
                 let until = now + wait.clamp(0, self.plan.pause);
-                self.fail(now, until);
+                self.abandon_machine(now, until);
             }
             _ => {}
         }
@@ -218,7 +218,7 @@
     /// The stream to a machine broke, or the machine cannot be reached.
     pub fn broken(&mut self, now: Tenths, machine: &Name) {
         if self.link.as_ref().is_some_and(|link| link.machine == *machine) {
-            self.fail(now, now + self.plan.patience);
+            self.abandon_machine(now, now + self.plan.patience);
         }
     }
 
@@ -230,7 +230,7 @@
         self.applying = None;
         self.in_force = self.in_force.max(version);
         self.refused = self.refused.take().filter(|(refused, _)| *refused > version);
-        self.next_say = now;
+        self.next_status_at = now;
     }
 
     /// The host refuses this version; the previous one stays in force.
@@ -244,32 +244,38 @@
 
     /// The next decision for the host, or `None` if there is nothing left to do.
     pub fn next_decision(&mut self, now: Tenths) -> Option<Decision> {
-        self.look(now);
+        self.check_timers(now);
         if let Some(notice) = self.notices.pop_front() {
             return Some(Decision::Tell(notice));
         }
         if let Some(apply) = self.next_apply() {
             return Some(apply);
         }
-        let send = self.bye.take().or_else(|| self.next_ask(now)).or_else(|| self.next_say(now));
+        let send = self.pending_bye.take().or_else(|| self.next_ask(now)).or_else(|| self.next_status(now));
         send.map(|(to, message)| Decision::Send { to, message })
     }
 
     /// When to call `next_decision` again if nothing arrives before.
     pub fn wake_at(&self) -> Option<Tenths> {
         let mut at = match &self.link {
-            None => self.next_ask,
+            None => self.next_ask_at,
             Some(link) => {
-                let linked = [Some(self.leave_at(link)), link.again, link.roam, Some(self.next_say)];
-                let home = (self.machines.first() != Some(&link.machine)).then_some(self.home);
-                linked.into_iter().chain([home]).flatten().min().unwrap_or(self.next_say)
+                let linked = [
+                    Some(self.silence_deadline(link)),
+                    link.retry_at,
+                    link.leave_isolated_at,
+                    Some(self.next_status_at),
+                ];
+                let next_home_at =
+                    (self.machines.first() != Some(&link.machine)).then_some(self.next_home_at);
+                linked.into_iter().chain([next_home_at]).flatten().min().unwrap_or(self.next_status_at)
             }
         };
-        if !self.silence_told {
-            at = at.min(self.touched + self.plan.patience);
+        if !self.no_contact_reported {
+            at = at.min(self.last_contact + self.plan.patience);
         }
-        if !self.serving && self.kept && self.floor.is_none() && self.in_force > Version::NONE {
-            at = at.min(self.began + self.plan.start_wait);
+        if !self.serving && self.has_persisted && self.floor.is_none() && self.in_force > Version::NONE {
+            at = at.min(self.started_at + self.plan.start_wait);
         }
         Some(at)
     }
@@ -286,12 +292,12 @@
 
     /// The time since which no machine in contact with a writer was heard from; `None` while one is.
     pub fn silent_since(&self) -> Option<Tenths> {
-        self.silent
+        self.no_contact_since
     }
 
     /// The machine that serves the router, once it has answered.
     pub fn served_by(&self) -> Option<&Name> {
-        self.link.as_ref().filter(|link| link.heard.is_some()).map(|link| &link.machine)
+        self.link.as_ref().filter(|link| link.last_heard.is_some()).map(|link| &link.machine)
     }
 
     /// Whether the router may serve. It may once the version in force is at least the one that it had in force before
@@ -310,40 +316,40 @@
             // A router whose disk was lost or restored from an old copy would otherwise serve under a version that the
             // fleet has left.
             Some(floor) => (self.in_force >= floor).then_some(false),
-            None => (self.kept && now - self.began >= self.plan.start_wait).then_some(true),
+            None => (self.has_persisted && now - self.started_at >= self.plan.start_wait).then_some(true),
         }
     }
 
     /// Handles what is due by time alone: serving, loss of contact, and moves to another machine.
-    fn look(&mut self, now: Tenths) {
+    fn check_timers(&mut self, now: Tenths) {
         if !self.serving
             && let Some(unsure) = self.serves(now)
         {
             self.serving = true;
-            self.tell(Notice::Serving { version: self.in_force, unsure });
+            self.notify(Notice::Serving { version: self.in_force, unsure });
         }
-        if !self.silence_told && now - self.touched >= self.plan.patience {
-            self.silence_told = true;
-            self.silent = Some(self.touched);
-            self.tell(Notice::Silent { since: self.touched });
+        if !self.no_contact_reported && now - self.last_contact >= self.plan.patience {
+            self.no_contact_reported = true;
+            self.no_contact_since = Some(self.last_contact);
+            self.notify(Notice::Silent { since: self.last_contact });
         }
         let Some(link) = &self.link else { return };
-        if now >= self.leave_at(link) {
+        if now >= self.silence_deadline(link) {
             // A suspended machine keeps its streams open but sends nothing.
-            self.leave();
-            self.fail(now, now + 2 * self.plan.patience);
-        } else if link.roam.is_some_and(|at| now >= at) {
-            self.roam(now);
-        } else if now >= self.home {
-            self.go_home(now);
+            self.queue_bye();
+            self.abandon_machine(now, now + 2 * self.plan.patience);
+        } else if link.leave_isolated_at.is_some_and(|at| now >= at) {
+            self.leave_isolated(now);
+        } else if now >= self.next_home_at {
+            self.return_to_preferred(now);
         }
     }
 
     /// When the machine counts as silent.
-    fn leave_at(&self, link: &Link) -> Tenths {
-        match link.heard {
+    fn silence_deadline(&self, link: &Link) -> Tenths {
+        match link.last_heard {
             Some(heard) => heard + self.plan.patience,
-            None => link.asked + self.plan.patience / 3,
+            None => link.asked_at + self.plan.patience / 3,
         }
     }
 
@@ -360,19 +366,19 @@
     fn refuse(&mut self, now: Tenths, version: Version, mut why: String) {
         let cut = (0..=WHY_MOST.min(why.len())).rev().find(|at| why.is_char_boundary(*at));
         why.truncate(cut.unwrap_or(0));
-        self.tell(Notice::Refused { version, why: why.clone() });
+        self.notify(Notice::Refused { version, why: why.clone() });
         self.refused = Some((version, why));
-        self.next_say = now;
+        self.next_status_at = now;
     }
 
-    fn tell(&mut self, notice: Notice) {
-        if self.notices.len() == MOST_NOTICES {
+    fn notify(&mut self, notice: Notice) {
+        if self.notices.len() == MAX_NOTICES {
             self.notices.pop_front();
         }
         self.notices.push_back(notice);
     }
 }
 
-fn between(chance: &mut WyRand, least: Tenths, most: Tenths) -> Tenths {
-    least + chance.generate_range(0..(most - least).max(1) as u64) as Tenths
+fn between(rng: &mut WyRand, least: Tenths, most: Tenths) -> Tenths {
+    least + rng.generate_range(0..(most - least).max(1) as u64) as Tenths
 }
--- a/crates/configuration/src/whole.rs
+++ b/crates/configuration/src/whole.rs
@@ -10,9 +10,9 @@
 use crate::{Change, Tenths, Version};
 
 /// Compression level. A snapshot that is sent 2,100 times is compressed once.
-const LEVEL: i32 = 9;
+const COMPRESSION_LEVEL: i32 = 9;
 /// Maximum size after decompression: twice a document at its bounds, because changes have their own framing.
-const UNPACKED_MOST: u64 = (2 * DOCUMENT_MOST + 8 * NAMES_MOST + 64) as u64;
+const MAX_UNPACKED_BYTES: u64 = (2 * DOCUMENT_MOST + 8 * NAMES_MOST + 64) as u64;
 
 #[derive(Serialize, Deserialize)]
 struct Frame {
@@ -27,7 +27,7 @@
     let names = document.clone().into_map();
     let frame = Frame { version, published, digest: document.digest(), names };
     let plain = postcard::to_stdvec(&frame).unwrap_or_default();
-    zstd::bulk::compress(&plain, LEVEL).unwrap_or_default()
+    zstd::bulk::compress(&plain, COMPRESSION_LEVEL).unwrap_or_default()
 }
 
 /// Decompresses a document, with its version and the time when it was published.
@@ -35,7 +35,7 @@
 /// # Errors
 /// [`Bad`]: the bytes cannot be decoded, or the digest or a bound is wrong.
 pub fn unpack(bytes: &[u8]) -> Result<(Version, Tenths, Document), Bad> {
-    let plain = unpacked(bytes)?;
+    let plain = decompress(bytes)?;
     let frame: Frame = postcard::from_bytes(&plain).map_err(|_| Bad::Copy)?;
     let document = Document::from(frame.names)?;
     match document.digest() {
@@ -47,19 +47,19 @@
 /// Compresses changes.
 pub(crate) fn pack_changes(changes: &[Change]) -> Vec<u8> {
     let plain = postcard::to_stdvec(changes).unwrap_or_default();
-    zstd::bulk::compress(&plain, LEVEL).unwrap_or_default()
+    zstd::bulk::compress(&plain, COMPRESSION_LEVEL).unwrap_or_default()
 }
 
 /// # Errors
 /// [`Bad`]: the bytes cannot be decoded, or there are too many.
 pub(crate) fn unpack_changes(bytes: &[u8]) -> Result<Vec<Change>, Bad> {
-    postcard::from_bytes(&unpacked(bytes)?).map_err(|_| Bad::Copy)
+    postcard::from_bytes(&decompress(bytes)?).map_err(|_| Bad::Copy)
 }
 
-fn unpacked(bytes: &[u8]) -> Result<Vec<u8>, Bad> {
+fn decompress(bytes: &[u8]) -> Result<Vec<u8>, Bad> {
     // Limits the output: a few bytes can decompress to gigabytes.
     let mut plain = Vec::new();
     let unpacking = zstd::Decoder::new(bytes).map_err(|_| Bad::Copy)?;
-    unpacking.take(UNPACKED_MOST + 1).read_to_end(&mut plain).map_err(|_| Bad::Copy)?;
-    if plain.len() as u64 > UNPACKED_MOST { Err(Bad::Bytes(plain.len())) } else { Ok(plain) }
+    unpacking.take(MAX_UNPACKED_BYTES + 1).read_to_end(&mut plain).map_err(|_| Bad::Copy)?;
+    if plain.len() as u64 > MAX_UNPACKED_BYTES { Err(Bad::Bytes(plain.len())) } else { Ok(plain) }
 }
