--- a/crates/configuration/src/subscriber.rs
+++ b/crates/configuration/src/subscriber.rs
@@ -1,4 +1,4 @@
-//! A router's side: whom it asks, what it holds, and what is in force.
+//! The router's side: which machine it subscribes to, which version it holds, and which one is in force.
 
 mod feed;
 mod link;
@@ -8,121 +8,122 @@
 use nanorand::{Rng, WyRand};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use crate::parts::{Of, Part};
+use crate::parts::{Part, PartKind};
 use crate::replica::Replica;
 use crate::wire::WHY_MOST;
 use crate::{BadPlan, Document, Message, Name, Plan, Tenths, Version};
-use link::{Link, answers};
+use link::{Link, answered_turn};
 
-/// Most notices that wait to be pulled; at the bound the oldest goes.
-const MOST_NOTICES: usize = 64;
+/// Maximum number of notices that wait for the host; at the bound the oldest is dropped.
+const MAX_NOTICES: usize = 64;
 
-/// What the host is to do.
+/// What the host has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it to this machine; it may be lost.
+    /// Send a message to this machine. It may be lost.
     Send {
-        /// The machine.
+        /// The recipient.
         to: Name,
-        /// What.
         message: Message,
     },
-    /// Check it, put it in force between two turns of the loop, keep it where asked to, and only then say
-    /// [`Subscriber::applied`], or [`Subscriber::refused`]. The next one comes only after that.
+    /// Check the document, put it in force between two iterations of the event loop, persist it if the router persists
+    /// its configuration, and only then call [`Subscriber::applied`] or [`Subscriber::refused`]. The next document
+    /// follows only after that call.
     Apply {
-        /// Its version.
         version: Version,
-        /// All of it.
+        /// The whole document.
         document: Document,
     },
-    /// For log and counters.
+    /// Log and count a notice.
     Tell(Notice),
 }
 
-/// Something that a person wants to know.
+/// An event of interest to the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// No machine that hears a writer was heard since then; what is in force stays.
+    /// No machine that is in contact with a writer has been heard from since this time. The configuration in force
+    /// stays.
     Silent {
-        /// Since when.
+        /// The time of the last contact.
         since: Tenths,
     },
-    /// One is heard again.
+    /// A machine that is in contact with a writer is heard from again.
     Heard {
-        /// Which.
+        /// That machine.
         machine: Name,
-        /// It was silent for so long.
+        /// How long there was no contact.
         after: Tenths,
     },
-    /// This version was refused; the one before stays.
+    /// This version was refused; the previous one stays in force.
     Refused {
-        /// Which.
+        /// The refused version.
         version: Version,
-        /// Why.
+        /// The reason.
         why: String,
     },
-    /// What it holds is not in the machine's log any more: a whole copy comes.
+    /// The version held is no longer in the machine's log, so a snapshot is being sent.
     BaseGone {
-        /// What it holds.
+        /// The version held.
         holds: Version,
     },
-    /// It serves from now on.
+    /// The router serves from now on.
     Serving {
-        /// Under this version.
+        /// The version in force.
         version: Version,
-        /// No machine told what it had been told before: it goes by what was kept.
+        /// No machine reported which version the router had in force before its start, so it relies on the
+        /// configuration that it persisted.
         unsure: bool,
     },
 }
 
-/// The configuration as one router knows it. It holds at most three documents: the newest, and for the host's hands one in
-/// force and one about to be.
+/// The configuration on one router. At most three documents exist at a time: the newest one here, and at the host the
+/// one in force and the one about to be put in force.
 pub struct Subscriber {
     plan: Plan,
     me: Name,
     start: u64,
     turn: u32,
-    /// All control machines, the preferred ones first.
+    /// All control machines, in order of preference.
     machines: Vec<Name>,
-    chance: WyRand,
+    rng: WyRand,
     replica: Replica,
-    /// Given to the host, no answer yet.
+    /// Handed to the host, which has not answered yet.
     applying: Option<Version>,
     in_force: Version,
     refused: Option<(Version, String)>,
-    /// The next ask is for the whole.
-    whole: bool,
-    /// A whole copy of this version could not be used: none is asked for before there is a later one.
-    spoilt: Version,
+    /// The next ask requests a snapshot.
+    need_snapshot: bool,
+    /// The snapshot of this version could not be used. No further snapshot is requested until there is a later version.
+    unusable_snapshot: Version,
     link: Option<Link>,
-    /// Machines that are not to be asked before then.
-    away: BTreeMap<Name, Tenths>,
-    next_ask: Tenths,
-    /// Asks in a row that led to nothing.
-    fails: u32,
-    /// Moves in a row from machines that hear no writer.
-    roams: u32,
-    home: Tenths,
-    next_say: Tenths,
-    /// When a machine that hears a writer was heard last.
-    touched: Tenths,
-    silent: Option<Tenths>,
-    silence_told: bool,
-    began: Tenths,
-    kept: bool,
+    /// Machines that are not to be asked before the given time.
+    avoid_until: BTreeMap<Name, Tenths>,
+    next_ask_at: Tenths,
+    /// Consecutive asks that failed.
+    failed_asks: u32,
+    /// Consecutive moves away from machines without contact to a writer.
+    isolated_moves: u32,
+    next_home_at: Tenths,
+    next_status_at: Tenths,
+    /// When a machine in contact with a writer was last heard from.
+    last_contact: Tenths,
+    no_contact_since: Option<Tenths>,
+    no_contact_reported: bool,
+    started_at: Tenths,
+    has_persisted: bool,
     floor: Option<Version>,
     serving: bool,
     notices: VecDeque<Notice>,
-    bye: Option<(Name, Message)>,
+    pending_bye: Option<(Name, Message)>,
 }
 
 impl Subscriber {
-    /// A router that starts now, with what it kept. `start` grows with each start of its name (milliseconds since 1970 will
-    /// do). `machines` are all control machines, in any order: those it prefers are drawn from its name. The first decision
-    /// is to apply what was kept.
+    /// Starts a router from the configuration that it persisted. `start` grows with each start of this name
+    /// (milliseconds since 1970 will do). `machines` are all control machines, in any order; the order of preference is
+    /// derived from the router's name. The first decision is to apply the persisted configuration.
     ///
     /// # Errors
-    /// [`BadPlan`] names the first value that can't be used; no machine is one.
+    /// [`BadPlan`] names the first value that cannot be used; an empty `machines` is one.
     pub fn new(
         plan: Plan,
         me: Name,
@@ -136,9 +137,9 @@
         if machines.is_empty() {
             return Err(BadPlan { what: "machines", expected: "at least one" });
         }
-        let mut chance = WyRand::new_seed(seed);
-        let next_ask = now + between(&mut chance, 0, plan.spread);
-        let home = now + between(&mut chance, plan.home, 2 * plan.home);
+        let mut rng = WyRand::new_seed(seed);
+        let next_ask_at = now + between(&mut rng, 0, plan.spread);
+        let next_home_at = now + between(&mut rng, plan.home, 2 * plan.home);
         let has_kept = kept.is_some();
         let (version, document) = kept.unwrap_or_default();
         let mut subscriber = Subscriber {
@@ -147,81 +148,81 @@
             start,
             turn: 0,
             machines,
-            chance,
+            rng,
             replica: Replica::new(version, document),
             applying: None,
             in_force: Version::NONE,
             refused: None,
-            whole: false,
-            spoilt: Version::NONE,
+            need_snapshot: false,
+            unusable_snapshot: Version::NONE,
             link: None,
-            away: BTreeMap::new(),
-            next_ask,
-            fails: 0,
-            roams: 0,
-            home,
-            next_say: now,
-            touched: now,
-            silent: Some(now),
-            silence_told: false,
-            began: now,
-            kept: has_kept,
+            avoid_until: BTreeMap::new(),
+            next_ask_at,
+            failed_asks: 0,
+            isolated_moves: 0,
+            next_home_at,
+            next_status_at: now,
+            last_contact: now,
+            no_contact_since: Some(now),
+            no_contact_reported: false,
+            started_at: now,
+            has_persisted: has_kept,
             floor: None,
             serving: false,
             notices: VecDeque::new(),
-            bye: None,
+            pending_bye: None,
         };
         subscriber.prefer(&[]);
         Ok(subscriber)
     }
 
-    /// These machines, of its own zone or region, are to be tried first.
+    /// Machines in the router's own zone or region, which are to be tried first.
     pub fn prefer(&mut self, near: &[Name]) {
         let seed = xxh3_64(self.me.as_str().as_bytes());
-        let drawn = |machine: &Name| xxh3_64_with_seed(machine.as_str().as_bytes(), seed);
-        self.machines.sort_by_key(|machine| (!near.contains(machine), drawn(machine), machine.clone()));
+        let preference = |machine: &Name| xxh3_64_with_seed(machine.as_str().as_bytes(), seed);
+        self.machines.sort_by_key(|machine| (!near.contains(machine), preference(machine), machine.clone()));
         self.machines.dedup();
     }
 
-    /// A message of a machine has come.
+    /// Handles a message from a machine.
     pub fn heard(&mut self, now: Tenths, from: &Name, message: Message) {
         let turn = self.turn;
         let Some(link) = self.link.as_mut().filter(|link| link.machine == *from) else { return };
-        // Danger: what a machine sent for an earlier ask, or an earlier start, does not follow on what is held.
-        if answers(&message) != Some(turn) {
+        // What a machine sent for an earlier ask or an earlier start does not continue from the version held.
+        if answered_turn(&message) != Some(turn) {
             return;
         }
-        link.heard = Some(now);
+        link.last_heard = Some(now);
         match message {
-            Message::Changes { changes, .. } => self.take(now, |replica| replica.take(&changes)),
+            Message::Changes { changes, .. } => self.apply_received(now, |replica| replica.apply(&changes)),
             Message::Long { version, part, of, bytes, .. } => {
-                let part = Part { kind: Of::Changes, version, part, of, bytes };
-                self.take(now, |replica| replica.part(part));
+                let part = Part { kind: PartKind::Changes, version, part, of, bytes };
+                self.apply_received(now, |replica| replica.add_part(part));
             }
             Message::Whole { version, part, of, bytes, .. } => {
                 if part == 0 && self.replica.version != Version::NONE {
-                    self.tell(Notice::BaseGone { holds: self.replica.version });
+                    self.notify(Notice::BaseGone { holds: self.replica.version });
                 }
-                let part = Part { kind: Of::Whole, version, part, of, bytes };
-                self.take_whole(now, part);
+                let part = Part { kind: PartKind::Snapshot, version, part, of, bytes };
+                self.apply_snapshot_part(now, part);
             }
-            Message::Beat { version, floor, apart, .. } => self.beat(now, version, floor, apart),
+            Message::Beat { version, floor, apart, .. } => self.handle_beat(now, version, floor, apart),
             Message::Away { wait, .. } => {
                 let until = now + wait.clamp(0, self.plan.pause);
-                self.fail(now, until);
+                self.abandon_machine(now, until);
             }
             _ => {}
         }
     }
 
-    /// The stream to a machine broke, or it can't be reached.
+    /// The stream to a machine broke, or the machine cannot be reached.
     pub fn broken(&mut self, now: Tenths, machine: &Name) {
         if self.link.as_ref().is_some_and(|link| link.machine == *machine) {
-            self.fail(now, now + self.plan.patience);
+            self.abandon_machine(now, now + self.plan.patience);
         }
     }
 
-    /// The host put this version in force, and kept it where it keeps.
+    /// The host has put this version in force, and persisted it if the router persists its configuration.
     pub fn applied(&mut self, now: Tenths, version: Version) {
         if self.applying != Some(version) {
             return;
@@ -229,10 +230,10 @@
         self.applying = None;
         self.in_force = self.in_force.max(version);
         self.refused = self.refused.take().filter(|(refused, _)| *refused > version);
-        self.next_say = now;
+        self.next_status_at = now;
     }
 
-    /// The host refuses this version; the one before stays in force.
+    /// The host refuses this version; the previous one stays in force.
     pub fn refused(&mut self, now: Tenths, version: Version, why: String) {
         if self.applying != Some(version) {
             return;
@@ -241,106 +242,114 @@
         self.refuse(now, version, why);
     }
 
-    /// The next thing to do, until none is left.
+    /// The next decision for the host, or `None` if there is nothing left to do.
     pub fn next_decision(&mut self, now: Tenths) -> Option<Decision> {
-        self.look(now);
+        self.check_timers(now);
         if let Some(notice) = self.notices.pop_front() {
             return Some(Decision::Tell(notice));
         }
         if let Some(apply) = self.next_apply() {
             return Some(apply);
         }
-        let send = self.bye.take().or_else(|| self.next_ask(now)).or_else(|| self.next_say(now));
+        let send = self.pending_bye.take().or_else(|| self.next_ask(now)).or_else(|| self.next_status(now));
         send.map(|(to, message)| Decision::Send { to, message })
     }
 
-    /// When to come back if nothing is heard before.
+    /// When to call `next_decision` again if nothing arrives before.
     pub fn wake_at(&self) -> Option<Tenths> {
         let mut at = match &self.link {
-            None => self.next_ask,
+            None => self.next_ask_at,
             Some(link) => {
-                let linked = [Some(self.leave_at(link)), link.again, link.roam, Some(self.next_say)];
-                let home = (self.machines.first() != Some(&link.machine)).then_some(self.home);
-                linked.into_iter().chain([home]).flatten().min().unwrap_or(self.next_say)
+                let linked = [
+                    Some(self.silence_deadline(link)),
+                    link.retry_at,
+                    link.leave_isolated_at,
+                    Some(self.next_status_at),
+                ];
+                let next_home_at =
+                    (self.machines.first() != Some(&link.machine)).then_some(self.next_home_at);
+                linked.into_iter().chain([next_home_at]).flatten().min().unwrap_or(self.next_status_at)
             }
         };
-        if !self.silence_told {
-            at = at.min(self.touched + self.plan.patience);
+        if !self.no_contact_reported {
+            at = at.min(self.last_contact + self.plan.patience);
         }
-        if !self.serving && self.kept && self.floor.is_none() && self.in_force > Version::NONE {
-            at = at.min(self.began + self.plan.start_wait);
+        if !self.serving && self.has_persisted && self.floor.is_none() && self.in_force > Version::NONE {
+            at = at.min(self.started_at + self.plan.start_wait);
         }
         Some(at)
     }
 
-    /// The newest version that it holds, in force or about to be.
+    /// The newest version held, whether it is in force yet or not.
     pub fn holds(&self) -> Version {
         self.replica.version
     }
 
-    /// What the host said to be in force last; [`Version::NONE`] before any.
+    /// The version that the host last reported in force; [`Version::NONE`] before the first.
     pub fn in_force(&self) -> Version {
         self.in_force
     }
 
-    /// Since when no machine that hears a writer was heard; none if one is.
+    /// The time since which no machine in contact with a writer was heard from; `None` while one is.
     pub fn silent_since(&self) -> Option<Tenths> {
-        self.silent
+        self.no_contact_since
     }
 
-    /// The machine that serves it, if one has answered.
+    /// The machine that serves the router, once it has answered.
     pub fn served_by(&self) -> Option<&Name> {
-        self.link.as_ref().filter(|link| link.heard.is_some()).map(|link| &link.machine)
+        self.link.as_ref().filter(|link| link.last_heard.is_some()).map(|link| &link.machine)
     }
 
-    /// May the router serve? Not before what is in force is at least what it had been told before its start, by word of the
-    /// machines; or, if none says so in time, what it kept. One that kept nothing and hears nobody does not serve.
+    /// Whether the router may serve. It may once the version in force is at least the one that it had in force before
+    /// its start, as reported by the machines. If no machine reports that in time, it may serve under the configuration
+    /// that it persisted. A router that persisted nothing and has no contact with a machine does not serve.
     pub fn may_serve(&self, now: Tenths) -> bool {
         self.serving || self.serves(now).is_some()
     }
 
-    /// Would it serve, and without the word of a machine?
+    /// Whether the router may serve and, if so, whether it does so without a machine's confirmation.
     fn serves(&self, now: Tenths) -> Option<bool> {
         if self.in_force == Version::NONE {
             return None;
         }
         match self.floor {
-            // Danger: a router whose disk was lost or put back would serve under what the fleet has left.
+            // A router whose disk was lost or restored from an old copy would otherwise serve under a version that the
+            // fleet has left.
             Some(floor) => (self.in_force >= floor).then_some(false),
-            None => (self.kept && now - self.began >= self.plan.start_wait).then_some(true),
+            None => (self.has_persisted && now - self.started_at >= self.plan.start_wait).then_some(true),
         }
     }
 
-    /// What time alone brings.
-    fn look(&mut self, now: Tenths) {
+    /// Handles what is due by time alone: serving, loss of contact, and moves to another machine.
+    fn check_timers(&mut self, now: Tenths) {
         if !self.serving
             && let Some(unsure) = self.serves(now)
         {
             self.serving = true;
-            self.tell(Notice::Serving { version: self.in_force, unsure });
+            self.notify(Notice::Serving { version: self.in_force, unsure });
         }
-        if !self.silence_told && now - self.touched >= self.plan.patience {
-            self.silence_told = true;
-            self.silent = Some(self.touched);
-            self.tell(Notice::Silent { since: self.touched });
+        if !self.no_contact_reported && now - self.last_contact >= self.plan.patience {
+            self.no_contact_reported = true;
+            self.no_contact_since = Some(self.last_contact);
+            self.notify(Notice::Silent { since: self.last_contact });
         }
         let Some(link) = &self.link else { return };
-        if now >= self.leave_at(link) {
-            // Danger: a machine that is stopped holds its streams open and says nothing.
-            self.leave();
-            self.fail(now, now + 2 * self.plan.patience);
-        } else if link.roam.is_some_and(|at| now >= at) {
-            self.roam(now);
-        } else if now >= self.home {
-            self.go_home(now);
+        if now >= self.silence_deadline(link) {
+            // A suspended machine keeps its streams open but sends nothing.
+            self.queue_bye();
+            self.abandon_machine(now, now + 2 * self.plan.patience);
+        } else if link.leave_isolated_at.is_some_and(|at| now >= at) {
+            self.leave_isolated(now);
+        } else if now >= self.next_home_at {
+            self.return_to_preferred(now);
         }
     }
 
     /// When the machine counts as silent.
-    fn leave_at(&self, link: &Link) -> Tenths {
-        match link.heard {
+    fn silence_deadline(&self, link: &Link) -> Tenths {
+        match link.last_heard {
             Some(heard) => heard + self.plan.patience,
-            None => link.asked + self.plan.patience / 3,
+            None => link.asked_at + self.plan.patience / 3,
         }
     }
 
@@ -357,19 +366,19 @@
     fn refuse(&mut self, now: Tenths, version: Version, mut why: String) {
         let cut = (0..=WHY_MOST.min(why.len())).rev().find(|at| why.is_char_boundary(*at));
         why.truncate(cut.unwrap_or(0));
-        self.tell(Notice::Refused { version, why: why.clone() });
+        self.notify(Notice::Refused { version, why: why.clone() });
         self.refused = Some((version, why));
-        self.next_say = now;
+        self.next_status_at = now;
     }
 
-    fn tell(&mut self, notice: Notice) {
-        if self.notices.len() == MOST_NOTICES {
+    fn notify(&mut self, notice: Notice) {
+        if self.notices.len() == MAX_NOTICES {
             self.notices.pop_front();
         }
         self.notices.push_back(notice);
     }
 }
 
-fn between(chance: &mut WyRand, least: Tenths, most: Tenths) -> Tenths {
-    least + chance.generate_range(0..(most - least).max(1) as u64) as Tenths
+fn between(rng: &mut WyRand, least: Tenths, most: Tenths) -> Tenths {
+    least + rng.generate_range(0..(most - least).max(1) as u64) as Tenths
 }
--- a/crates/configuration/src/whole.rs
+++ b/crates/configuration/src/whole.rs
@@ -1,5 +1,5 @@
-//! A whole document as bytes: compressed, with its version and digest. What a router keeps on its disk, and what is sent
-//! in parts where the log is gone.
+//! Snapshots: a whole document as compressed bytes, with its version and digest. A router persists snapshots, and
+//! machines send them in parts where the log does not reach back far enough.
 
 use std::collections::BTreeMap;
 use std::io::Read;
@@ -9,10 +9,10 @@
 use crate::document::{Bad, DOCUMENT_MOST, Document, NAMES_MOST};
 use crate::{Change, Tenths, Version};
 
-/// Level of compression: what is sent 2,100 times is packed once.
-const LEVEL: i32 = 9;
-/// Most bytes that are unpacked: twice a document at its bounds, for changes have frames of their own.
-const UNPACKED_MOST: u64 = (2 * DOCUMENT_MOST + 8 * NAMES_MOST + 64) as u64;
+/// Compression level. A snapshot that is sent 2,100 times is compressed once.
+const COMPRESSION_LEVEL: i32 = 9;
+/// Maximum size after decompression: twice a document at its bounds, because changes have their own framing.
+const MAX_UNPACKED_BYTES: u64 = (2 * DOCUMENT_MOST + 8 * NAMES_MOST + 64) as u64;
 
 #[derive(Serialize, Deserialize)]
 struct Frame {
@@ -22,20 +22,20 @@
     names: BTreeMap<String, String>,
 }
 
-/// The document as bytes.
+/// Compresses a document.
 pub fn pack(version: Version, published: Tenths, document: &Document) -> Vec<u8> {
     let names = document.clone().into_map();
     let frame = Frame { version, published, digest: document.digest(), names };
     let plain = postcard::to_stdvec(&frame).unwrap_or_default();
-    zstd::bulk::compress(&plain, LEVEL).unwrap_or_default()
+    zstd::bulk::compress(&plain, COMPRESSION_LEVEL).unwrap_or_default()
 }
 
-/// The version, when it was published, and the document.
+/// Decompresses a document, with its version and the time when it was published.
 ///
 /// # Errors
-/// [`Bad`]: bytes that can't be read, a digest or a bound that does not fit.
+/// [`Bad`]: the bytes cannot be decoded, or the digest or a bound is wrong.
 pub fn unpack(bytes: &[u8]) -> Result<(Version, Tenths, Document), Bad> {
-    let plain = unpacked(bytes)?;
+    let plain = decompress(bytes)?;
     let frame: Frame = postcard::from_bytes(&plain).map_err(|_| Bad::Copy)?;
     let document = Document::from(frame.names)?;
     match document.digest() {
@@ -44,22 +44,22 @@
     }
 }
 
-/// Changes as bytes.
+/// Compresses changes.
 pub(crate) fn pack_changes(changes: &[Change]) -> Vec<u8> {
     let plain = postcard::to_stdvec(changes).unwrap_or_default();
-    zstd::bulk::compress(&plain, LEVEL).unwrap_or_default()
+    zstd::bulk::compress(&plain, COMPRESSION_LEVEL).unwrap_or_default()
 }
 
 /// # Errors
-/// [`Bad`]: bytes that can't be read, or too many.
+/// [`Bad`]: the bytes cannot be decoded, or there are too many.
 pub(crate) fn unpack_changes(bytes: &[u8]) -> Result<Vec<Change>, Bad> {
-    postcard::from_bytes(&unpacked(bytes)?).map_err(|_| Bad::Copy)
+    postcard::from_bytes(&decompress(bytes)?).map_err(|_| Bad::Copy)
 }
 
-fn unpacked(bytes: &[u8]) -> Result<Vec<u8>, Bad> {
-    // Danger: a few bytes that unpack to gigabytes.
+fn decompress(bytes: &[u8]) -> Result<Vec<u8>, Bad> {
+    // Limits the output: a few bytes can decompress to gigabytes.
     let mut plain = Vec::new();
     let unpacking = zstd::Decoder::new(bytes).map_err(|_| Bad::Copy)?;
-    unpacking.take(UNPACKED_MOST + 1).read_to_end(&mut plain).map_err(|_| Bad::Copy)?;
-    if plain.len() as u64 > UNPACKED_MOST { Err(Bad::Bytes(plain.len())) } else { Ok(plain) }
+    unpacking.take(MAX_UNPACKED_BYTES + 1).read_to_end(&mut plain).map_err(|_| Bad::Copy)?;
+    if plain.len() as u64 > MAX_UNPACKED_BYTES { Err(Bad::Bytes(plain.len())) } else { Ok(plain) }
 }
