--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -42,7 +42,7 @@
     /// The version that the change produces.
     pub version: Version,
     /// The version that the change applies to; it applies to no other.
-    pub after: Version,
+    pub base: Version,
     /// When the writer accepted the change, by the writer's clock.
     pub published: Tenths,
     /// Applied either all together or not at all.
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -9,13 +9,13 @@
 use crate::{Edit, Version};
 
 /// Maximum length of a setting's name, in bytes.
-pub const NAME_MOST: usize = 256;
+pub const MAX_NAME_BYTES: usize = 256;
 /// Maximum length of a value, in bytes.
-pub const VALUE_MOST: usize = 65_536;
+pub const MAX_VALUE_BYTES: usize = 65_536;
 /// Maximum number of names in a document.
-pub const NAMES_MOST: usize = 16_384;
+pub const MAX_NAMES: usize = 16_384;
 /// Maximum number of bytes of all names and values of a document.
-pub const DOCUMENT_MOST: usize = 1_048_576;
+pub const MAX_DOCUMENT_BYTES: usize = 1_048_576;
 
 /// Setting names and values, within the bounds of this module.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -25,61 +25,67 @@
 
 /// Why a document or a change was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Bad {
-    /// A name that is empty or longer than [`NAME_MOST`].
-    Name(String),
-    /// The value of this name is longer than [`VALUE_MOST`].
-    Value(String),
-    /// More names than [`NAMES_MOST`].
-    Names(usize),
-    /// More bytes than [`DOCUMENT_MOST`].
-    Bytes(usize),
+pub enum DocumentError {
+    /// A name that is empty or longer than [`MAX_NAME_BYTES`].
+    InvalidName(String),
+    /// The value of this name is longer than [`MAX_VALUE_BYTES`].
+    ValueTooLong(String),
+    /// More names than [`MAX_NAMES`].
+    TooManyNames(usize),
+    /// More bytes than [`MAX_DOCUMENT_BYTES`].
+    TooLarge(usize),
     /// One change edits this name twice.
-    Twice(String),
+    DuplicateName(String),
     /// The change applies to a version other than the one held.
-    Base {
+    WrongBase {
         /// The version held.
         held: Version,
         /// The version that the change applies to.
-        after: Version,
+        base: Version,
     },
     /// The change does not lead to a later version.
-    Order(Version),
+    NotLater(Version),
     /// The resulting document does not have the digest given in the change or copy.
-    Digest {
+    DigestMismatch {
         /// The digest computed from the document.
         found: u64,
         /// The digest given in the change or copy.
         expected: u64,
     },
     /// A snapshot that cannot be decoded.
-    Copy,
+    UnreadableSnapshot,
 }
 
-impl fmt::Display for Bad {
+impl fmt::Display for DocumentError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Bad::Name(name) => {
-                write!(out, "name of {} bytes, expected 1 to {NAME_MOST}", name.len())
+            DocumentError::InvalidName(name) => {
+                write!(out, "name of {} bytes, expected 1 to {MAX_NAME_BYTES}", name.len())
             }
-            Bad::Value(name) => write!(out, "value of {name:?}: expected at most {VALUE_MOST} bytes"),
-            Bad::Names(count) => write!(out, "{count} names, expected at most {NAMES_MOST}"),
-            Bad::Bytes(bytes) => write!(out, "{bytes} bytes, expected at most {DOCUMENT_MOST}"),
-            Bad::Twice(name) => write!(out, "{name:?} twice in one change"),
-            Bad::Base { held, after } => write!(out, "made for {after}, held is {held}"),
-            Bad::Order(version) => write!(out, "leads back, to {version}"),
-            Bad::Digest { found, expected } => write!(out, "digest {found:016x}, said was {expected:016x}"),
-            Bad::Copy => write!(out, "a whole copy that can't be read"),
+            DocumentError::ValueTooLong(name) => {
+                write!(out, "value of {name:?}: expected at most {MAX_VALUE_BYTES} bytes")
+            }
+            DocumentError::TooManyNames(count) => write!(out, "{count} names, expected at most {MAX_NAMES}"),
+            DocumentError::TooLarge(bytes) => {
+                write!(out, "{bytes} bytes, expected at most {MAX_DOCUMENT_BYTES}")
+            }
+            DocumentError::DuplicateName(name) => write!(out, "{name:?} twice in one change"),
+            DocumentError::WrongBase { held, base } => write!(out, "made for {base}, held is {held}"),
+            DocumentError::NotLater(version) => write!(out, "leads back, to {version}"),
+            DocumentError::DigestMismatch { found, expected } => {
+                write!(out, "digest {found:016x}, said was {expected:016x}")
+            }
+            DocumentError::UnreadableSnapshot => write!(out, "a whole copy that can't be read"),
         }
     }
 }
 
-impl std::error::Error for Bad {}
+impl std::error::Error for DocumentError {}
 
 impl Document {
     /// # Errors
-    /// [`Bad`] names the first bound that is exceeded.
-    pub fn from(names: BTreeMap<String, String>) -> Result<Document, Bad> {
+    /// [`DocumentError`] names the first bound that is exceeded.
+    pub fn from(names: BTreeMap<String, String>) -> Result<Document, DocumentError> {
         let document = Document { names };
         document.check()?;
         Ok(document)
@@ -117,13 +123,13 @@
     /// The document after these edits. Either all of them apply or none.
     ///
     /// # Errors
-    /// [`Bad`] names the first bound that is exceeded.
-    pub fn changed(&self, edits: &[Edit]) -> Result<Document, Bad> {
+    /// [`DocumentError`] names the first bound that is exceeded.
+    pub fn changed(&self, edits: &[Edit]) -> Result<Document, DocumentError> {
         let mut seen = std::collections::BTreeSet::new();
         let mut names = self.names.clone();
         for edit in edits {
             if !seen.insert(&edit.name) {
-                return Err(Bad::Twice(edit.name.clone()));
+                return Err(DocumentError::DuplicateName(edit.name.clone()));
             }
             match &edit.value {
                 Some(value) => names.insert(edit.name.clone(), value.clone()),
@@ -145,19 +151,19 @@
     }
 
     /// # Errors
-    /// [`Bad`] names the first bound that is exceeded.
-    pub(crate) fn check(&self) -> Result<(), Bad> {
+    /// [`DocumentError`] names the first bound that is exceeded.
+    pub(crate) fn check(&self) -> Result<(), DocumentError> {
         for (name, value) in &self.names {
-            if !(1..=NAME_MOST).contains(&name.len()) {
-                return Err(Bad::Name(name.clone()));
+            if !(1..=MAX_NAME_BYTES).contains(&name.len()) {
+                return Err(DocumentError::InvalidName(name.clone()));
             }
-            if value.len() > VALUE_MOST {
-                return Err(Bad::Value(name.clone()));
+            if value.len() > MAX_VALUE_BYTES {
+                return Err(DocumentError::ValueTooLong(name.clone()));
             }
         }
         match (self.names.len(), self.bytes()) {
-            (count, _) if count > NAMES_MOST => Err(Bad::Names(count)),
-            (_, bytes) if bytes > DOCUMENT_MOST => Err(Bad::Bytes(bytes)),
+            (count, _) if count > MAX_NAMES => Err(DocumentError::TooManyNames(count)),
+            (_, bytes) if bytes > MAX_DOCUMENT_BYTES => Err(DocumentError::TooLarge(bytes)),
             _ => Ok(()),
         }
     }
--- a/crates/configuration/src/ledger.rs
+++ b/crates/configuration/src/ledger.rs
@@ -8,7 +8,7 @@
 
 /// What is known of one router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct RouterEntry {
     /// The name of the router.
     pub name: Name,
     /// Identifies this run of the router; later starts have higher values.
@@ -20,7 +20,7 @@
     /// The last version that the router refused, if it is above `version`, and the reason.
     pub refused: Option<(Version, String)>,
     /// Whether a machine serves the router and is in contact with it.
-    pub linked: bool,
+    pub connected: bool,
 }
 
 /// Whether a version is in force on all routers.
@@ -50,7 +50,7 @@
 
 #[derive(Clone, Debug)]
 struct Row {
-    entry: Entry,
+    entry: RouterEntry,
     /// The machine that reported the entry.
     reported_by: Name,
     /// When the router was last known to be served.
@@ -68,12 +68,12 @@
     }
 
     /// All entries, ordered by name.
-    pub fn iter(&self) -> impl Iterator<Item = &Entry> {
+    pub fn iter(&self) -> impl Iterator<Item = &RouterEntry> {
         self.rows.values().map(|row| &row.entry)
     }
 
     /// The entry of one router.
-    pub fn get(&self, name: &Name) -> Option<&Entry> {
+    pub fn get(&self, name: &Name) -> Option<&RouterEntry> {
         self.rows.get(name).map(|row| &row.entry)
     }
 
@@ -83,7 +83,7 @@
         &mut self,
         now: Tenths,
         by: &Name,
-        entry: Entry,
+        entry: RouterEntry,
         relayed: bool,
         most: usize,
     ) -> EntryUpdate {
@@ -100,7 +100,7 @@
     /// Removes the routers that were not served for this long. Routers served by this machine itself count as heard
     /// now; those of other machines are kept by the reports that these machines repeat.
     pub(crate) fn forget(&mut self, now: Tenths, me: &Name, after: Tenths) -> Vec<Name> {
-        for row in self.rows.values_mut().filter(|row| row.entry.linked && row.reported_by == *me) {
+        for row in self.rows.values_mut().filter(|row| row.entry.connected && row.reported_by == *me) {
             row.last_heard = now;
         }
         let gone = self.rows.iter().filter(|(_, row)| now - row.last_heard >= after);
@@ -117,7 +117,7 @@
             match &entry.refused {
                 _ if entry.version >= version => at += 1,
                 Some((other, why)) if *other >= version => refused.push((name.clone(), why.clone())),
-                _ if entry.linked && hears(&row.reported_by) => behind.push(name.clone()),
+                _ if entry.connected && hears(&row.reported_by) => behind.push(name.clone()),
                 _ => silent.push(name.clone()),
             }
         }
@@ -142,7 +142,7 @@
     }
 
     fn evict_longest_silent(&mut self) -> bool {
-        let gone = self.rows.iter().filter(|(_, row)| !row.entry.linked);
+        let gone = self.rows.iter().filter(|(_, row)| !row.entry.connected);
         let Some(name) = gone.min_by_key(|(_, row)| row.last_heard).map(|(name, _)| name.clone()) else {
             return false;
         };
@@ -160,7 +160,7 @@
 }
 
 impl Row {
-    fn update(&mut self, now: Tenths, by: &Name, entry: Entry, relayed: bool) -> EntryUpdate {
+    fn update(&mut self, now: Tenths, by: &Name, entry: RouterEntry, relayed: bool) -> EntryUpdate {
         let (old, new) = ((self.entry.start, self.entry.turn), (entry.start, entry.turn));
         // The reported version never goes back, whichever start or machine reports it.
         let version = self.entry.version.max(entry.version);
@@ -170,10 +170,10 @@
         if new < old || (relayed && new == old) {
             return if raised { EntryUpdate::Changed } else { EntryUpdate::Unchanged };
         }
-        if entry.linked {
+        if entry.connected {
             self.last_heard = now;
         }
-        let entry = Entry { version, ..entry };
+        let entry = RouterEntry { version, ..entry };
         let changed = raised || entry != self.entry || *by != self.reported_by;
         (self.entry, self.reported_by) = (entry, by.clone());
         if changed { EntryUpdate::Changed } else { EntryUpdate::Unchanged }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -10,13 +10,13 @@
 
 mod change;
 mod document;
-mod kept;
 mod ledger;
 mod log;
 mod machine;
 mod message;
 mod name;
 mod parts;
+mod persisted_state;
 mod plan;
 mod replica;
 mod subscriber;
@@ -24,13 +24,13 @@
 pub mod wire;
 
 pub use change::{Change, Edit, Version};
-pub use document::{Bad, DOCUMENT_MOST, Document, NAME_MOST, NAMES_MOST, VALUE_MOST};
-pub use kept::{Kept, Record};
-pub use ledger::{Entry, Ledger, Verdict};
+pub use document::{Document, DocumentError, MAX_DOCUMENT_BYTES, MAX_NAME_BYTES, MAX_NAMES, MAX_VALUE_BYTES};
+pub use ledger::{Ledger, RouterEntry, Verdict};
 pub use log::{Log, Since};
-pub use machine::{Event, Machine, Order, Refused};
+pub use machine::{Action, Event, Machine, PublishError};
 pub use message::{Message, Outcome};
 pub use name::{BadName, Name};
+pub use persisted_state::{PersistedState, Record};
 pub use plan::{BadPlan, Plan};
 pub use subscriber::{Decision, Notice, Subscriber};
 
--- a/crates/configuration/src/log.rs
+++ b/crates/configuration/src/log.rs
@@ -20,16 +20,16 @@
     /// These changes, in order.
     Changes(Vec<Change>),
     /// A snapshot: no change in the log applies to the given version.
-    Whole,
+    Snapshot,
     /// Nothing: the given version is the newest.
-    Nothing,
+    UpToDate,
 }
 
 impl Log {
     /// Appends a change and drops the oldest ones beyond this number of changes or of bytes ([`Change::bytes`]). A
     /// change that does not apply to the newest version in the log empties the log first.
     pub fn push(&mut self, change: Change, changes: usize, bytes: usize) {
-        if self.changes.back().is_some_and(|last| last.version != change.after) {
+        if self.changes.back().is_some_and(|last| last.version != change.base) {
             self.clear();
         }
         self.bytes += change.bytes();
@@ -49,11 +49,11 @@
     /// What a subscriber that holds this version needs.
     pub fn since(&self, version: Version) -> Since {
         if self.changes.back().is_some_and(|last| last.version == version) {
-            return Since::Nothing;
+            return Since::UpToDate;
         }
-        match self.changes.binary_search_by(|change| change.after.cmp(&version)) {
+        match self.changes.binary_search_by(|change| change.base.cmp(&version)) {
             Ok(at) => Since::Changes(self.changes.range(at..).cloned().collect()),
-            Err(_) => Since::Whole,
+            Err(_) => Since::Snapshot,
         }
     }
 
--- a/crates/configuration/src/machine.rs
+++ b/crates/configuration/src/machine.rs
@@ -11,8 +11,8 @@
 
 use nanorand::{Rng, WyRand};
 
-use crate::document::Bad;
-use crate::kept::{Kept, Record};
+use crate::document::DocumentError;
+use crate::persisted_state::{PersistedState, Record};
 use crate::{BadPlan, Document, Edit, Ledger, Message, Name, Plan, Tenths, Verdict, Version};
 use follow::CatchUp;
 use report::Reports;
@@ -22,9 +22,9 @@
 
 /// What the host has to do, in the order in which it is returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
-    /// Persist the record before carrying out any later order; writing all of [`Machine::kept`] is as good.
-    Keep(Record),
+pub enum Action {
+    /// Persist the record before carrying out any later order; writing all of [`Machine::persisted`] is as good.
+    Persist(Record),
     /// Send a message to a router or machine. It may be lost.
     Send {
         /// The recipient.
@@ -35,32 +35,32 @@
     /// everywhere, and if not, on which routers it is not.
     Verdict(Verdict),
     /// Log and count an event.
-    Tell(Event),
+    Notify(Event),
 }
 
 /// An event of interest to the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// This machine became the writer, in this epoch.
-    Writing(u32),
+    BecameWriter(u32),
     /// This machine is no longer the writer; the epoch in which it was.
-    Stopped(u32),
+    SteppedDown(u32),
     /// This version is released on this machine; routers are served with it from now on.
     Released(Version),
     /// No writer has been in contact since this time.
-    Apart(Tenths),
+    NoWriter(Tenths),
     /// A writer is in contact again.
-    Joined(Name),
+    WriterContact(Name),
     /// The votes of a keeper that had no persisted state count from now on.
-    Settled,
+    VotingRestored,
     /// A received change or snapshot is invalid or does not apply to what this machine holds.
-    Broken(Version, Bad),
+    InvalidData(Version, DocumentError),
     /// This many routers were removed from the ledger because they were not heard from within the plan's `forget` time.
     Forgotten(usize),
     /// The ledger has no room for this router.
-    Uncounted(Name),
+    LedgerFull(Name),
     /// This machine serves as many routers as it may; this router was sent elsewhere.
-    Full(Name),
+    RouterLimit(Name),
     /// These edits were accepted but never replicated, because the machine stopped being the writer first. Publish them
     /// at the next writer.
     Unpublished(Vec<Edit>),
@@ -68,36 +68,36 @@
 
 /// Why edits were not published.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum PublishError {
     /// This machine is not the writer. Names the writer if it is known.
     NotWriter(Option<Name>),
     /// The resulting document exceeds a bound.
-    Bad(Bad),
+    Invalid(DocumentError),
     /// The program's own check rejected the resulting document.
     Check(String),
     /// Too many bytes of edits are waiting to be replicated to a majority of keepers.
     Full,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for PublishError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::NotWriter(Some(writer)) => {
+            PublishError::NotWriter(Some(writer)) => {
                 write!(out, "this machine is not the writer; publish at {writer}")
             }
-            Refused::NotWriter(None) => {
+            PublishError::NotWriter(None) => {
                 write!(out, "this machine is not the writer, and no writer is in contact")
             }
-            Refused::Bad(bad) => write!(out, "{bad}"),
-            Refused::Check(why) => write!(out, "{why}"),
-            Refused::Full => {
+            PublishError::Invalid(bad) => write!(out, "{bad}"),
+            PublishError::Check(why) => write!(out, "{why}"),
+            PublishError::Full => {
                 write!(out, "too many edits are waiting to be replicated to a majority of keepers")
             }
         }
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for PublishError {}
 
 /// A control machine.
 pub struct Machine {
@@ -109,8 +109,8 @@
     keepers: Vec<Name>,
     check: fn(&Document) -> Result<(), String>,
     rng: WyRand,
-    kept: Kept,
-    orders: VecDeque<Order>,
+    kept: PersistedState,
+    orders: VecDeque<Action>,
     role: Role,
     /// The writer heard from last, its epoch, and when it was heard.
     last_writer: Option<(Name, u32, Tenths)>,
@@ -153,7 +153,7 @@
         me: Name,
         machines: Vec<Name>,
         keepers: Vec<Name>,
-        kept: Option<Kept>,
+        kept: Option<PersistedState>,
         check: fn(&Document) -> Result<(), String>,
         now: Tenths,
         seed: u64,
@@ -201,37 +201,39 @@
     }
 
     /// Publishes edits: all of them in one version, or none. Edits that wait at the same time are published together.
-    /// They are in force once [`Event::Released`] and [`Order::Verdict`] confirm it; edits can be lost with a writer
+    /// They are in force once [`Event::Released`] and [`Action::Verdict`] confirm it; edits can be lost with a writer
     /// that fails before.
     ///
     /// # Errors
-    /// [`Refused`]; none of the edits is accepted.
-    pub fn publish(&mut self, now: Tenths, edits: Vec<Edit>) -> Result<(), Refused> {
+    /// [`PublishError`]; none of the edits is accepted.
+    pub fn publish(&mut self, now: Tenths, edits: Vec<Edit>) -> Result<(), PublishError> {
         self.queue_edits(now, edits)
     }
 
     /// Handles a message from a router or machine.
-    pub fn heard(&mut self, now: Tenths, from: &Name, message: Message) {
+    pub fn handle_message(&mut self, now: Tenths, from: &Name, message: Message) {
         let machine = self.others.contains(from);
         match message {
-            Message::Ask { start, turn, holds, digest, lost } => {
-                self.handle_subscribe(now, from, (start, turn), holds, digest, lost && !machine);
+            Message::Subscribe { start, turn, holds, digest, state_lost } => {
+                self.handle_subscribe(now, from, (start, turn), holds, digest, state_lost && !machine);
             }
             // Guards against a router that uses a machine's name, or a machine that uses a router's.
-            Message::Told { start, turn, in_force, version, outcome } if !machine => {
+            Message::Status { start, turn, in_force, version, outcome } if !machine => {
                 self.handle_status(now, from, (start, turn), in_force, version, outcome);
             }
-            Message::Bye { start, turn } if !machine => self.handle_unsubscribe(now, from, (start, turn)),
+            Message::Unsubscribe { start, turn } if !machine => {
+                self.handle_unsubscribe(now, from, (start, turn))
+            }
             _ if !machine => {}
             Message::Prepare { epoch, held, trial, founding } => {
                 self.handle_prepare(now, from, epoch, held, trial, founding);
             }
-            Message::Promised { epoch, trial, granted, promised, held, fresh } => {
-                self.handle_promised(now, from, (epoch, trial), granted, promised, held, fresh);
+            Message::Promised { epoch, trial, granted, promised, held, nonvoting } => {
+                self.handle_promised(now, from, (epoch, trial), granted, promised, held, nonvoting);
             }
             Message::Accept { .. } => self.handle_accept(now, from, message),
-            Message::Accepted { epoch, round, held, fresh, .. } => {
-                self.handle_accepted(now, from, epoch, round, held, fresh);
+            Message::Accepted { epoch, round, held, nonvoting, .. } => {
+                self.handle_accepted(now, from, epoch, round, held, nonvoting);
             }
             Message::Report { mark, by, entries } => self.handle_report(now, from, mark, &by, entries),
             answer => self.handle_catch_up(now, from, answer),
@@ -239,13 +241,13 @@
     }
 
     /// The stream to or from this router or machine broke.
-    pub fn left(&mut self, now: Tenths, from: &Name) {
+    pub fn connection_lost(&mut self, now: Tenths, from: &Name) {
         self.drop_session(now, from);
         self.catch_up.connection_lost(now, from);
     }
 
     /// The next order for the host, or `None` if there is nothing left to do.
-    pub fn next_decision(&mut self, now: Tenths) -> Option<Order> {
+    pub fn next_decision(&mut self, now: Tenths) -> Option<Action> {
         loop {
             if let Some(order) = self.orders.pop_front() {
                 return Some(order);
@@ -275,7 +277,7 @@
     }
 
     /// The state to restore at the next start.
-    pub fn kept(&self) -> &Kept {
+    pub fn persisted(&self) -> &PersistedState {
         &self.kept
     }
 
@@ -290,7 +292,7 @@
     }
 
     /// The epoch in which this machine is the writer, if it is.
-    pub fn writes(&self) -> Option<u32> {
+    pub fn writer_epoch(&self) -> Option<u32> {
         match &self.role {
             Role::Writer(state) => Some(state.epoch),
             _ => None,
@@ -351,21 +353,21 @@
         if !self.no_writer_reported && now - self.last_writer_contact() >= self.plan.patience {
             self.no_writer_reported = true;
             let since = self.last_writer_contact();
-            self.notify(Event::Apart(since));
+            self.notify(Event::NoWriter(since));
         }
     }
 
     fn persist(&mut self, record: Record) {
-        self.kept.take(&record, &self.plan);
-        self.orders.push_back(Order::Keep(record));
+        self.kept.apply(&record, &self.plan);
+        self.orders.push_back(Action::Persist(record));
     }
 
     fn send(&mut self, to: &Name, message: Message) {
-        self.orders.push_back(Order::Send { to: to.clone(), message });
+        self.orders.push_back(Action::Send { to: to.clone(), message });
     }
 
     fn notify(&mut self, event: Event) {
-        self.orders.push_back(Order::Tell(event));
+        self.orders.push_back(Action::Notify(event));
     }
 
     /// Reports the loss of contact with the writer, once the plan's `patience` is over.
--- a/crates/configuration/src/machine/follow.rs
+++ b/crates/configuration/src/machine/follow.rs
@@ -1,9 +1,9 @@
 //! Catching up: fetches released changes from the writer, or from any machine while no writer is in contact.
 
 use super::{Event, Machine, Role};
-use crate::document::Bad;
-use crate::kept::Record;
+use crate::document::DocumentError;
 use crate::parts::{Part, PartKind, Parts};
+use crate::persisted_state::Record;
 use crate::{Change, Message, Name, Tenths, Version, replica, whole};
 
 /// The state of catching up.
@@ -72,7 +72,10 @@
             true => (Version::NONE, 0),
             false => (self.kept.version(), self.kept.document().digest()),
         };
-        self.send(&to, Message::Ask { start: 0, turn: self.catch_up.turn, holds, digest, lost: false });
+        self.send(
+            &to,
+            Message::Subscribe { start: 0, turn: self.catch_up.turn, holds, digest, state_lost: false },
+        );
     }
 
     /// Handles an answer from the machine that was asked.
@@ -85,10 +88,10 @@
             Message::Changes { turn, changes } if turn == self.catch_up.turn => {
                 self.take_changes(now, changes)
             }
-            Message::Long { turn, version, part, of, bytes } if turn == self.catch_up.turn => {
+            Message::ChangesPart { turn, version, part, of, bytes } if turn == self.catch_up.turn => {
                 self.take_part(now, Part { kind: PartKind::Changes, version, part, of, bytes });
             }
-            Message::Whole { turn, version, part, of, bytes, .. } if turn == self.catch_up.turn => {
+            Message::SnapshotPart { turn, version, part, of, bytes, .. } if turn == self.catch_up.turn => {
                 self.take_part(now, Part { kind: PartKind::Snapshot, version, part, of, bytes });
             }
             Message::Beat { turn, version, .. } if turn == self.catch_up.turn => {
@@ -97,7 +100,7 @@
                     self.catch_up.asked_machine = None;
                 }
             }
-            Message::Away { .. } => self.catch_up.asked_machine = None,
+            Message::Redirect { .. } => self.catch_up.asked_machine = None,
             _ => {}
         }
     }
@@ -119,7 +122,7 @@
             },
             PartKind::Snapshot => match whole::unpack(&bytes) {
                 Ok((version, published, document)) => {
-                    self.release(now, Record::Whole { version, published, document });
+                    self.release(now, Record::Snapshot { version, published, document });
                     self.finish_catch_up();
                 }
                 Err(bad) => self.reject_catch_up(version, bad),
@@ -153,10 +156,10 @@
         }
     }
 
-    fn reject_catch_up(&mut self, version: Version, bad: Bad) {
+    fn reject_catch_up(&mut self, version: Version, bad: DocumentError) {
         // Requests a snapshot next time if a change is invalid. A gap between versions is closed by asking again from
         // the version held.
-        self.catch_up.need_snapshot = !matches!(bad, Bad::Base { .. });
-        self.notify(Event::Broken(version, bad));
+        self.catch_up.need_snapshot = !matches!(bad, DocumentError::WrongBase { .. });
+        self.notify(Event::InvalidData(version, bad));
     }
 }
--- a/crates/configuration/src/machine/report.rs
+++ b/crates/configuration/src/machine/report.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 
 use super::{Event, Machine};
-use crate::kept::Record;
-use crate::ledger::{Entry, EntryUpdate};
-use crate::wire::ENTRIES_MOST;
+use crate::ledger::{EntryUpdate, RouterEntry};
+use crate::persisted_state::Record;
+use crate::wire::MAX_ENTRIES;
 use crate::{Message, Name, Tenths, Version};
 
 /// Interval at which a machine reports all its entries again, in tenths of a millisecond. This repairs reports that
@@ -30,9 +30,9 @@
     settling_mark: Option<u64>,
 }
 
-/// Whether the confirmation of mark `sure` covers `mark`: an equal or earlier mark of the same start.
-pub(super) fn covers(sure: u64, mark: u64) -> bool {
-    sure >> 32 == mark >> 32 && sure >= mark
+/// Whether the confirmation of mark `stable` covers `mark`: an equal or earlier mark of the same start.
+pub(super) fn covers(stable: u64, mark: u64) -> bool {
+    stable >> 32 == mark >> 32 && stable >= mark
 }
 
 impl Reports {
@@ -70,11 +70,11 @@
 
 impl Machine {
     /// Records the state of a router that this machine serves.
-    pub(super) fn record_router(&mut self, now: Tenths, entry: Entry) {
+    pub(super) fn record_router(&mut self, now: Tenths, entry: RouterEntry) {
         let name = entry.name.clone();
         let update = self.ledger.record(now, &self.me, entry, false, self.plan.names);
         if update == EntryUpdate::New && self.is_keeper() {
-            self.persist(Record::Known(vec![name.clone()]));
+            self.persist(Record::RoutersAdded(vec![name.clone()]));
         }
         match update {
             EntryUpdate::New | EntryUpdate::Changed => {
@@ -82,7 +82,7 @@
                 self.schedule_verdict_check(now);
             }
             EntryUpdate::Unchanged => {}
-            EntryUpdate::NoRoom => self.notify(Event::Uncounted(name)),
+            EntryUpdate::NoRoom => self.notify(Event::LedgerFull(name)),
         }
     }
 
@@ -90,7 +90,7 @@
     pub(super) fn restore_routers(&mut self, now: Tenths) {
         for name in self.kept.routers.clone() {
             let version = Version::NONE;
-            let entry = Entry { name, start: 0, turn: 0, version, refused: None, linked: false };
+            let entry = RouterEntry { name, start: 0, turn: 0, version, refused: None, connected: false };
             self.ledger.record(now, &self.me, entry, false, self.plan.names);
         }
     }
@@ -112,7 +112,7 @@
         if now >= self.reports.next_refresh_at {
             self.refresh(now);
         }
-        if self.kept.fresh && self.is_keeper() && self.reports.settling_mark.is_none() {
+        if self.kept.nonvoting && self.is_keeper() && self.reports.settling_mark.is_none() {
             self.reports.settling_mark = Some(self.reports.request_mark(now));
         }
         if self.report_at().is_none_or(|at| now < at) {
@@ -126,11 +126,12 @@
         self.reports.mark_requested = false;
         self.reports.last_mark += 1;
         let mark = self.reports.last_mark;
-        let names: Vec<Name> = self.reports.dirty.iter().take(ENTRIES_MOST).cloned().collect();
+        let names: Vec<Name> = self.reports.dirty.iter().take(MAX_ENTRIES).cloned().collect();
         for name in &names {
             self.reports.dirty.remove(name);
         }
-        let entries: Vec<Entry> = names.iter().filter_map(|name| self.ledger.get(name).cloned()).collect();
+        let entries: Vec<RouterEntry> =
+            names.iter().filter_map(|name| self.ledger.get(name).cloned()).collect();
         if writer == self.me {
             // The writer's own routers are already in its ledger, so only the mark has to be recorded.
             self.record_mark(&writer, mark);
@@ -157,27 +158,27 @@
     fn relay(&mut self, writer: &Name) {
         let others = self.ledger.machines().into_iter().filter(|by| by != writer && *by != self.me);
         for by in others.collect::<Vec<_>>() {
-            for names in self.ledger.routers_of(&by).chunks(ENTRIES_MOST) {
+            for names in self.ledger.routers_of(&by).chunks(MAX_ENTRIES) {
                 let entries = names.iter().filter_map(|name| self.ledger.get(name).cloned()).collect();
                 self.send(writer, Message::Report { mark: 0, by: by.clone(), entries });
             }
         }
     }
 
-    /// The writer acknowledges report `mark`, and confirms that a majority still followed it after report `sure`.
-    pub(super) fn handle_confirmation(&mut self, now: Tenths, mark: u64, sure: u64, released: Version) {
+    /// The writer acknowledges report `mark`, and confirms that a majority still followed it after report `stable`.
+    pub(super) fn handle_confirmation(&mut self, now: Tenths, mark: u64, stable: u64, released: Version) {
         if self.reports.in_flight.as_ref().is_some_and(|(last, ..)| *last == mark) {
             self.reports.in_flight = None;
         }
         // A keeper that lost its disk votes again only when it holds everything that was released by the time it came
         // back.
-        if self.reports.settling_mark.is_some_and(|mark| covers(sure, mark))
-            && self.kept.fresh
+        if self.reports.settling_mark.is_some_and(|mark| covers(stable, mark))
+            && self.kept.nonvoting
             && self.kept.version() >= released
         {
             self.settle();
         }
-        self.resolve_floors(now, |mark| covers(sure, mark), released);
+        self.resolve_floors(now, |mark| covers(stable, mark), released);
     }
 
     /// Handles another machine's report: at the writer with a mark, at the other keepers without one (0).
@@ -187,9 +188,9 @@
         from: &Name,
         mark: u64,
         by: &Name,
-        entries: Vec<Entry>,
+        entries: Vec<RouterEntry>,
     ) {
-        if entries.len() > ENTRIES_MOST {
+        if entries.len() > MAX_ENTRIES {
             return;
         }
         if mark != 0 {
@@ -200,12 +201,12 @@
             let name = entry.name.clone();
             match self.ledger.record(now, by, entry, by != from, self.plan.names) {
                 EntryUpdate::New => new.push(name),
-                EntryUpdate::NoRoom => self.notify(Event::Uncounted(name)),
+                EntryUpdate::NoRoom => self.notify(Event::LedgerFull(name)),
                 EntryUpdate::Changed | EntryUpdate::Unchanged => {}
             }
         }
         if !new.is_empty() && self.is_keeper() {
-            self.persist(Record::Known(new));
+            self.persist(Record::RoutersAdded(new));
         }
         self.schedule_verdict_check(now);
     }
@@ -221,7 +222,7 @@
         let gone = self.kept.routers.iter().filter(|name| self.ledger.get(name).is_none());
         let gone: Vec<Name> = gone.cloned().collect();
         if !gone.is_empty() {
-            self.persist(Record::Forgotten(gone));
+            self.persist(Record::RoutersRemoved(gone));
         }
         let own = self.ledger.routers_of(&self.me);
         self.reports.dirty.extend(own);
--- a/crates/configuration/src/machine/serve.rs
+++ b/crates/configuration/src/machine/serve.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 
 use super::{Event, Machine};
-use crate::ledger::Entry;
+use crate::ledger::RouterEntry;
 use crate::log::Since;
 use crate::parts::{PART_BYTES, Packed, PartKind};
-use crate::wire::{WHY_MOST, length};
+use crate::wire::{MAX_REASON_BYTES, length};
 use crate::{Document, Message, Name, Outcome, Tenths, Version, whole};
 
 /// Overhead counted for each message: headers of IP, TCP and the link.
@@ -59,7 +59,7 @@
         (start, turn): (u64, u32),
         holds: Version,
         digest: u64,
-        lost: bool,
+        state_lost: bool,
     ) {
         let machine = self.others.contains(from);
         let before =
@@ -70,15 +70,15 @@
         }
         if before.is_none() && !machine && self.served() >= self.plan.places {
             let wait = self.plan.pause;
-            self.send(from, Message::Away { turn, wait });
-            return self.notify(Event::Full(from.clone()));
+            self.send(from, Message::Redirect { turn, wait });
+            return self.notify(Event::RouterLimit(from.clone()));
         }
         // A document that differs from the released one of the same version cannot be brought up to date by changes; it
         // has to be replaced.
         let differs = self.kept.log.digest(holds).is_some_and(|known| known != digest);
         let need_snapshot = differs || (holds == Version::NONE && digest != Document::default().digest());
         let reported = self.ledger.get(from).map_or(Version::NONE, |entry| entry.version);
-        let floor = match lost {
+        let floor = match state_lost {
             // A router that lost its persisted state cannot know which version it had in force, nor which machine
             // served it.
             true => Floor::Pending(self.reports.request_mark(now)),
@@ -104,7 +104,8 @@
         if !machine {
             let known = self.ledger.get(from).filter(|entry| entry.start == start);
             let refused = known.and_then(|entry| entry.refused.clone());
-            let entry = Entry { name: from.clone(), start, turn, version: reported, refused, linked: true };
+            let entry =
+                RouterEntry { name: from.clone(), start, turn, version: reported, refused, connected: true };
             self.record_router(now, entry);
         }
     }
@@ -120,17 +121,18 @@
     ) {
         let Some(session) = self.sessions.get_mut(from) else {
             // The router does not know that this machine no longer serves it.
-            return self.send(from, Message::Away { turn, wait: 0 });
+            return self.send(from, Message::Redirect { turn, wait: 0 });
         };
         if (start, turn) != (session.start, session.turn) {
             return;
         }
         session.last_heard = now;
         let refused = match outcome {
-            Outcome::Refused { why } => Some((version, why.chars().take(WHY_MOST).collect())),
+            Outcome::Refused { why } => Some((version, why.chars().take(MAX_REASON_BYTES).collect())),
             Outcome::Applied => None,
         };
-        let entry = Entry { name: from.clone(), start, turn, version: in_force, refused, linked: true };
+        let entry =
+            RouterEntry { name: from.clone(), start, turn, version: in_force, refused, connected: true };
         self.record_router(now, entry);
     }
 
@@ -146,7 +148,7 @@
         let Some(session) = self.sessions.remove(from) else { return };
         self.schedule.remove(&(session.due_at, from.clone()));
         if let Some(entry) = self.ledger.get(from).filter(|_| !session.machine) {
-            let entry = Entry { linked: false, ..entry.clone() };
+            let entry = RouterEntry { connected: false, ..entry.clone() };
             if (entry.start, entry.turn) == (session.start, session.turn) {
                 self.record_router(now, entry);
             }
@@ -168,10 +170,10 @@
 
     /// Resolves the floor of the sessions whose mark is confirmed: none of these routers may serve below the version
     /// `released`.
-    pub(super) fn resolve_floors(&mut self, now: Tenths, sure: impl Fn(u64) -> bool, released: Version) {
+    pub(super) fn resolve_floors(&mut self, now: Tenths, stable: impl Fn(u64) -> bool, released: Version) {
         for (name, session) in &mut self.sessions {
             let Floor::Pending(mark) = session.floor else { continue };
-            if sure(mark) {
+            if stable(mark) {
                 session.floor = Floor::Known(released);
                 session.next_beat_at = now;
                 self.schedule.remove(&(session.due_at, name.clone()));
@@ -217,8 +219,8 @@
             Floor::Known(version) => Some(version),
             Floor::Pending(_) => None,
         };
-        let (turn, version, apart) = (session.turn, self.kept.version(), self.lacks_writer(now));
-        self.send(to, Message::Beat { turn, version, floor, apart });
+        let (turn, version, no_writer) = (session.turn, self.kept.version(), self.lacks_writer(now));
+        self.send(to, Message::Beat { turn, version, floor, no_writer });
     }
 
     /// Sends the next changes or the next part. Returns false if there is nothing to send.
@@ -232,8 +234,8 @@
                 _ if std::mem::take(&mut session.need_snapshot) => {
                     session.packed = Some((self.pack_whole(true), 0))
                 }
-                Since::Nothing => return false,
-                Since::Whole => session.packed = Some((self.pack_whole(false), 0)),
+                Since::UpToDate => return false,
+                Since::Snapshot => session.packed = Some((self.pack_whole(false), 0)),
                 Since::Changes(changes) => {
                     let mut bytes = 0;
                     let within = changes.iter().take_while(|change| {
@@ -259,8 +261,8 @@
         let (turn, version, of, bytes) = (session.turn, packed.version, packed.parts(), packed.part(part));
         let published = packed.published;
         let message = match packed.kind {
-            PartKind::Snapshot => Message::Whole { turn, version, published, part, of, bytes },
-            PartKind::Changes => Message::Long { turn, version, part, of, bytes },
+            PartKind::Snapshot => Message::SnapshotPart { turn, version, published, part, of, bytes },
+            PartKind::Changes => Message::ChangesPart { turn, version, part, of, bytes },
         };
         match part + 1 < of {
             true => session.packed = Some((packed, part + 1)),
--- a/crates/configuration/src/machine/vote.rs
+++ b/crates/configuration/src/machine/vote.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::{Event, Machine, Role};
-use crate::kept::Record;
+use crate::persisted_state::Record;
 use crate::{Change, Message, Name, Tenths, Version, replica};
 
 /// The state of a keeper that is a candidate for writer.
@@ -18,7 +18,7 @@
 struct Vote {
     granted: bool,
     held: Version,
-    fresh: bool,
+    nonvoting: bool,
 }
 
 impl Machine {
@@ -50,12 +50,12 @@
         if !trial {
             self.persist(Record::Promised(epoch));
             self.highest_epoch = epoch;
-            if founding && self.kept.fresh {
+            if founding && self.kept.nonvoting {
                 self.settle();
             }
         }
         let held = self.kept.held();
-        let own = Vote { granted: !self.kept.fresh, held, fresh: self.kept.fresh };
+        let own = Vote { granted: !self.kept.nonvoting, held, nonvoting: self.kept.nonvoting };
         let votes = BTreeMap::from([(self.me.clone(), own)]);
         let until = now + self.plan.patience / 3;
         self.role = Role::Candidate(Candidacy { epoch, trial, founding, until, votes });
@@ -66,8 +66,8 @@
     }
 
     pub(super) fn settle(&mut self) {
-        self.persist(Record::Settled);
-        self.notify(Event::Settled);
+        self.persist(Record::Voting);
+        self.notify(Event::VotingRestored);
     }
 
     /// Handles another keeper's request for a vote.
@@ -92,19 +92,19 @@
                 .as_ref()
                 .is_some_and(|(name, _, at)| name != from && now - at < self.plan.stand);
         // A keeper that lost its disk could break an earlier promise.
-        let counts = !self.kept.fresh || (founding && own == Version::NONE);
+        let counts = !self.kept.nonvoting || (founding && own == Version::NONE);
         // A writer that lacks a change which a majority holds would undo that change.
         let granted = epoch > self.kept.promised && held >= own && counts && !followed;
         if granted && !trial {
             self.persist(Record::Promised(epoch));
-            if self.kept.fresh {
+            if self.kept.nonvoting {
                 self.settle();
             }
             self.role = Role::Follower;
             self.reset_election_timer(now);
         }
-        let (promised, fresh) = (self.kept.promised, self.kept.fresh);
-        self.send(from, Message::Promised { epoch, trial, granted, promised, held: own, fresh });
+        let (promised, nonvoting) = (self.kept.promised, self.kept.nonvoting);
+        self.send(from, Message::Promised { epoch, trial, granted, promised, held: own, nonvoting });
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -116,7 +116,7 @@
         granted: bool,
         promised: u32,
         held: Version,
-        fresh: bool,
+        nonvoting: bool,
     ) {
         self.highest_epoch = self.highest_epoch.max(promised);
         if !self.keepers.contains(from) {
@@ -124,21 +124,21 @@
         }
         let Role::Candidate(candidacy) = &mut self.role else { return };
         if (candidacy.epoch, candidacy.trial) == (epoch, trial) {
-            candidacy.votes.insert(from.clone(), Vote { granted, held, fresh });
+            candidacy.votes.insert(from.clone(), Vote { granted, held, nonvoting });
             self.count_votes(now);
         }
     }
 
     fn count_votes(&mut self, now: Tenths) {
         let Role::Candidate(candidacy) = &self.role else { return };
-        let granted = candidacy.votes.values().filter(|vote| vote.granted && !vote.fresh).count();
+        let granted = candidacy.votes.values().filter(|vote| vote.granted && !vote.nonvoting).count();
         let empty = candidacy.votes.values().filter(|vote| vote.held == Version::NONE).count();
         let (trial, epoch, founding) = (candidacy.trial, candidacy.epoch, candidacy.founding);
         // Keepers that lost their disks could found a second, empty fleet. So founding needs an answer from all
         // keepers, and none of them may hold anything.
         let founds = empty == self.keepers.len();
         // A candidate that lost its disk would write without the changes that it had acknowledged.
-        let wins = granted >= self.majority() && !self.kept.fresh;
+        let wins = granted >= self.majority() && !self.kept.nonvoting;
         match trial {
             true if wins => self.request_votes(now, false, founding),
             true if founds => self.request_votes(now, false, true),
@@ -149,11 +149,11 @@
 
     /// Handles a round of the writer: its epoch, the released version, and the changes to hold.
     pub(super) fn handle_accept(&mut self, now: Tenths, from: &Name, message: Message) {
-        let Message::Accept { epoch, round, released, tail, judged, mark, sure } = message else { return };
+        let Message::Accept { epoch, round, released, tail, judged, mark, stable } = message else { return };
         let known = self.last_writer.as_ref().map_or(0, |(_, epoch, _)| *epoch).max(self.kept.promised);
         // Rejects a deposed writer that comes back, or whose message was delayed.
-        if epoch < known || self.writes().is_some_and(|own| epoch <= own) {
-            return self.send_accepted(from, known.max(self.writes().unwrap_or(0)), round);
+        if epoch < known || self.writer_epoch().is_some_and(|own| epoch <= own) {
+            return self.send_accepted(from, known.max(self.writer_epoch().unwrap_or(0)), round);
         }
         self.follow_writer(now, from, epoch);
         if self.is_keeper() && epoch > self.kept.promised {
@@ -164,17 +164,17 @@
         if self.is_keeper() {
             self.hold_unreleased(released, tail);
         }
-        self.handle_confirmation(now, mark, sure, released);
+        self.handle_confirmation(now, mark, stable, released);
         self.send_accepted(from, epoch, round);
     }
 
     fn send_accepted(&mut self, to: &Name, epoch: u32, round: u64) {
-        let (held, released, fresh) = (self.kept.held(), self.kept.version(), self.kept.fresh);
-        self.send(to, Message::Accepted { epoch, round, held, released, fresh });
+        let (held, released, nonvoting) = (self.kept.held(), self.kept.version(), self.kept.nonvoting);
+        self.send(to, Message::Accepted { epoch, round, held, released, nonvoting });
     }
 
     fn follow_writer(&mut self, now: Tenths, from: &Name, epoch: u32) {
-        if self.writes().is_some() {
+        if self.writer_epoch().is_some() {
             self.step_down(now);
         }
         self.role = Role::Follower;
@@ -184,7 +184,7 @@
         }
         self.last_writer = Some((from.clone(), epoch, now));
         if std::mem::take(&mut self.no_writer_reported) {
-            self.notify(Event::Joined(from.clone()));
+            self.notify(Event::WriterContact(from.clone()));
         }
         if self.is_keeper() {
             self.reset_election_timer(now);
@@ -219,9 +219,9 @@
         for change in &tail {
             match replica::apply(version, &document, change) {
                 Ok(next) => (version, document) = (change.version, next),
-                Err(bad) => return self.notify(Event::Broken(change.version, bad)),
+                Err(bad) => return self.notify(Event::InvalidData(change.version, bad)),
             }
         }
-        self.persist(Record::Held(tail));
+        self.persist(Record::Unreleased(tail));
     }
 }
--- a/crates/configuration/src/machine/write.rs
+++ b/crates/configuration/src/machine/write.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::{Event, Machine, Order, Refused, Role};
-use crate::kept::Record;
+use super::{Action, Event, Machine, PublishError, Role};
+use crate::persisted_state::Record;
 use crate::{Change, Edit, Message, Name, Tenths, Version};
 
 /// Maximum number of unconfirmed marks of one machine; at the bound the last one is replaced.
@@ -35,11 +35,11 @@
     last_heard: Option<Tenths>,
     round: u64,
     held: Version,
-    fresh: bool,
+    nonvoting: bool,
     /// The mark of the last report; `marks` are those not confirmed yet, each with the round in flight when it arrived.
     mark: u64,
     marks: VecDeque<(u64, u64)>,
-    sure: u64,
+    stable: u64,
 }
 
 impl Machine {
@@ -68,9 +68,9 @@
             verdict_check_at: None,
         }));
         if std::mem::take(&mut self.no_writer_reported) {
-            self.notify(Event::Joined(self.me.clone()));
+            self.notify(Event::WriterContact(self.me.clone()));
         }
-        self.notify(Event::Writing(epoch));
+        self.notify(Event::BecameWriter(epoch));
         // A change left by an earlier writer may be held by a majority or not. It counts as released only together with
         // a later change of this epoch, which no other machine can have written.
         self.append_change(now, Vec::new());
@@ -79,7 +79,7 @@
     pub(super) fn step_down(&mut self, now: Tenths) {
         let role = std::mem::replace(&mut self.role, Role::Follower);
         let Role::Writer(state) = role else { return };
-        self.notify(Event::Stopped(state.epoch));
+        self.notify(Event::SteppedDown(state.epoch));
         if !state.waiting.is_empty() {
             let edits = state.waiting.into_iter().map(|(name, value)| Edit { name, value }).collect();
             self.notify(Event::Unpublished(edits));
@@ -89,17 +89,18 @@
         self.reset_election_timer(now);
     }
 
-    pub(super) fn queue_edits(&mut self, now: Tenths, edits: Vec<Edit>) -> Result<(), Refused> {
+    pub(super) fn queue_edits(&mut self, now: Tenths, edits: Vec<Edit>) -> Result<(), PublishError> {
         let writer = self.writer(now).cloned();
-        let Role::Writer(state) = &mut self.role else { return Err(Refused::NotWriter(writer)) };
+        let Role::Writer(state) = &mut self.role else { return Err(PublishError::NotWriter(writer)) };
         let waiting = state.waiting.iter().map(|(name, value)| (name.clone(), value.clone()));
         let waiting: Vec<Edit> = waiting.map(|(name, value)| Edit { name, value }).collect();
         let document = self.kept.newest_document().and_then(|document| document.changed(&waiting));
-        let document = document.and_then(|document| document.changed(&edits)).map_err(Refused::Bad)?;
-        (self.check)(&document).map_err(Refused::Check)?;
+        let document =
+            document.and_then(|document| document.changed(&edits)).map_err(PublishError::Invalid)?;
+        (self.check)(&document).map_err(PublishError::Check)?;
         let bytes: usize = edits.iter().map(edit_bytes).sum();
         if state.waiting_bytes + bytes > self.plan.waiting_bytes {
-            return Err(Refused::Full);
+            return Err(PublishError::Full);
         }
         if state.waiting.is_empty() {
             state.published = now;
@@ -152,8 +153,8 @@
         let version = Version { epoch: state.epoch, number: held.number + 1 };
         let digest = document.digest();
         let mut tail = self.kept.tail.clone();
-        tail.push(Change { version, after: held, published, edits, digest });
-        self.persist(Record::Held(tail));
+        tail.push(Change { version, base: held, published, edits, digest });
+        self.persist(Record::Unreleased(tail));
         self.release_replicated(now);
     }
 
@@ -165,9 +166,9 @@
         for to in &self.others {
             let Some(peer) = state.peers.get(to) else { continue };
             let tail = if self.keepers.contains(to) { self.kept.tail.clone() } else { Vec::new() };
-            let (judged, mark, sure) = (self.judged, peer.mark, peer.sure);
-            let message = Message::Accept { epoch, round, released, tail, judged, mark, sure };
-            self.orders.push_back(Order::Send { to: to.clone(), message });
+            let (judged, mark, stable) = (self.judged, peer.mark, peer.stable);
+            let message = Message::Accept { epoch, round, released, tail, judged, mark, stable };
+            self.orders.push_back(Action::Send { to: to.clone(), message });
         }
     }
 
@@ -178,7 +179,7 @@
         epoch: u32,
         round: u64,
         held: Version,
-        fresh: bool,
+        nonvoting: bool,
     ) {
         self.highest_epoch = self.highest_epoch.max(epoch);
         let Role::Writer(state) = &mut self.role else { return };
@@ -190,7 +191,7 @@
         peer.last_heard = Some(now);
         // A keeper that has lost its disk holds less than its last answer.
         if round > peer.round {
-            (peer.round, peer.held, peer.fresh) = (round, held, fresh);
+            (peer.round, peer.held, peer.nonvoting) = (round, held, nonvoting);
             self.update_confirmed_round(now);
             self.release_replicated(now);
         }
@@ -203,7 +204,7 @@
         let Role::Writer(state) = &mut self.role else { return };
         let round = |keeper: &Name| match *keeper == self.me {
             true => state.round,
-            false => state.peers.get(keeper).filter(|peer| !peer.fresh).map_or(0, |peer| peer.round),
+            false => state.peers.get(keeper).filter(|peer| !peer.nonvoting).map_or(0, |peer| peer.round),
         };
         let mut rounds: Vec<u64> = self.keepers.iter().map(round).collect();
         rounds.sort_unstable_by(|one, other| other.cmp(one));
@@ -218,11 +219,11 @@
         }
         for peer in state.peers.values_mut() {
             while let Some((mark, _)) = peer.marks.front().copied().filter(|(_, round)| confirmed > *round) {
-                peer.sure = mark;
+                peer.stable = mark;
                 peer.marks.pop_front();
             }
         }
-        let own = state.peers.get(&self.me).map_or(0, |peer| peer.sure);
+        let own = state.peers.get(&self.me).map_or(0, |peer| peer.stable);
         let released = self.kept.version();
         self.resolve_floors(now, |mark| super::report::covers(own, mark), released);
     }
@@ -248,7 +249,7 @@
         let held = |keeper: &Name| match *keeper == self.me {
             true => self.kept.held(),
             false => {
-                state.peers.get(keeper).filter(|peer| !peer.fresh).map_or(Version::NONE, |peer| peer.held)
+                state.peers.get(keeper).filter(|peer| !peer.nonvoting).map_or(Version::NONE, |peer| peer.held)
             }
         };
         let mut held_versions: Vec<Version> =
@@ -294,7 +295,7 @@
         for verdict in verdicts {
             state.awaiting_verdict.remove(&verdict.version);
             self.judged = self.judged.max(verdict.version);
-            self.orders.push_back(Order::Verdict(verdict));
+            self.orders.push_back(Action::Verdict(verdict));
         }
         if !old_enough && !state.awaiting_verdict.is_empty() {
             state.verdict_check_at = Some(state.started_at + 2 * self.plan.patience);
--- a/crates/configuration/src/message.rs
+++ b/crates/configuration/src/message.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ledger::Entry;
+use crate::ledger::RouterEntry;
 use crate::{Change, Name, Tenths, Version};
 
 /// What a router did with a version.
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Router or machine to machine: subscribes from a given version on.
-    Ask {
+    Subscribe {
         /// Grows with each start of the sender.
         start: u64,
         /// Grows with each ask of one start.
@@ -32,10 +32,10 @@
         /// empty document requests a snapshot.
         digest: u64,
         /// The sender started without a persisted configuration, and no machine has told it its floor yet.
-        lost: bool,
+        state_lost: bool,
     },
     /// Router to machine: what the router did with a version. Repeated at intervals as a sign of life.
-    Told {
+    Status {
         /// The start given in the ask.
         start: u64,
         /// The turn given in the ask.
@@ -48,7 +48,7 @@
         outcome: Outcome,
     },
     /// Router to machine: the router ends its subscription and moves to another machine.
-    Bye {
+    Unsubscribe {
         /// The start given in the ask.
         start: u64,
         /// The turn given in the ask.
@@ -62,7 +62,7 @@
         changes: Vec<Change>,
     },
     /// Machine to router or machine: a part of a snapshot.
-    Whole {
+    SnapshotPart {
         /// The turn of the ask that this answers.
         turn: u32,
         /// The version of the snapshot.
@@ -85,10 +85,10 @@
         /// The router must not serve below this version; `None` if the floor is not known yet.
         floor: Option<Version>,
         /// The machine has no contact with a writer and may be out of date.
-        apart: bool,
+        no_writer: bool,
     },
     /// Machine to router: subscribe elsewhere.
-    Away {
+    Redirect {
         /// The turn of the ask that this answers.
         turn: u32,
         /// How long not to ask this machine again.
@@ -118,7 +118,7 @@
         /// The newest version that the keeper holds.
         held: Version,
         /// The keeper has lost its persisted state or never had any, so its vote does not count yet.
-        fresh: bool,
+        nonvoting: bool,
     },
     /// Writer to all machines: renews the writer's epoch and replicates unreleased changes to the keepers.
     Accept {
@@ -135,7 +135,7 @@
         /// The mark of the last report that arrived from the recipient.
         mark: u64,
         /// A majority of keepers still followed the writer after the report with this mark had arrived.
-        sure: u64,
+        stable: u64,
     },
     /// Machine to writer: the answer to an accept.
     Accepted {
@@ -149,7 +149,7 @@
         /// The newest version that the sender knows to be released.
         released: Version,
         /// The same as in [`Message::Promised`].
-        fresh: bool,
+        nonvoting: bool,
     },
     /// Machine to the writer and to the other keepers: changes to its part of the ledger.
     Report {
@@ -157,11 +157,11 @@
         mark: u64,
         /// The machine whose routers these are: the sender, or another machine if a keeper relays what it knows.
         by: Name,
-        /// At most [`crate::wire::ENTRIES_MOST`] entries.
-        entries: Vec<Entry>,
+        /// At most [`crate::wire::MAX_ENTRIES`] entries.
+        entries: Vec<RouterEntry>,
     },
     /// Machine to router or machine: a part of changes that are too long for one message.
-    Long {
+    ChangesPart {
         /// The turn of the ask that this answers.
         turn: u32,
         /// The version that the last change leads to.
--- a/crates/configuration/src/name.rs
+++ b/crates/configuration/src/name.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The name of a router or control machine, the same across restarts: 1 to [`Name::LONGEST`] letters, digits, `-`, `_`
+/// The name of a router or control machine, the same across restarts: 1 to [`Name::MAX_BYTES`] letters, digits, `-`, `_`
 /// or `.`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
@@ -17,12 +17,12 @@
 
 impl Name {
     /// Maximum length of a name, in bytes.
-    pub const LONGEST: usize = 32;
+    pub const MAX_BYTES: usize = 32;
 
     /// # Errors
     /// [`BadName`] if the name is empty, too long, or has other characters.
     pub fn new(name: &str) -> Result<Name, BadName> {
-        let fits = (1..=Self::LONGEST).contains(&name.len());
+        let fits = (1..=Self::MAX_BYTES).contains(&name.len());
         let plain = name.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte));
         if fits && plain { Ok(Name(name.into())) } else { Err(BadName(name.into())) }
     }
@@ -54,7 +54,7 @@
 
 impl fmt::Display for BadName {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let most = Name::LONGEST;
+        let most = Name::MAX_BYTES;
         write!(out, "{:?}: expected 1 to {most} letters, digits, '-', '_' or '.'", self.0)
     }
 }
--- a/crates/configuration/src/parts.rs
+++ b/crates/configuration/src/parts.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use crate::document::{Bad, DOCUMENT_MOST};
+use crate::document::{DocumentError, MAX_DOCUMENT_BYTES};
 use crate::{Tenths, Version};
 
 /// Size of one part in bytes: eight parts per second fit the bandwidth that a router has for control traffic.
 pub(crate) const PART_BYTES: usize = 512;
 /// Maximum size of all parts together, compressed.
-const MAX_PARTS_BYTES: usize = 2 * DOCUMENT_MOST;
+const MAX_PARTS_BYTES: usize = 2 * MAX_DOCUMENT_BYTES;
 
 /// What the parts contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,8 +60,8 @@
     /// Adds a part. Returns all bytes in order when no part is missing any more.
     ///
     /// # Errors
-    /// [`Bad::Bytes`] if there are too many bytes; all parts received so far are dropped.
-    pub(crate) fn add(&mut self, part: Part) -> Result<Option<Vec<u8>>, Bad> {
+    /// [`DocumentError::TooLarge`] if there are too many bytes; all parts received so far are dropped.
+    pub(crate) fn add(&mut self, part: Part) -> Result<Option<Vec<u8>>, DocumentError> {
         let of = (part.kind, part.version, part.of);
         if part.part >= part.of {
             return Ok(None);
@@ -76,7 +76,7 @@
         if self.bytes > MAX_PARTS_BYTES {
             let bytes = self.bytes;
             *self = Parts::default();
-            return Err(Bad::Bytes(bytes));
+            return Err(DocumentError::TooLarge(bytes));
         }
         if self.received.len() < usize::from(part.of) {
             return Ok(None);
--- a/crates/configuration/src/kept.rs
+++ b/crates/configuration/src/persisted_state.rs
@@ -5,18 +5,18 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::document::{Bad, Document};
+use crate::document::{Document, DocumentError};
 use crate::log::Log;
 use crate::{Change, Name, Plan, Tenths, Version, replica};
 
 /// The persisted state of a control machine. The host writes it before it carries out any order that follows an
-/// [`crate::Order::Keep`]: either all of it (`to_bytes`), or the records of these orders, which [`Kept::take`] replays.
+/// [`crate::Action::Persist`]: either all of it (`to_bytes`), or the records of these orders, which [`PersistedState::apply`] replays.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct PersistedState {
     /// The highest epoch promised, if this machine is a keeper.
     pub(crate) promised: u32,
     /// This keeper may have lost promises and changes that it once persisted, so its votes do not count.
-    pub(crate) fresh: bool,
+    pub(crate) nonvoting: bool,
     pub(crate) version: Version,
     pub(crate) published: Tenths,
     pub(crate) document: Document,
@@ -34,17 +34,17 @@
     /// The keeper promised this epoch.
     Promised(u32),
     /// The keeper's votes count from now on.
-    Settled,
+    Voting,
     /// The unreleased changes that the keeper holds now; they replace the previous ones.
-    Held(Vec<Change>),
+    Unreleased(Vec<Change>),
     /// These changes are released.
     Released(Vec<Change>),
     /// These routers were added to the ledger.
-    Known(Vec<Name>),
+    RoutersAdded(Vec<Name>),
     /// These routers were removed from the ledger.
-    Forgotten(Vec<Name>),
+    RoutersRemoved(Vec<Name>),
     /// This snapshot is released and replaces the document.
-    Whole {
+    Snapshot {
         /// The version of the snapshot.
         version: Version,
         /// When that version was published.
@@ -54,11 +54,11 @@
     },
 }
 
-impl Default for Kept {
-    fn default() -> Kept {
-        Kept {
+impl Default for PersistedState {
+    fn default() -> PersistedState {
+        PersistedState {
             promised: 0,
-            fresh: true,
+            nonvoting: true,
             version: Version::NONE,
             published: 0,
             document: Document::default(),
@@ -69,7 +69,7 @@
     }
 }
 
-impl Kept {
+impl PersistedState {
     /// The newest released version.
     pub fn version(&self) -> Version {
         self.version
@@ -95,8 +95,8 @@
     /// The document of the newest held version.
     ///
     /// # Errors
-    /// [`Bad`] if a held change does not apply to the one before it.
-    pub(crate) fn newest_document(&self) -> Result<Document, Bad> {
+    /// [`DocumentError`] if a held change does not apply to the one before it.
+    pub(crate) fn newest_document(&self) -> Result<Document, DocumentError> {
         let (mut version, mut document) = (self.version, self.document.clone());
         for change in &self.tail {
             document = replica::apply(version, &document, change)?;
@@ -106,16 +106,16 @@
     }
 
     /// Applies a record. A change or snapshot that does not lead to a later version is ignored.
-    pub fn take(&mut self, record: &Record, plan: &Plan) {
+    pub fn apply(&mut self, record: &Record, plan: &Plan) {
         match record {
             Record::Promised(epoch) => self.promised = self.promised.max(*epoch),
-            Record::Settled => self.fresh = false,
-            Record::Held(tail) => self.tail = tail.clone(),
-            Record::Known(names) => {
+            Record::Voting => self.nonvoting = false,
+            Record::Unreleased(tail) => self.tail = tail.clone(),
+            Record::RoutersAdded(names) => {
                 let room = (2 * plan.names).saturating_sub(self.routers.len());
                 self.routers.extend(names.iter().take(room).cloned());
             }
-            Record::Forgotten(names) => self.routers.retain(|name| !names.contains(name)),
+            Record::RoutersRemoved(names) => self.routers.retain(|name| !names.contains(name)),
             Record::Released(changes) => {
                 for change in changes {
                     let Ok(next) = replica::apply(self.version, &self.document, change) else { continue };
@@ -125,13 +125,13 @@
                 }
                 self.drop_superseded();
             }
-            Record::Whole { version, published, document } if *version > self.version => {
+            Record::Snapshot { version, published, document } if *version > self.version => {
                 self.document = document.clone();
                 (self.version, self.published) = (*version, *published);
                 self.log.clear();
                 self.drop_superseded();
             }
-            Record::Whole { .. } => {}
+            Record::Snapshot { .. } => {}
         }
     }
 
@@ -139,7 +139,7 @@
     fn drop_superseded(&mut self) {
         match self.tail.iter().position(|change| change.version == self.version) {
             Some(at) => drop(self.tail.drain(..=at)),
-            None if self.tail.first().is_some_and(|first| first.after != self.version) => self.tail.clear(),
+            None if self.tail.first().is_some_and(|first| first.base != self.version) => self.tail.clear(),
             None => {}
         }
     }
@@ -153,7 +153,7 @@
 
     /// `None` if the checksum does not match or the bytes cannot be decoded. The caller then starts without persisted
     /// state and logs it.
-    pub fn from_bytes(bytes: &[u8]) -> Option<Kept> {
+    pub fn from_bytes(bytes: &[u8]) -> Option<PersistedState> {
         let (body, sum) = bytes.split_last_chunk::<8>()?;
         if xxh3_64(body).to_le_bytes() != *sum {
             return None;
--- a/crates/configuration/src/plan.rs
+++ b/crates/configuration/src/plan.rs
@@ -36,14 +36,14 @@
     /// Maximum number of routers that one machine serves; further ones are sent elsewhere.
     pub places: usize,
     /// Maximum number of routers in the ledger. At the bound, the unlinked router that was not heard from for longest
-    /// is removed; if all are linked, a further router is served but not counted, and [`crate::Event::Uncounted`]
+    /// is removed; if all are linked, a further router is served but not counted, and [`crate::Event::LedgerFull`]
     /// reports it.
     pub names: usize,
     /// Maximum number of released changes in the log; the oldest are dropped.
     pub log_changes: usize,
     /// Maximum size of the changes in the log ([`crate::Change::bytes`]).
     pub log_bytes: usize,
-    /// Maximum bytes of edits that wait at the writer; beyond it, [`crate::Refused::Full`].
+    /// Maximum bytes of edits that wait at the writer; beyond it, [`crate::PublishError::Full`].
     pub waiting_bytes: usize,
 }
 
--- a/crates/configuration/src/replica.rs
+++ b/crates/configuration/src/replica.rs
@@ -1,7 +1,7 @@
 //! A replica of the document. Changes and snapshots only move it to later versions, and each applies entirely or not at
 //! all.
 
-use crate::document::{Bad, Document};
+use crate::document::{Document, DocumentError};
 use crate::parts::{Part, PartKind, Parts};
 use crate::{Change, Version, whole};
 
@@ -16,19 +16,25 @@
 /// The document after a change that applies to this version.
 ///
 /// # Errors
-/// [`Bad`]: the base version, the order, the digest or a bound is wrong.
-pub(crate) fn apply(version: Version, document: &Document, change: &Change) -> Result<Document, Bad> {
-    if change.after != version {
-        return Err(Bad::Base { held: version, after: change.after });
+/// [`DocumentError`]: the base version, the order, the digest or a bound is wrong.
+pub(crate) fn apply(
+    version: Version,
+    document: &Document,
+    change: &Change,
+) -> Result<Document, DocumentError> {
+    if change.base != version {
+        return Err(DocumentError::WrongBase { held: version, base: change.base });
     }
     // Guards against a change from an earlier writer, and against changes that form a cycle.
     if change.version <= version || change.version.number <= version.number {
-        return Err(Bad::Order(change.version));
+        return Err(DocumentError::NotLater(change.version));
     }
     let next = document.changed(&change.edits)?;
     match next.digest() {
         // Guards against a change that was damaged, or that was made for a different document under the same version.
-        found if found != change.digest => Err(Bad::Digest { found, expected: change.digest }),
+        found if found != change.digest => {
+            Err(DocumentError::DigestMismatch { found, expected: change.digest })
+        }
         _ => Ok(next),
     }
 }
@@ -42,7 +48,7 @@
     ///
     /// # Errors
     /// The version of the first change that does not apply, and why; the changes before it are applied.
-    pub(crate) fn apply(&mut self, changes: &[Change]) -> Result<(), (Version, Bad)> {
+    pub(crate) fn apply(&mut self, changes: &[Change]) -> Result<(), (Version, DocumentError)> {
         for change in changes {
             // A duplicated or delayed change would take the replica back.
             if change.version <= self.version {
@@ -59,7 +65,7 @@
     /// # Errors
     /// A snapshot that cannot be used is not applied. Of a run of changes, those before the first invalid one are
     /// applied.
-    pub(crate) fn add_part(&mut self, part: Part) -> Result<(), (Version, Bad)> {
+    pub(crate) fn add_part(&mut self, part: Part) -> Result<(), (Version, DocumentError)> {
         // A late snapshot would take the replica back.
         if part.version <= self.version {
             return Ok(());
@@ -72,7 +78,7 @@
             PartKind::Snapshot => {
                 let (found, _, document) = whole::unpack(&bytes).map_err(named)?;
                 if found != version {
-                    return Err(named(Bad::Copy));
+                    return Err(named(DocumentError::UnreadableSnapshot));
                 }
                 (self.version, self.document) = (version, document);
                 Ok(())
--- a/crates/configuration/src/subscriber.rs
+++ b/crates/configuration/src/subscriber.rs
@@ -10,7 +10,7 @@
 
 use crate::parts::{Part, PartKind};
 use crate::replica::Replica;
-use crate::wire::WHY_MOST;
+use crate::wire::MAX_REASON_BYTES;
 use crate::{BadPlan, Document, Message, Name, Plan, Tenths, Version};
 use link::{Link, answered_turn};
 
@@ -35,7 +35,7 @@
         document: Document,
     },
     /// Log and count a notice.
-    Tell(Notice),
+    Notify(Notice),
 }
 
 /// An event of interest to the operator.
@@ -43,12 +43,12 @@
 pub enum Notice {
     /// No machine that is in contact with a writer has been heard from since this time. The configuration in force
     /// stays.
-    Silent {
+    NoContact {
         /// The time of the last contact.
         since: Tenths,
     },
     /// A machine that is in contact with a writer is heard from again.
-    Heard {
+    ContactRestored {
         /// That machine.
         machine: Name,
         /// How long there was no contact.
@@ -62,7 +62,7 @@
         why: String,
     },
     /// The version held is no longer in the machine's log, so a snapshot is being sent.
-    BaseGone {
+    SnapshotNeeded {
         /// The version held.
         holds: Version,
     },
@@ -72,7 +72,7 @@
         version: Version,
         /// No machine reported which version the router had in force before its start, so it relies on the
         /// configuration that it persisted.
-        unsure: bool,
+        unconfirmed: bool,
     },
 }
 
@@ -172,12 +172,12 @@
             notices: VecDeque::new(),
             pending_bye: None,
         };
-        subscriber.prefer(&[]);
+        subscriber.prefer_machines(&[]);
         Ok(subscriber)
     }
 
     /// Machines in the router's own zone or region, which are to be tried first.
-    pub fn prefer(&mut self, near: &[Name]) {
+    pub fn prefer_machines(&mut self, near: &[Name]) {
         let seed = xxh3_64(self.me.as_str().as_bytes());
         let preference = |machine: &Name| xxh3_64_with_seed(machine.as_str().as_bytes(), seed);
         self.machines.sort_by_key(|machine| (!near.contains(machine), preference(machine), machine.clone()));
@@ -185,7 +185,7 @@
     }
 
     /// Handles a message from a machine.
-    pub fn heard(&mut self, now: Tenths, from: &Name, message: Message) {
+    pub fn handle_message(&mut self, now: Tenths, from: &Name, message: Message) {
         let turn = self.turn;
         let Some(link) = self.link.as_mut().filter(|link| link.machine == *from) else { return };
         // What a machine sent for an earlier ask or an earlier start does not continue from the version held.
@@ -195,19 +195,21 @@
         link.last_heard = Some(now);
         match message {
             Message::Changes { changes, .. } => self.apply_received(now, |replica| replica.apply(&changes)),
-            Message::Long { version, part, of, bytes, .. } => {
+            Message::ChangesPart { version, part, of, bytes, .. } => {
                 let part = Part { kind: PartKind::Changes, version, part, of, bytes };
                 self.apply_received(now, |replica| replica.add_part(part));
             }
-            Message::Whole { version, part, of, bytes, .. } => {
+            Message::SnapshotPart { version, part, of, bytes, .. } => {
                 if part == 0 && self.replica.version != Version::NONE {
-                    self.notify(Notice::BaseGone { holds: self.replica.version });
+                    self.notify(Notice::SnapshotNeeded { holds: self.replica.version });
                 }
                 let part = Part { kind: PartKind::Snapshot, version, part, of, bytes };
                 self.apply_snapshot_part(now, part);
             }
-            Message::Beat { version, floor, apart, .. } => self.handle_beat(now, version, floor, apart),
-            Message::Away { wait, .. } => {
+            Message::Beat { version, floor, no_writer, .. } => {
+                self.handle_beat(now, version, floor, no_writer)
+            }
+            Message::Redirect { wait, .. } => {
                 let until = now + wait.clamp(0, self.plan.pause);
                 self.abandon_machine(now, until);
             }
@@ -216,7 +218,7 @@
     }
 
     /// The stream to a machine broke, or the machine cannot be reached.
-    pub fn broken(&mut self, now: Tenths, machine: &Name) {
+    pub fn connection_lost(&mut self, now: Tenths, machine: &Name) {
         if self.link.as_ref().is_some_and(|link| link.machine == *machine) {
             self.abandon_machine(now, now + self.plan.patience);
         }
@@ -246,7 +248,7 @@
     pub fn next_decision(&mut self, now: Tenths) -> Option<Decision> {
         self.check_timers(now);
         if let Some(notice) = self.notices.pop_front() {
-            return Some(Decision::Tell(notice));
+            return Some(Decision::Notify(notice));
         }
         if let Some(apply) = self.next_apply() {
             return Some(apply);
@@ -260,7 +262,7 @@
         let mut at = match &self.link {
             None => self.next_ask_at,
             Some(link) => {
-                let linked = [
+                let connected = [
                     Some(self.silence_deadline(link)),
                     link.retry_at,
                     link.leave_isolated_at,
@@ -268,7 +270,7 @@
                 ];
                 let next_home_at =
                     (self.machines.first() != Some(&link.machine)).then_some(self.next_home_at);
-                linked.into_iter().chain([next_home_at]).flatten().min().unwrap_or(self.next_status_at)
+                connected.into_iter().chain([next_home_at]).flatten().min().unwrap_or(self.next_status_at)
             }
         };
         if !self.no_contact_reported {
@@ -291,7 +293,7 @@
     }
 
     /// The time since which no machine in contact with a writer was heard from; `None` while one is.
-    pub fn silent_since(&self) -> Option<Tenths> {
+    pub fn no_contact_since(&self) -> Option<Tenths> {
         self.no_contact_since
     }
 
@@ -323,15 +325,15 @@
     /// Handles what is due by time alone: serving, loss of contact, and moves to another machine.
     fn check_timers(&mut self, now: Tenths) {
         if !self.serving
-            && let Some(unsure) = self.serves(now)
+            && let Some(unconfirmed) = self.serves(now)
         {
             self.serving = true;
-            self.notify(Notice::Serving { version: self.in_force, unsure });
+            self.notify(Notice::Serving { version: self.in_force, unconfirmed });
         }
         if !self.no_contact_reported && now - self.last_contact >= self.plan.patience {
             self.no_contact_reported = true;
             self.no_contact_since = Some(self.last_contact);
-            self.notify(Notice::Silent { since: self.last_contact });
+            self.notify(Notice::NoContact { since: self.last_contact });
         }
         let Some(link) = &self.link else { return };
         if now >= self.silence_deadline(link) {
@@ -364,7 +366,7 @@
     }
 
     fn refuse(&mut self, now: Tenths, version: Version, mut why: String) {
-        let cut = (0..=WHY_MOST.min(why.len())).rev().find(|at| why.is_char_boundary(*at));
+        let cut = (0..=MAX_REASON_BYTES.min(why.len())).rev().find(|at| why.is_char_boundary(*at));
         why.truncate(cut.unwrap_or(0));
         self.notify(Notice::Refused { version, why: why.clone() });
         self.refused = Some((version, why));
--- a/crates/configuration/src/subscriber/feed.rs
+++ b/crates/configuration/src/subscriber/feed.rs
@@ -1,7 +1,7 @@
 //! How a router applies the changes and snapshots that it receives.
 
 use super::Subscriber;
-use crate::document::Bad;
+use crate::document::DocumentError;
 use crate::parts::Part;
 use crate::replica::Replica;
 use crate::{Tenths, Version};
@@ -11,14 +11,16 @@
     pub(super) fn apply_received(
         &mut self,
         now: Tenths,
-        of: impl FnOnce(&mut Replica) -> Result<(), (Version, Bad)>,
+        of: impl FnOnce(&mut Replica) -> Result<(), (Version, DocumentError)>,
     ) {
         let before = self.replica.version;
         let taken = of(&mut self.replica);
         self.record_progress(now, before);
         match taken {
             Ok(()) => {}
-            Err((version, Bad::Base { .. })) if version > self.replica.version => self.ask_again(now),
+            Err((version, DocumentError::WrongBase { .. })) if version > self.replica.version => {
+                self.ask_again(now)
+            }
             // Requests a snapshot once, because the change alone may be damaged.
             Err((version, _)) if version > self.unusable_snapshot => {
                 self.need_snapshot = true;
--- a/crates/configuration/src/subscriber/link.rs
+++ b/crates/configuration/src/subscriber/link.rs
@@ -22,10 +22,10 @@
 pub(super) fn answered_turn(message: &Message) -> Option<u32> {
     match message {
         Message::Changes { turn, .. }
-        | Message::Long { turn, .. }
-        | Message::Whole { turn, .. }
+        | Message::ChangesPart { turn, .. }
+        | Message::SnapshotPart { turn, .. }
         | Message::Beat { turn, .. }
-        | Message::Away { turn, .. } => Some(*turn),
+        | Message::Redirect { turn, .. } => Some(*turn),
         _ => None,
     }
 }
@@ -61,8 +61,8 @@
         };
         let to = self.link.as_ref()?.machine.clone();
         // What the router received since its start does not tell it which version it had in force before.
-        let lost = !self.has_persisted && self.floor.is_none();
-        Some((to, Message::Ask { start: self.start, turn: self.turn, holds, digest, lost }))
+        let state_lost = !self.has_persisted && self.floor.is_none();
+        Some((to, Message::Subscribe { start: self.start, turn: self.turn, holds, digest, state_lost }))
     }
 
     /// Sends the router's status, when it has changed and at intervals as a sign of life.
@@ -74,10 +74,16 @@
             None => (self.in_force, Outcome::Applied),
         };
         let (start, turn, in_force) = (self.start, self.turn, self.in_force);
-        Some((link.machine.clone(), Message::Told { start, turn, in_force, version, outcome }))
+        Some((link.machine.clone(), Message::Status { start, turn, in_force, version, outcome }))
     }
 
-    pub(super) fn handle_beat(&mut self, now: Tenths, version: Version, floor: Option<Version>, apart: bool) {
+    pub(super) fn handle_beat(
+        &mut self,
+        now: Tenths,
+        version: Version,
+        floor: Option<Version>,
+        no_writer: bool,
+    ) {
         // A machine that knows less than another must not lower the floor that the other has set.
         self.floor = self.floor.max(floor);
         self.failed_asks = 0;
@@ -86,7 +92,7 @@
         if missing && link.retry_at.is_none() && now - link.last_progress > 2 * self.plan.beat {
             link.retry_at = Some(now);
         }
-        match apart {
+        match no_writer {
             true if link.leave_isolated_at.is_none() => {
                 let least = (2 * self.plan.beat) << self.isolated_moves.min(5);
                 link.leave_isolated_at = Some(now + between(&mut self.rng, least, 2 * least));
@@ -105,7 +111,7 @@
         if let (Some(since), Some(link)) = (self.no_contact_since.take(), &self.link)
             && self.no_contact_reported
         {
-            let notice = Notice::Heard { machine: link.machine.clone(), after: now - since };
+            let notice = Notice::ContactRestored { machine: link.machine.clone(), after: now - since };
             self.notify(notice);
         }
         (self.last_contact, self.no_contact_reported) = (now, false);
@@ -126,7 +132,7 @@
     /// Notifies the machine that the router leaves it.
     pub(super) fn queue_bye(&mut self) {
         if let Some(link) = &self.link {
-            let bye = Message::Bye { start: self.start, turn: self.turn };
+            let bye = Message::Unsubscribe { start: self.start, turn: self.turn };
             self.pending_bye = Some((link.machine.clone(), bye));
         }
     }
--- a/crates/configuration/src/whole.rs
+++ b/crates/configuration/src/whole.rs
@@ -6,13 +6,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::document::{Bad, DOCUMENT_MOST, Document, NAMES_MOST};
+use crate::document::{Document, DocumentError, MAX_DOCUMENT_BYTES, MAX_NAMES};
 use crate::{Change, Tenths, Version};
 
 /// Compression level. A snapshot that is sent 2,100 times is compressed once.
 const COMPRESSION_LEVEL: i32 = 9;
 /// Maximum size after decompression: twice a document at its bounds, because changes have their own framing.
-const MAX_UNPACKED_BYTES: u64 = (2 * DOCUMENT_MOST + 8 * NAMES_MOST + 64) as u64;
+const MAX_UNPACKED_BYTES: u64 = (2 * MAX_DOCUMENT_BYTES + 8 * MAX_NAMES + 64) as u64;
 
 #[derive(Serialize, Deserialize)]
 struct Frame {
@@ -33,13 +33,15 @@
 /// Decompresses a document, with its version and the time when it was published.
 ///
 /// # Errors
-/// [`Bad`]: the bytes cannot be decoded, or the digest or a bound is wrong.
-pub fn unpack(bytes: &[u8]) -> Result<(Version, Tenths, Document), Bad> {
+/// [`DocumentError`]: the bytes cannot be decoded, or the digest or a bound is wrong.
+pub fn unpack(bytes: &[u8]) -> Result<(Version, Tenths, Document), DocumentError> {
     let plain = decompress(bytes)?;
-    let frame: Frame = postcard::from_bytes(&plain).map_err(|_| Bad::Copy)?;
+    let frame: Frame = postcard::from_bytes(&plain).map_err(|_| DocumentError::UnreadableSnapshot)?;
     let document = Document::from(frame.names)?;
     match document.digest() {
-        found if found != frame.digest => Err(Bad::Digest { found, expected: frame.digest }),
+        found if found != frame.digest => {
+            Err(DocumentError::DigestMismatch { found, expected: frame.digest })
+        }
         _ => Ok((frame.version, frame.published, document)),
     }
 }
@@ -51,15 +53,22 @@
 }
 
 /// # Errors
-/// [`Bad`]: the bytes cannot be decoded, or there are too many.
-pub(crate) fn unpack_changes(bytes: &[u8]) -> Result<Vec<Change>, Bad> {
-    postcard::from_bytes(&decompress(bytes)?).map_err(|_| Bad::Copy)
+/// [`DocumentError`]: the bytes cannot be decoded, or there are too many.
+pub(crate) fn unpack_changes(bytes: &[u8]) -> Result<Vec<Change>, DocumentError> {
+    postcard::from_bytes(&decompress(bytes)?).map_err(|_| DocumentError::UnreadableSnapshot)
 }
 
-fn decompress(bytes: &[u8]) -> Result<Vec<u8>, Bad> {
+fn decompress(bytes: &[u8]) -> Result<Vec<u8>, DocumentError> {
     // Limits the output: a few bytes can decompress to gigabytes.
     let mut plain = Vec::new();
-    let unpacking = zstd::Decoder::new(bytes).map_err(|_| Bad::Copy)?;
-    unpacking.take(MAX_UNPACKED_BYTES + 1).read_to_end(&mut plain).map_err(|_| Bad::Copy)?;
-    if plain.len() as u64 > MAX_UNPACKED_BYTES { Err(Bad::Bytes(plain.len())) } else { Ok(plain) }
+    let unpacking = zstd::Decoder::new(bytes).map_err(|_| DocumentError::UnreadableSnapshot)?;
+    unpacking
+        .take(MAX_UNPACKED_BYTES + 1)
+        .read_to_end(&mut plain)
+        .map_err(|_| DocumentError::UnreadableSnapshot)?;
+    if plain.len() as u64 > MAX_UNPACKED_BYTES {
+        Err(DocumentError::TooLarge(plain.len()))
+    } else {
+        Ok(plain)
+    }
 }
--- a/crates/configuration/src/wire.rs
+++ b/crates/configuration/src/wire.rs
@@ -5,21 +5,21 @@
 
 use crate::Message;
 
-/// Version of this wire format. Any other version is rejected with [`Unread::Version`].
+/// Version of this wire format. Any other version is rejected with [`WireError::Version`].
 pub const VERSION: u8 = 1;
 /// Maximum length of a message in bytes: a change of a whole document, and its framing.
-pub const LONGEST: usize = 2 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 2 << 20;
 /// Maximum number of entries in a report.
-pub const ENTRIES_MOST: usize = 512;
+pub const MAX_ENTRIES: usize = 512;
 /// Maximum length of a refusal's reason, in bytes; longer ones are truncated.
-pub const WHY_MOST: usize = 200;
+pub const MAX_REASON_BYTES: usize = 200;
 
 /// Why received bytes were rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
+pub enum WireError {
     /// There are no bytes.
     Empty,
-    /// There are more than [`LONGEST`] bytes.
+    /// There are more than [`MAX_MESSAGE_BYTES`] bytes.
     TooLong(usize),
     /// The bytes have another version of the wire format.
     Version(u8),
@@ -29,45 +29,47 @@
     Trailing(usize),
 }
 
-impl fmt::Display for Unread {
+impl fmt::Display for WireError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unread::Empty => write!(out, "empty message"),
-            Unread::TooLong(length) => write!(out, "message of {length} bytes, expected at most {LONGEST}"),
-            Unread::Version(version) => write!(out, "wire version {version}, expected {VERSION}"),
-            Unread::Malformed => write!(out, "not a message of wire version {VERSION}"),
-            Unread::Trailing(length) => write!(out, "{length} unexpected bytes after the message"),
+            WireError::Empty => write!(out, "empty message"),
+            WireError::TooLong(length) => {
+                write!(out, "message of {length} bytes, expected at most {MAX_MESSAGE_BYTES}")
+            }
+            WireError::Version(version) => write!(out, "wire version {version}, expected {VERSION}"),
+            WireError::Malformed => write!(out, "not a message of wire version {VERSION}"),
+            WireError::Trailing(length) => write!(out, "{length} unexpected bytes after the message"),
         }
     }
 }
 
-impl std::error::Error for Unread {}
+impl std::error::Error for WireError {}
 
 /// # Errors
-/// [`Unread::TooLong`] if the message is too long; [`Unread::Malformed`] if it cannot be encoded.
-pub fn encode(message: &Message) -> Result<Vec<u8>, Unread> {
-    let bytes = postcard::to_extend(message, vec![VERSION]).map_err(|_| Unread::Malformed)?;
-    if bytes.len() > LONGEST { Err(Unread::TooLong(bytes.len())) } else { Ok(bytes) }
+/// [`WireError::TooLong`] if the message is too long; [`WireError::Malformed`] if it cannot be encoded.
+pub fn encode(message: &Message) -> Result<Vec<u8>, WireError> {
+    let bytes = postcard::to_extend(message, vec![VERSION]).map_err(|_| WireError::Malformed)?;
+    if bytes.len() > MAX_MESSAGE_BYTES { Err(WireError::TooLong(bytes.len())) } else { Ok(bytes) }
 }
 
 /// # Errors
-/// [`Unread`] tells why the bytes were rejected.
-pub fn decode(bytes: &[u8]) -> Result<Message, Unread> {
-    let (&version, rest) = bytes.split_first().ok_or(Unread::Empty)?;
-    if bytes.len() > LONGEST {
-        return Err(Unread::TooLong(bytes.len()));
+/// [`WireError`] tells why the bytes were rejected.
+pub fn decode(bytes: &[u8]) -> Result<Message, WireError> {
+    let (&version, rest) = bytes.split_first().ok_or(WireError::Empty)?;
+    if bytes.len() > MAX_MESSAGE_BYTES {
+        return Err(WireError::TooLong(bytes.len()));
     }
     if version != VERSION {
-        return Err(Unread::Version(version));
+        return Err(WireError::Version(version));
     }
     match postcard::take_from_bytes(rest) {
         Ok((message, [])) => Ok(message),
-        Ok((_, behind)) => Err(Unread::Trailing(behind.len())),
-        Err(_) => Err(Unread::Malformed),
+        Ok((_, behind)) => Err(WireError::Trailing(behind.len())),
+        Err(_) => Err(WireError::Malformed),
     }
 }
 
 /// The encoded length of a message, including the version byte.
 pub fn length(message: &Message) -> usize {
-    1 + postcard::experimental::serialized_size(message).unwrap_or(LONGEST)
+    1 + postcard::experimental::serialized_size(message).unwrap_or(MAX_MESSAGE_BYTES)
 }
--- a/crates/configuration/tests/fleet.rs
+++ b/crates/configuration/tests/fleet.rs
@@ -6,7 +6,7 @@
 
 use nanorand::Rng;
 use rstest::rstest;
-use vetchkeel_configuration::{Event, Message, Notice, Refused, Tenths, Version};
+use vetchkeel_configuration::{Event, Message, Notice, PublishError, Tenths, Version};
 use world::{Node, SECOND, World, edit};
 
 /// A change is in force everywhere within this, also with one machine killed and one stopped.
@@ -190,7 +190,7 @@
         for machine in (0..12).filter(|at| sides(*at) == 0) {
             let refused = world.publish_at(machine, vec![edit("limit", "1")]);
             assert!(
-                matches!(refused, Err(Refused::NotWriter(_))),
+                matches!(refused, Err(PublishError::NotWriter(_))),
                 "seed {seed}: {machine} writes in a minority"
             );
         }
@@ -203,7 +203,7 @@
             let newest =
                 if sides(at) == 0 { router.in_force() <= before } else { router.in_force() == world.newest };
             assert!(newest, "seed {seed}: router {at} is at {}", router.in_force());
-            assert_eq!(router.silent_since().is_some(), sides(at) == 0, "seed {seed}: router {at}");
+            assert_eq!(router.no_contact_since().is_some(), sides(at) == 0, "seed {seed}: router {at}");
         }
         let known = world.verdicts.iter().rfind(|(.., verdict)| verdict.version == world.newest);
         let (_, _, verdict) = known.expect("a verdict");
@@ -249,7 +249,7 @@
         assert!(world.publish_at(old, vec![edit("limit", "1")]).is_ok(), "seed {seed}");
         let newer = world.run_until(5 * SECOND, |world| world.writer().is_some_and(|at| at != old));
         assert!(newer.is_some(), "seed {seed}: no other one writes");
-        let writes = |world: &World| world.machine(old).expect("it runs").writes().is_some();
+        let writes = |world: &World| world.machine(old).expect("it runs").writer_epoch().is_some();
         assert!(writes(&world), "seed {seed}: the old one gave up too soon for this test");
         world.cut.clear();
         world.run(SECOND);
@@ -292,7 +292,7 @@
     for seed in 0..10 {
         let mut world = World::whole(7, 5, 10, seed);
         let writer = world.writer().expect("one writes");
-        let epoch = world.machine(writer).and_then(vetchkeel_configuration::Machine::writes);
+        let epoch = world.machine(writer).and_then(vetchkeel_configuration::Machine::writer_epoch);
         let alone = (0..5).find(|at| *at != writer).expect("a keeper");
         for at in 0..17 {
             world.cut.extend([(at, alone), (alone, at)]);
@@ -301,7 +301,7 @@
         world.cut.clear();
         world.run(20 * SECOND);
         assert_eq!(
-            world.machine(writer).and_then(vetchkeel_configuration::Machine::writes),
+            world.machine(writer).and_then(vetchkeel_configuration::Machine::writer_epoch),
             epoch,
             "seed {seed}"
         );
@@ -338,7 +338,8 @@
         world.heal();
         let took = world.run_until(HEALED, World::agreed);
         assert!(took.is_some() && world.everywhere("limit", "7"), "seed {seed}");
-        let counts = world.events.iter().any(|(_, at, event)| *at == others[2] && *event == Event::Settled);
+        let counts =
+            world.events.iter().any(|(_, at, event)| *at == others[2] && *event == Event::VotingRestored);
         assert!(counts, "seed {seed}: it never counts again");
     }
 }
@@ -388,7 +389,7 @@
     let told = world
         .notices
         .iter()
-        .any(|(_, at, notice)| *at == router && matches!(notice, Notice::BaseGone { .. }));
+        .any(|(_, at, notice)| *at == router && matches!(notice, Notice::SnapshotNeeded { .. }));
     assert!(told, "it is not told");
 }
 
@@ -439,7 +440,7 @@
 /// Spoils whole copies too.
 fn spoil_all(message: &mut Message) {
     spoil(message);
-    if let Message::Whole { bytes, .. } = message {
+    if let Message::SnapshotPart { bytes, .. } = message {
         bytes.iter_mut().for_each(|byte| *byte ^= 1);
     }
 }
@@ -484,7 +485,7 @@
     let writer = world.writer().expect("one writes");
     let refused = world.publish_at(writer, vec![edit("limit", "many")]);
     assert!(
-        matches!(refused, Err(Refused::Check(_))),
+        matches!(refused, Err(PublishError::Check(_))),
         "the source takes what its check refuses: {refused:?}"
     );
     let mend = vetchkeel_configuration::Edit { name: "poison".into(), value: None };
@@ -509,7 +510,7 @@
         let it = world.router(router).expect("it runs");
         assert_eq!(it.in_force(), held);
         assert!(it.may_serve(world.now));
-        let since = it.silent_since().expect("it says so");
+        let since = it.no_contact_since().expect("it says so");
         assert!((cut - 2 * SECOND..=cut + SECOND).contains(&since), "since {since}, cut at {cut}");
     }
     let verdict = world.verdicts.iter().find(|(.., verdict)| verdict.version == world.newest);
@@ -517,7 +518,7 @@
     assert!(!verdict.everywhere, "{verdict:?}");
     world.cut.clear();
     assert!(world.run_until(30 * SECOND, World::agreed).is_some());
-    assert_eq!(world.router(router).expect("it runs").silent_since(), None);
+    assert_eq!(world.router(router).expect("it runs").no_contact_since(), None);
 }
 
 #[test]
@@ -564,9 +565,9 @@
     let (one, other) = (world.router(kept).expect("it runs"), world.router(lost).expect("it runs"));
     assert!(one.may_serve(world.now) && one.in_force() == held);
     assert!(!other.may_serve(world.now), "it can't know what it had been told");
-    let unsure = Notice::Serving { version: held, unsure: true };
+    let unconfirmed = Notice::Serving { version: held, unconfirmed: true };
     assert!(
-        world.notices.iter().any(|(_, at, notice)| *at == kept && *notice == unsure),
+        world.notices.iter().any(|(_, at, notice)| *at == kept && *notice == unconfirmed),
         "it is not counted"
     );
 }
@@ -624,7 +625,7 @@
     assert!(world.run_until(60 * SECOND, World::agreed).is_some());
     let served: Vec<usize> = (0..4).map(|at| world.machine(at).expect("it runs").served()).collect();
     assert!(served.iter().all(|count| *count <= 10) && served.iter().sum::<usize>() == 36, "{served:?}");
-    assert!(world.events.iter().any(|(.., event)| matches!(event, Event::Full(_))));
+    assert!(world.events.iter().any(|(.., event)| matches!(event, Event::RouterLimit(_))));
 }
 
 #[test]
--- a/crates/configuration/tests/world/mod.rs
+++ b/crates/configuration/tests/world/mod.rs
@@ -7,8 +7,8 @@
 
 use nanorand::{Rng, WyRand};
 use vetchkeel_configuration::{
-    Decision, Document, Edit, Event, Kept, Machine, Message, Name, Notice, Order, Plan, Subscriber, Tenths,
-    Verdict, Version, wire,
+    Action, Decision, Document, Edit, Event, Machine, Message, Name, Notice, PersistedState, Plan,
+    Subscriber, Tenths, Verdict, Version, wire,
 };
 
 pub const SECOND: Tenths = 10_000;
@@ -31,7 +31,7 @@
     pub started: Tenths,
     wake: Option<Tenths>,
     /// A machine's disk.
-    pub kept: Option<Kept>,
+    pub kept: Option<PersistedState>,
     /// A router's disk.
     pub file: Option<(Version, Document)>,
     /// A router that keeps.
@@ -97,14 +97,14 @@
 
 pub fn kind(message: &Message) -> &'static str {
     match message {
-        Message::Ask { .. } => "ask",
-        Message::Told { .. } => "told",
-        Message::Bye { .. } => "bye",
+        Message::Subscribe { .. } => "ask",
+        Message::Status { .. } => "told",
+        Message::Unsubscribe { .. } => "bye",
         Message::Changes { .. } => "changes",
-        Message::Whole { .. } => "whole",
+        Message::SnapshotPart { .. } => "whole",
         Message::Beat { .. } => "beat",
-        Message::Away { .. } => "away",
-        Message::Long { .. } => "long",
+        Message::Redirect { .. } => "away",
+        Message::ChangesPart { .. } => "long",
         Message::Report { .. } => "report",
         _ => "vote",
     }
@@ -260,15 +260,19 @@
 
     /// The writer of the highest epoch.
     pub fn writer(&self) -> Option<Node> {
-        let writes = |at: &Node| self.machine(*at).and_then(Machine::writes);
+        let writes = |at: &Node| self.machine(*at).and_then(Machine::writer_epoch);
         (0..self.machines).filter(|at| writes(at).is_some()).max_by_key(writes)
     }
 
     /// Publishes at the given one.
-    pub fn publish_at(&mut self, at: Node, edits: Vec<Edit>) -> Result<(), vetchkeel_configuration::Refused> {
+    pub fn publish_at(
+        &mut self,
+        at: Node,
+        edits: Vec<Edit>,
+    ) -> Result<(), vetchkeel_configuration::PublishError> {
         let now = self.now;
         let Some(Process::Machine(machine)) = &mut self.places[at].process else {
-            return Err(vetchkeel_configuration::Refused::NotWriter(None));
+            return Err(vetchkeel_configuration::PublishError::NotWriter(None));
         };
         let done = machine.publish(now, edits);
         self.pull(at);
@@ -330,15 +334,15 @@
         }
         let (now, name) = (self.now, self.places[from].name.clone());
         let message = wire::decode(&bytes).expect("what was sent can be read");
-        if let Message::Told { in_force, .. } = &message
+        if let Message::Status { in_force, .. } = &message
             && place_lives(&self.places[to])
         {
             self.places[from].told = self.places[from].told.max(*in_force);
         }
         let refused = self.answers && !self.is_cut(to, from);
         match &mut self.places[to].process {
-            Some(Process::Machine(machine)) => machine.heard(now, &name, message),
-            Some(Process::Router(router)) => router.heard(now, &name, message),
+            Some(Process::Machine(machine)) => machine.handle_message(now, &name, message),
+            Some(Process::Router(router)) => router.handle_message(now, &name, message),
             None if refused => return self.refuse(from, to),
             None => return,
         }
@@ -352,8 +356,8 @@
             return;
         }
         match &mut self.places[to].process {
-            Some(Process::Machine(machine)) => machine.left(now, &name),
-            Some(Process::Router(router)) => router.broken(now, &name),
+            Some(Process::Machine(machine)) => machine.connection_lost(now, &name),
+            Some(Process::Router(router)) => router.connection_lost(now, &name),
             None => return,
         }
         self.pull(to);
@@ -384,24 +388,24 @@
         self.sleep(at, wake);
     }
 
-    fn carry_out(&mut self, at: Node, machine: &Machine, order: Order) {
+    fn carry_out(&mut self, at: Node, machine: &Machine, order: Action) {
         match order {
-            Order::Keep(record) => {
+            Action::Persist(record) => {
                 let plan = self.plan;
-                self.places[at].kept.get_or_insert_default().take(&record, &plan);
+                self.places[at].kept.get_or_insert_default().apply(&record, &plan);
             }
-            Order::Send { to, message } => {
+            Action::Send { to, message } => {
                 if let Message::Accept { tail, .. } = &message {
                     tail.iter().for_each(|change| self.see(change.version, change.digest));
                 }
                 let to = self.names[&to];
                 self.send(at, to, message);
             }
-            Order::Verdict(verdict) => {
+            Action::Verdict(verdict) => {
                 self.check_verdict(&verdict);
                 self.verdicts.push((self.now, at, verdict));
             }
-            Order::Tell(event) => {
+            Action::Notify(event) => {
                 if let Event::Released(version) = event
                     && version == machine.version()
                 {
@@ -438,7 +442,7 @@
                 self.applied.entry((version, at)).or_insert(self.now);
                 router.applied(self.now, version);
             }
-            Decision::Tell(notice) => self.notices.push((self.now, at, notice)),
+            Decision::Notify(notice) => self.notices.push((self.now, at, notice)),
         }
     }
 
--- a/crates/control/src/carrier.rs
+++ b/crates/control/src/carrier.rs
@@ -63,7 +63,7 @@
     ) -> Result<Carrier, String> {
         let name = link_name(me).ok_or_else(|| format!("expected a name of the link, found '{me}'"))?;
         let sender = Sender { name, incarnation: start };
-        let (message, stream_bytes) = (wire::LONGEST + 64, 2 * wire::LONGEST + 4_096);
+        let (message, stream_bytes) = (wire::MAX_MESSAGE_BYTES + 64, 2 * wire::MAX_MESSAGE_BYTES + 4_096);
         let bounds = Bounds { message, stream_bytes, peer_bytes: 2 * stream_bytes, ..Bounds::default() };
         let kinds = Kinds::new(&[(CONFIGURATION, "configuration"), (ADDRESS, "address")]);
         let sockets = Sockets::bind(sender, kinds, bounds, address, Parts::Tcp, seed)
@@ -99,7 +99,7 @@
     pub fn send(&mut self, now: Tenths, to: &Name, message: &Message) {
         let Some(name) = link_name(to) else { return };
         // Danger: an answer has no way back to who never said where it is reached.
-        if matches!(message, Message::Ask { .. }) {
+        if matches!(message, Message::Subscribe { .. }) {
             let address = self.address.to_string();
             let _ = self.sockets.send(now, &name, STREAM, ADDRESS, address.as_bytes());
         }
--- a/crates/control/src/program/host.rs
+++ b/crates/control/src/program/host.rs
@@ -5,8 +5,8 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use vetchkeel::Router;
-use vetchkeel_configuration::Order as Decision;
-use vetchkeel_configuration::{Document, Event, Kept, Machine, Tenths, Verdict};
+use vetchkeel_configuration::Action as Decision;
+use vetchkeel_configuration::{Document, Event, Machine, PersistedState, Tenths, Verdict};
 use vetchkeel_link::Waker;
 use vetchkeel_log::log_always;
 use vetchkeel_settings as settings;
@@ -58,11 +58,11 @@
     Router::start(told, 0, 0).map(drop).map_err(refused)
 }
 
-fn kept(control: &Control) -> Result<Option<Kept>, String> {
+fn kept(control: &Control) -> Result<Option<PersistedState>, String> {
     let path = control.keep.display();
     let bytes = found(&control.keep).map_err(|e| format!("expected to read {path}: {e}"))?;
     let Some(bytes) = bytes else { return Ok(None) };
-    let kept = Kept::from_bytes(&bytes);
+    let kept = PersistedState::from_bytes(&bytes);
     if kept.is_none() {
         log_always!(
             "control: {path} is cut or damaged, and not used: this machine starts as one that kept nothing"
@@ -99,8 +99,8 @@
             let now = self.clock.now();
             for came in self.carrier.hear(now) {
                 match came {
-                    Came::Message(from, message) => self.machine.heard(now, &from, message),
-                    Came::Left(from) => self.machine.left(now, &from),
+                    Came::Message(from, message) => self.machine.handle_message(now, &from, message),
+                    Came::Left(from) => self.machine.connection_lost(now, &from),
                     Came::Unread(why) => log_always!("control: {why}"),
                 }
             }
@@ -126,7 +126,7 @@
     /// nothing more until it has it back: what it decides waits.
     fn keep(&mut self, now: Tenths) -> bool {
         let path = &self.control.keep;
-        let kept = keep(path, &self.machine.kept().to_bytes());
+        let kept = keep(path, &self.machine.persisted().to_bytes());
         if let Err(why) = &kept {
             log_always!("control: cannot write {}, and says nothing until it can: {why}", path.display());
         }
@@ -140,11 +140,11 @@
         }
         while let Some(decision) = self.machine.next_decision(now) {
             match decision {
-                Decision::Keep(_) if !self.keep(now) => return,
-                Decision::Keep(_) => {}
+                Decision::Persist(_) if !self.keep(now) => return,
+                Decision::Persist(_) => {}
                 Decision::Send { to, message } => self.carrier.send(now, &to, &message),
                 Decision::Verdict(verdict) => say_verdict(&verdict),
-                Decision::Tell(event) => say(&event),
+                Decision::Notify(event) => say(&event),
             }
         }
     }
@@ -166,7 +166,7 @@
         };
         let names: Vec<&str> = edits.iter().take(8).map(|e| e.name.as_str()).collect();
         let names = names.join(", ");
-        match (edits.len(), self.machine.writes()) {
+        match (edits.len(), self.machine.writer_epoch()) {
             (0, Some(_)) => log_always!("control: nothing is published: the document is the one in force"),
             (count, _) => match self.machine.publish(now, edits) {
                 Ok(()) => log_always!("control: published: {count} names changed: {names}"),
@@ -177,7 +177,7 @@
 
     fn print(&self, now: Tenths) {
         let (machine, traffic) = (&self.machine, self.carrier.traffic());
-        let role = match machine.writes() {
+        let role = match machine.writer_epoch() {
             Some(epoch) => format!("writes epoch={epoch}"),
             None => format!("follows writer={}", machine.writer(now).map_or("none", |w| w.as_str())),
         };
@@ -188,7 +188,7 @@
              messages_in={} bytes_in={} messages_out={} bytes_out={} unsent={}",
             machine.ledger().len(),
             entries().filter(|e| e.version >= version).count(),
-            entries().filter(|e| e.linked).count(),
+            entries().filter(|e| e.connected).count(),
             entries().filter(|e| e.refused.is_some()).count(),
             machine.served(),
             traffic.messages_in,
@@ -217,18 +217,22 @@
 
 fn say(event: &Event) {
     match event {
-        Event::Writing(epoch) => log_always!("control: this machine writes, epoch {epoch}"),
-        Event::Stopped(epoch) => log_always!("control: this machine does not write any more, epoch {epoch}"),
+        Event::BecameWriter(epoch) => log_always!("control: this machine writes, epoch {epoch}"),
+        Event::SteppedDown(epoch) => {
+            log_always!("control: this machine does not write any more, epoch {epoch}")
+        }
         Event::Released(version) => log_always!("control: version {version} is released"),
-        Event::Apart(_) => log_always!("control: no writer is heard"),
-        Event::Joined(writer) => log_always!("control: {writer} is heard and writes"),
-        Event::Settled => log_always!("control: this keeper's word counts from now on"),
-        Event::Broken(version, bad) => log_always!("control: {version} does not fit what is held: {bad}"),
+        Event::NoWriter(_) => log_always!("control: no writer is heard"),
+        Event::WriterContact(writer) => log_always!("control: {writer} is heard and writes"),
+        Event::VotingRestored => log_always!("control: this keeper's word counts from now on"),
+        Event::InvalidData(version, bad) => {
+            log_always!("control: {version} does not fit what is held: {bad}")
+        }
         Event::Forgotten(count) => {
             log_always!("control: {count} routers that were long silent are forgotten")
         }
-        Event::Uncounted(name) => log_always!("control: no room in the ledger for {name}"),
-        Event::Full(name) => log_always!("control: all places are taken: {name} is sent elsewhere"),
+        Event::LedgerFull(name) => log_always!("control: no room in the ledger for {name}"),
+        Event::RouterLimit(name) => log_always!("control: all places are taken: {name} is sent elsewhere"),
         Event::Unpublished(edits) => {
             let names: Vec<&str> = edits.iter().map(|e| e.name.as_str()).collect();
             log_always!("control: not published, publish again at the writer: {}", names.join(", "));
--- a/crates/router/src/fleet/configuration/host.rs
+++ b/crates/router/src/fleet/configuration/host.rs
@@ -90,7 +90,7 @@
         let machines: Vec<Name> = settings.machines.keys().cloned().collect();
         let subscriber = Subscriber::new(settings.plan, me.clone(), start, saved, machines, now, seed);
         let mut subscriber = subscriber.map_err(|bad| bad.to_string())?;
-        subscriber.prefer(&settings.near);
+        subscriber.prefer_machines(&settings.near);
         let carrier = Carrier::bind(&me, start, settings.address, settings.machines, now, seed)?;
         let (applying, save_retry_at, serving) = (None, None, false);
         let (status, sent_status, pending) = (Status::default(), Status::default(), VecDeque::new());
@@ -143,8 +143,8 @@
     fn receive(&mut self, now: Tenths) {
         for came in self.carrier.hear(now) {
             match came {
-                Came::Message(from, message) => self.subscriber.heard(now, &from, message),
-                Came::Left(machine) => self.subscriber.broken(now, &machine),
+                Came::Message(from, message) => self.subscriber.handle_message(now, &from, message),
+                Came::Left(machine) => self.subscriber.connection_lost(now, &machine),
                 Came::Unread(why) => log!("configuration: {why}"),
             }
         }
@@ -159,7 +159,7 @@
                     self.applying = Some((version, document));
                     self.pending.push_back(Update::Apply(version, settings));
                 }
-                Decision::Tell(notice) => self.log_notice(now, notice),
+                Decision::Notify(notice) => self.log_notice(now, notice),
             }
         }
         if !self.serving && self.subscriber.may_serve(now) {
@@ -208,13 +208,13 @@
 
     fn log_notice(&mut self, now: Tenths, notice: Notice) {
         match notice {
-            Notice::Silent { since } => {
+            Notice::NoContact { since } => {
                 let age = (now - since) / 10;
                 log!(
                     "configuration: no control machine in contact with a writer for {age} ms; the settings in force stay"
                 );
             }
-            Notice::Heard { machine, after } => {
+            Notice::ContactRestored { machine, after } => {
                 log!("configuration: contact with {machine} after {} ms without any", after / 10);
             }
             Notice::Refused { version, why } => {
@@ -222,13 +222,13 @@
                 self.status.refused += 1;
                 self.status.why = why;
             }
-            Notice::BaseGone { holds } => {
+            Notice::SnapshotNeeded { holds } => {
                 log!(
                     "configuration: version {holds} is no longer in the control machine's log: a full copy follows"
                 );
             }
-            Notice::Serving { version, unsure } => {
-                let by = if unsure {
+            Notice::Serving { version, unconfirmed } => {
+                let by = if unconfirmed {
                     "what was kept, as no control machine is heard"
                 } else {
                     "the control machines"
@@ -242,7 +242,7 @@
     fn send_updates(&mut self, thread_side: &mut ThreadSide<Update, ApplyResult>) -> bool {
         self.status.holds = self.subscriber.holds();
         self.status.machine = self.subscriber.served_by().cloned();
-        self.status.silent_since = self.subscriber.silent_since();
+        self.status.silent_since = self.subscriber.no_contact_since();
         if self.status != self.sent_status {
             self.sent_status = self.status.clone();
             self.pending.retain(|update| !matches!(update, Update::Status(_)));
--- a/crates/scale/src/simulated/control.rs
+++ b/crates/scale/src/simulated/control.rs
@@ -9,8 +9,8 @@
 use crate::{SECOND, Tenths};
 use std::collections::{BTreeMap, VecDeque};
 use vetchkeel_configuration::{
-    Decision, Document, Edit, Event, Kept, Machine, Message, Name, Notice, Order, Plan, Verdict, Version,
-    wire,
+    Action, Decision, Document, Edit, Event, Machine, Message, Name, Notice, PersistedState, Plan, Verdict,
+    Version, wire,
 };
 
 /// A change is in force everywhere after this.
@@ -27,7 +27,7 @@
 pub(super) struct Control {
     pub(super) name: Name,
     machine: Option<Machine>,
-    kept: Option<Kept>,
+    kept: Option<PersistedState>,
     pub(super) stopped: bool,
     inbox: VecDeque<(usize, u64, Vec<u8>)>,
     pub(super) sent: Traffic,
@@ -207,7 +207,7 @@
         control.stopped = false;
         control.inbox.clear();
         if let Some(machine) = control.machine.take() {
-            control.kept = Some(machine.kept().clone());
+            control.kept = Some(machine.persisted().clone());
         }
         self.streams_end(self.routers.len() + number);
     }
@@ -249,7 +249,7 @@
         let Some(machine) = &mut control.machine else { return };
         control.heard.add((bytes.len() + HEADERS) as u64);
         let read = self.costs.of(Role::ControlMachine, || {
-            wire::decode(bytes).map(|message| machine.heard(now, &from, message)).is_ok()
+            wire::decode(bytes).map(|message| machine.handle_message(now, &from, message)).is_ok()
         });
         self.configuration.counted.unread += u64::from(!read);
     }
@@ -282,9 +282,9 @@
     fn machine_tells(&mut self, tell: Told) {
         let counted = &mut self.configuration.counted;
         match tell {
-            Told::Event(Event::Writing(_)) => counted.writers += 1,
-            Told::Event(Event::Full(_)) => counted.sent_elsewhere += 1,
-            Told::Event(Event::Uncounted(_)) => counted.uncounted += 1,
+            Told::Event(Event::BecameWriter(_)) => counted.writers += 1,
+            Told::Event(Event::RouterLimit(_)) => counted.sent_elsewhere += 1,
+            Told::Event(Event::LedgerFull(_)) => counted.uncounted += 1,
             Told::Event(_) => {}
             Told::Verdict(verdict) => {
                 counted.verdicts += 1;
@@ -304,13 +304,13 @@
         match at.checked_sub(self.routers.len()) {
             None => {
                 if let Some(side) = self.routers[at].as_mut().and_then(|hollow| hollow.side.as_mut()) {
-                    side.subscriber.broken(now, &name);
+                    side.subscriber.connection_lost(now, &name);
                 }
                 self.pull_subscriber(at);
             }
             Some(machine) => {
                 if let Some(machine) = &mut self.machines[machine].machine {
-                    machine.left(now, &name);
+                    machine.connection_lost(now, &name);
                 }
                 self.pull_machine(machine);
             }
@@ -347,7 +347,7 @@
             return;
         };
         let read = self.costs.of(Role::Configuration, || {
-            wire::decode(bytes).map(|message| side.subscriber.heard(now, &from, message)).is_ok()
+            wire::decode(bytes).map(|message| side.subscriber.handle_message(now, &from, message)).is_ok()
         });
         self.configuration.counted.unread += u64::from(!read);
         self.pull_subscriber(router);
@@ -368,9 +368,9 @@
             match decision {
                 Decision::Send { to, message } => self.router_sends(router, &to, &message),
                 Decision::Apply { version, document } => self.apply(router, version, document),
-                Decision::Tell(Notice::Silent { .. }) => self.configuration.counted.silences += 1,
-                Decision::Tell(Notice::BaseGone { .. }) => self.configuration.counted.bases_gone += 1,
-                Decision::Tell(_) => {}
+                Decision::Notify(Notice::NoContact { .. }) => self.configuration.counted.silences += 1,
+                Decision::Notify(Notice::SnapshotNeeded { .. }) => self.configuration.counted.bases_gone += 1,
+                Decision::Notify(_) => {}
             }
         }
         self.check_ready(router);
@@ -474,7 +474,7 @@
             return;
         }
         // Of several that take themselves for the writer, the one of the latest epoch.
-        let epoch = |control: &Control| control.machine.as_ref().filter(|_| !control.stopped)?.writes();
+        let epoch = |control: &Control| control.machine.as_ref().filter(|_| !control.stopped)?.writer_epoch();
         let writers =
             self.machines.iter().enumerate().filter_map(|(at, control)| Some((epoch(control)?, at)));
         if let Some((_, writer)) = writers.max() {
@@ -511,10 +511,10 @@
     while let Some(order) = machine.next_decision(now) {
         match order {
             // Kept at once: what the machine holds is found again at its next start.
-            Order::Keep(_) => {}
-            Order::Send { to, message } => sends.extend(wire::encode(&message).map(|bytes| (to, bytes))),
-            Order::Verdict(verdict) => tells.push(Told::Verdict(verdict)),
-            Order::Tell(event) => tells.push(Told::Event(event)),
+            Action::Persist(_) => {}
+            Action::Send { to, message } => sends.extend(wire::encode(&message).map(|bytes| (to, bytes))),
+            Action::Verdict(verdict) => tells.push(Told::Verdict(verdict)),
+            Action::Notify(event) => tells.push(Told::Event(event)),
         }
     }
     (sends, tells)
--- a/crates/slopes/src/configuration.rs
+++ b/crates/slopes/src/configuration.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 use vetchkeel_configuration::{
-    Decision, Document, Edit, Machine, Message, Name, Order, Plan, Subscriber, Tenths, Version, wire,
+    Action, Decision, Document, Edit, Machine, Message, Name, Plan, Subscriber, Tenths, Version, wire,
 };
 
 const SECOND: Tenths = 10_000;
@@ -162,7 +162,7 @@
         let wake = match who {
             Who::Machine => {
                 while let Some(order) = self.machine.next_decision(self.now) {
-                    if let Order::Send { to, message } = order {
+                    if let Action::Send { to, message } = order {
                         let at = to.as_str().strip_prefix("router-").and_then(|n| n.parse().ok());
                         sent.extend(at.map(|at: usize| (Who::Router(at), message)));
                     }
@@ -174,7 +174,7 @@
                     match decision {
                         Decision::Send { message, .. } => sent.push((Who::Machine, message)),
                         Decision::Apply { version, .. } => self.routers[at].applied(self.now, version),
-                        Decision::Tell(_) => {}
+                        Decision::Notify(_) => {}
                     }
                 }
                 self.routers[at].wake_at()
@@ -201,8 +201,8 @@
         let began = processor::of_thread();
         let message = wire::decode(bytes).map_err(|e| format!("{e:?}"))?;
         match (from, to) {
-            (Who::Router(at), _) => self.machine.heard(self.now, &router(at)?, message),
-            (_, Who::Router(at)) => self.routers[at].heard(self.now, &name("control-01")?, message),
+            (Who::Router(at), _) => self.machine.handle_message(self.now, &router(at)?, message),
+            (_, Who::Router(at)) => self.routers[at].handle_message(self.now, &name("control-01")?, message),
             _ => {}
         }
         self.spend(to, processor::of_thread() - began);
