--- a/crates/configuration/tests/values.rs
+++ b/crates/configuration/tests/values.rs
@@ -1,4 +1,4 @@
-//! Documents, changes, the log, what is kept and what goes over the wire: bounds, and what is refused.
+//! Size limits, round trips and rejection of invalid input: documents, changes, the log, the kept state and messages.
 
 use std::collections::BTreeMap;
 
@@ -15,14 +15,14 @@
 fn document(names: &[(&str, &str)]) -> Document {
     let names: BTreeMap<String, String> =
         names.iter().map(|(name, value)| (name.to_string(), value.to_string())).collect();
-    Document::from(names).expect("within the bounds")
+    Document::from(names).expect("within the limits")
 }
 
 fn version(number: u64) -> Version {
     Version { epoch: 1, number }
 }
 
-/// A change without edits, from one number to the next.
+/// A change without edits from version `number - 1` to `number`.
 fn change(number: u64) -> Change {
     let digest = Document::default().digest();
     Change { version: version(number), after: version(number - 1), published: 0, edits: Vec::new(), digest }
@@ -32,24 +32,24 @@
 #[case::empty_name(vec![edit("", "x")], Bad::Name(String::new()))]
 #[case::long_name(vec![edit(&"n".repeat(NAME_MOST + 1), "x")], Bad::Name("n".repeat(NAME_MOST + 1)))]
 #[case::long_value(vec![edit("n", &"x".repeat(VALUE_MOST + 1))], Bad::Value("n".into()))]
-#[case::twice(vec![edit("n", "x"), edit("n", "y")], Bad::Twice("n".into()))]
-#[case::names((0..=NAMES_MOST).map(|at| edit(&at.to_string(), "")).collect(), Bad::Names(NAMES_MOST + 1))]
-#[case::bytes((0..17).map(|at| edit(&format!("{at:02}"), &"x".repeat(VALUE_MOST))).collect(),
+#[case::duplicate_name(vec![edit("n", "x"), edit("n", "y")], Bad::Twice("n".into()))]
+#[case::too_many_names((0..=NAMES_MOST).map(|at| edit(&at.to_string(), "")).collect(), Bad::Names(NAMES_MOST + 1))]
+#[case::too_many_bytes((0..17).map(|at| edit(&format!("{at:02}"), &"x".repeat(VALUE_MOST))).collect(),
     Bad::Bytes(17 * (VALUE_MOST + 2)))]
-fn a_document_out_of_bounds_is_refused(#[case] edits: Vec<Edit>, #[case] expected: Bad) {
+fn document_beyond_a_limit_is_rejected(#[case] edits: Vec<Edit>, #[case] expected: Bad) {
     assert_eq!(Document::default().changed(&edits), Err(expected));
 }
 
 #[test]
-fn a_document_at_its_bounds_is_taken() {
+fn document_at_the_size_limit_is_accepted() {
     let value = "x".repeat(VALUE_MOST - 2);
     let edits: Vec<Edit> = (0..16).map(|at| edit(&format!("{at:02}"), &value)).collect();
-    let full = Document::default().changed(&edits).expect("it fits");
+    let full = Document::default().changed(&edits).expect("it is within the size limit");
     assert_eq!(full.bytes(), DOCUMENT_MOST);
 }
 
 #[test]
-fn edits_lead_from_one_document_to_the_other() {
+fn edits_between_two_documents_turn_one_into_the_other() {
     let one = document(&[("a", "1"), ("b", "2"), ("c", "3")]);
     let other = document(&[("b", "2"), ("c", "4"), ("d", "5")]);
     let edits = one.edits_to(&other);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn digests_tell_names_from_values() {
+fn digest_separates_names_from_values() {
     assert_ne!(document(&[("ab", "c")]).digest(), document(&[("a", "bc")]).digest());
     assert_ne!(document(&[("a", ""), ("b", "")]).digest(), document(&[("a", "b")]).digest());
 }
@@ -67,23 +67,23 @@
 #[case::newest(9, Since::Nothing)]
 #[case::one_behind(8, Since::Changes(vec![change(9)]))]
 #[case::oldest_held(6, Since::Changes(vec![change(7), change(8), change(9)]))]
-#[case::gone(5, Since::Whole)]
-#[case::ahead(10, Since::Whole)]
-fn a_log_leads_on_from_what_it_holds(#[case] from: u64, #[case] expected: Since) {
+#[case::already_dropped(5, Since::Whole)]
+#[case::newer_than_the_log(10, Since::Whole)]
+fn log_returns_the_changes_after_a_held_version(#[case] from: u64, #[case] expected: Since) {
     let mut log = Log::default();
     (1..10).for_each(|number| log.push(change(number), 3, usize::MAX));
     assert_eq!(log.since(version(from)), expected);
 }
 
 #[test]
-fn a_log_is_bounded_by_bytes() {
+fn log_size_is_limited_in_bytes() {
     let mut log = Log::default();
     (1..100).for_each(|number| log.push(change(number), usize::MAX, 480));
     assert_eq!((log.len(), log.bytes()), (10, 480));
 }
 
 #[test]
-fn a_log_with_a_gap_starts_anew() {
+fn gap_in_the_changes_restarts_the_log() {
     let mut log = Log::default();
     [1, 2, 5].into_iter().for_each(|number| log.push(change(number), 10, usize::MAX));
     assert_eq!(log.since(version(1)), Since::Whole);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_whole_copy_comes_back_as_it_was() {
+fn full_copy_round_trips() {
     let document = document(&[("a", "1"), ("b", &"x".repeat(10_000))]);
     let bytes = whole::pack(version(7), 5, &document);
     assert!(bytes.len() < 200, "{} bytes", bytes.len());
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_damaged_whole_copy_is_refused() {
+fn full_copy_with_a_flipped_bit_is_rejected() {
     let good = document(&[("a", "1"), ("b", "a value that is a little longer")]);
     let bytes = whole::pack(version(7), 5, &good);
     for at in 0..bytes.len() {
@@ -112,23 +112,23 @@
 }
 
 #[test]
-fn a_few_bytes_do_not_unpack_to_gigabytes() {
-    let bomb = zstd::encode_all(std::io::repeat(0).take_most(64 << 20), 3).expect("it packs");
+fn decompression_bomb_is_rejected() {
+    let bomb = zstd::encode_all(std::io::repeat(0).take_at_most(64 << 20), 3).expect("compression succeeds");
     assert!(bomb.len() < 10_000);
     assert!(matches!(whole::unpack(&bomb), Err(Bad::Bytes(_))));
 }
 
-/// So many bytes of a reader without an end.
-trait TakeMost: std::io::Read + Sized {
-    fn take_most(self, most: u64) -> std::io::Take<Self> {
-        self.take(most)
+/// Limits an endless reader to `limit` bytes.
+trait TakeAtMost: std::io::Read + Sized {
+    fn take_at_most(self, limit: u64) -> std::io::Take<Self> {
+        self.take(limit)
     }
 }
 
-impl TakeMost for std::io::Repeat {}
+impl TakeAtMost for std::io::Repeat {}
 
 #[test]
-fn what_is_kept_comes_back_and_damage_is_seen() {
+fn kept_state_round_trips_and_corruption_is_detected() {
     let mut kept = Kept::default();
     let plan = Plan::default();
     kept.take(&Record::Promised(3), &plan);
@@ -149,18 +149,18 @@
 
 #[rstest]
 #[case::empty(vec![], wire::Unread::Empty)]
-#[case::other_version(vec![9, 0, 0], wire::Unread::Version(9))]
+#[case::unsupported_version(vec![9, 0, 0], wire::Unread::Version(9))]
 #[case::unknown_kind(vec![wire::VERSION, 99], wire::Unread::Malformed)]
 #[case::too_long(vec![wire::VERSION; wire::LONGEST + 1], wire::Unread::TooLong(wire::LONGEST + 1))]
-fn bytes_that_are_no_message_are_refused(#[case] bytes: Vec<u8>, #[case] expected: wire::Unread) {
+fn undecodable_message_is_rejected(#[case] bytes: Vec<u8>, #[case] expected: wire::Unread) {
     assert_eq!(wire::decode(&bytes), Err(expected));
 }
 
 #[test]
-fn a_message_comes_back_and_nothing_may_be_behind_it() {
+fn message_round_trips_and_trailing_bytes_are_rejected() {
     let outcome = Outcome::Refused { why: "a reason".into() };
     let message = Message::Told { start: 1, turn: 2, in_force: version(3), version: version(4), outcome };
-    let mut bytes = wire::encode(&message).expect("it fits");
+    let mut bytes = wire::encode(&message).expect("it is within the size limit");
     assert_eq!(bytes.len(), wire::length(&message));
     assert_eq!(wire::decode(&bytes), Ok(message));
     bytes.push(0);
@@ -171,29 +171,29 @@
 #[case("")]
 #[case("with space")]
 #[case("a-name-of-thirty-three-characters")]
-fn a_bad_name_is_refused(#[case] text: &str) {
+fn invalid_name_is_rejected(#[case] text: &str) {
     assert!(Name::new(text).is_err());
 }
 
 #[test]
-fn a_plan_that_can_not_work_is_refused_by_name() {
+fn invalid_plan_is_rejected_with_the_failing_field() {
     let plan = Plan { patience: 10_000, ..Plan::default() };
     assert_eq!(plan.check(), Err(BadPlan { what: "patience", expected: "at least two beats" }));
-    let me = Name::new("r1").expect("a good name");
+    let me = Name::new("r1").expect("a valid name");
     assert!(Subscriber::new(Plan::default(), me, 1, None, Vec::new(), 0, 1).is_err());
 }
 
 #[test]
-fn edits_that_wait_at_the_writer_are_bounded() {
-    let me = Name::new("m1").expect("a good name");
+fn pending_edits_at_the_writer_are_limited() {
+    let me = Name::new("m1").expect("a valid name");
     let plan = Plan { waiting_bytes: 4_096, ..Plan::default() };
     let all = vec![me.clone()];
     let machine = Machine::new(plan, me, all.clone(), all, None, |_| Ok(()), 0, 1);
-    let mut machine = machine.expect("a good plan");
+    let mut machine = machine.expect("a valid plan");
     let mut now = 0;
-    // Alone it is its own majority.
+    // A single keeper is a majority by itself, so the machine elects itself.
     while machine.writes().is_none() {
-        now = machine.wake_at().expect("it goes on");
+        now = machine.wake_at().expect("a wake-up time is set");
         while machine.next_decision(now).is_some() {}
     }
     let publish = |machine: &mut Machine| machine.publish(now, vec![edit("n", &"x".repeat(3_000))]);
