--- a/crates/configuration/tests/one.rs
+++ b/crates/configuration/tests/one.rs
@@ -1,4 +1,4 @@
-//! One keeper, one writer, one router, told message by message what a fleet brings about rarely.
+//! A single keeper, writer or router, driven message by message through cases that rarely occur in a simulated fleet.
 
 use std::collections::BTreeMap;
 
@@ -8,29 +8,29 @@
 };
 
 fn name(text: &str) -> Name {
-    Name::new(text).expect("a good name")
+    Name::new(text).expect("a valid name")
 }
 
 fn names() -> Vec<Name> {
     (0..5).map(|at| name(&format!("m{at}"))).collect()
 }
 
-fn at(epoch: u32, number: u64) -> Version {
+fn version(epoch: u32, number: u64) -> Version {
     Version { epoch, number }
 }
 
-fn edited(value: &str) -> (Vec<Edit>, Document) {
+fn document_with_limit(value: &str) -> (Vec<Edit>, Document) {
     let document = Document::from(BTreeMap::from([("limit".to_string(), value.to_string())]));
-    (vec![Edit { name: "limit".into(), value: Some(value.into()) }], document.expect("within the bounds"))
+    (vec![Edit { name: "limit".into(), value: Some(value.into()) }], document.expect("within the limits"))
 }
 
-/// From the empty document to one with this limit.
-fn first(value: &str) -> Change {
-    let (edits, document) = edited(value);
-    Change { version: at(1, 1), after: Version::NONE, published: 0, edits, digest: document.digest() }
+/// The change from the empty document to one that sets `limit` to this value.
+fn first_change(value: &str) -> Change {
+    let (edits, document) = document_with_limit(value);
+    Change { version: version(1, 1), after: Version::NONE, published: 0, edits, digest: document.digest() }
 }
 
-/// A keeper that counts, and has promised epoch 1.
+/// The kept state of a settled keeper (its vote counts) that has promised epoch 1.
 fn settled() -> Kept {
     let mut kept = Kept::default();
     kept.take(&Record::Promised(1), &Plan::default());
@@ -40,15 +40,21 @@
 
 fn keeper(kept: Option<Kept>) -> Machine {
     let machine = Machine::new(Plan::default(), name("m0"), names(), names(), kept, |_| Ok(()), 0, 1);
-    machine.expect("a good plan")
+    machine.expect("a valid plan")
 }
 
 fn orders(machine: &mut Machine, now: Tenths) -> Vec<Order> {
     std::iter::from_fn(|| machine.next_decision(now)).collect()
 }
 
-/// Asks for the promise of an epoch; was it granted, and what was kept before it was said?
-fn ask(machine: &mut Machine, from: &str, epoch: u32, held: Version, founding: bool) -> (bool, Vec<Record>) {
+/// Asks the keeper to promise an epoch. Returns whether it is granted and the records kept before the reply is sent.
+fn request_promise(
+    machine: &mut Machine,
+    from: &str,
+    epoch: u32,
+    held: Version,
+    founding: bool,
+) -> (bool, Vec<Record>) {
     machine.heard(10, &name(from), Message::Prepare { epoch, held, trial: false, founding });
     let mut kept = Vec::new();
     for order in orders(machine, 10) {
@@ -58,45 +64,48 @@
             _ => {}
         }
     }
-    panic!("no answer")
+    panic!("the keeper sent no reply")
 }
 
 #[test]
-fn a_promise_is_on_disk_before_it_is_given_and_holds_over_a_restart() {
+fn promise_is_persisted_before_the_reply_and_survives_a_restart() {
     let mut machine = keeper(Some(settled()));
-    let (granted, records) = ask(&mut machine, "m1", 2, Version::NONE, false);
+    let (granted, records) = request_promise(&mut machine, "m1", 2, Version::NONE, false);
     assert!(granted);
     assert!(records.contains(&Record::Promised(2)), "{records:?}");
     let mut kept = settled();
     records.iter().for_each(|record| kept.take(record, &Plan::default()));
-    let mut again = keeper(Some(kept));
-    assert!(!ask(&mut again, "m2", 2, Version::NONE, false).0, "one epoch for two");
-    assert!(ask(&mut again, "m2", 3, Version::NONE, false).0);
+    let mut restarted = keeper(Some(kept));
+    assert!(
+        !request_promise(&mut restarted, "m2", 2, Version::NONE, false).0,
+        "epoch 2 is promised to two candidates"
+    );
+    assert!(request_promise(&mut restarted, "m2", 3, Version::NONE, false).0);
 }
 
 #[test]
-fn a_keeper_promises_nothing_to_one_that_holds_less() {
+fn keeper_rejects_a_candidate_that_holds_an_older_version() {
     let mut kept = settled();
-    kept.take(&Record::Held(vec![first("7")]), &Plan::default());
+    kept.take(&Record::Held(vec![first_change("7")]), &Plan::default());
     let mut machine = keeper(Some(kept));
-    assert!(!ask(&mut machine, "m1", 2, Version::NONE, false).0);
-    assert!(ask(&mut machine, "m1", 3, at(1, 1), false).0);
+    assert!(!request_promise(&mut machine, "m1", 2, Version::NONE, false).0);
+    assert!(request_promise(&mut machine, "m1", 3, version(1, 1), false).0);
 }
 
 #[test]
-fn a_keeper_that_kept_nothing_promises_only_to_a_founder() {
+fn keeper_without_state_promises_only_to_a_founding_candidate() {
     let mut machine = keeper(None);
-    assert!(!ask(&mut machine, "m1", 2, at(1, 1), false).0);
-    let (granted, records) = ask(&mut machine, "m1", 3, Version::NONE, true);
+    assert!(!request_promise(&mut machine, "m1", 2, version(1, 1), false).0);
+    let (granted, records) = request_promise(&mut machine, "m1", 3, Version::NONE, true);
     assert!(granted && records.contains(&Record::Settled), "{records:?}");
 }
 
-/// Lets a machine stand and be promised everything, in which epoch.
+/// Lets a machine become a candidate and grants it every promise; returns the epoch in which it writes, if any.
 fn elect(machine: &mut Machine, fresh: bool) -> (Tenths, Option<u32>) {
     let now = 100_000;
-    let mut asked = orders(machine, now);
+    let mut sent = orders(machine, now);
     for _ in 0..2 {
-        let prepared: Vec<Message> = asked
+        let prepared: Vec<Message> = sent
             .into_iter()
             .filter_map(|order| match order {
                 Order::Send { message: message @ Message::Prepare { .. }, .. } => Some(message),
@@ -105,34 +114,34 @@
             .collect();
         let Some(Message::Prepare { epoch, trial, .. }) = prepared.first().cloned() else { break };
         for from in ["m1", "m2", "m3"] {
-            let held = at(1, 1);
+            let held = version(1, 1);
             let answer = Message::Promised { epoch, trial, granted: true, promised: epoch, held, fresh };
             machine.heard(now, &name(from), answer);
         }
-        asked = orders(machine, now);
+        sent = orders(machine, now);
     }
     (now, machine.writes())
 }
 
 #[test]
-fn one_that_kept_nothing_does_not_write_whoever_would_have_it() {
+fn machine_without_state_does_not_become_the_writer() {
     let mut machine = keeper(None);
     assert_eq!(elect(&mut machine, false).1, None);
 }
 
 #[test]
-fn promises_of_those_that_kept_nothing_do_not_count() {
+fn promises_of_keepers_without_state_do_not_count() {
     let mut machine = keeper(Some(settled()));
     assert_eq!(elect(&mut machine, true).1, None);
 }
 
 #[test]
-fn what_an_earlier_writer_left_is_released_only_below_a_change_of_this_epoch() {
+fn changes_of_an_earlier_epoch_are_released_only_with_one_of_the_current_epoch() {
     let mut kept = settled();
-    kept.take(&Record::Held(vec![first("7")]), &Plan::default());
+    kept.take(&Record::Held(vec![first_change("7")]), &Plan::default());
     let mut machine = keeper(Some(kept));
     let (now, epoch) = elect(&mut machine, false);
-    let epoch = epoch.expect("it writes");
+    let epoch = epoch.expect("the machine writes");
     let accepted = |machine: &mut Machine, round: u64, held: Version| {
         for from in ["m1", "m2"] {
             let released = Version::NONE;
@@ -142,20 +151,20 @@
         orders(machine, now);
         machine.version()
     };
-    // A majority holds it, and yet another writer of a later epoch may still take it back.
-    assert_eq!(accepted(&mut machine, 1, at(1, 1)), Version::NONE);
-    assert_eq!(accepted(&mut machine, 2, at(epoch, 2)), at(epoch, 2));
+    // A majority holds the change, but the writer of a later epoch may still discard it.
+    assert_eq!(accepted(&mut machine, 1, version(1, 1)), Version::NONE);
+    assert_eq!(accepted(&mut machine, 2, version(epoch, 2)), version(epoch, 2));
     assert_eq!(machine.document().get("limit"), Some("7"));
 }
 
 #[test]
-fn keepers_that_kept_nothing_do_not_release() {
+fn keepers_without_state_do_not_count_towards_a_release() {
     let mut machine = keeper(Some(settled()));
     let (now, epoch) = elect(&mut machine, false);
-    let epoch = epoch.expect("it writes");
+    let epoch = epoch.expect("the machine writes");
     let mut accepted = |round: u64, fresh: bool| {
         for from in ["m1", "m2"] {
-            let held = at(epoch, 1);
+            let held = version(epoch, 1);
             let message = Message::Accepted { epoch, round, held, released: Version::NONE, fresh };
             machine.heard(now, &name(from), message);
         }
@@ -163,13 +172,13 @@
         machine.version()
     };
     assert_eq!(accepted(1, true), Version::NONE);
-    assert_eq!(accepted(2, false), at(epoch, 1));
+    assert_eq!(accepted(2, false), version(epoch, 1));
 }
 
-/// A router with what it is served by, and the number of its ask.
-fn asking(kept: Option<(Version, Document)>) -> (Subscriber, Name, u32) {
+/// A router that has sent a request, the machine it asked and the number (`turn`) of the request.
+fn router_with_request(kept: Option<(Version, Document)>) -> (Subscriber, Name, u32) {
     let router = Subscriber::new(Plan::default(), name("r1"), 1, kept, names(), 0, 1);
-    let mut router = router.expect("a good plan");
+    let mut router = router.expect("a valid plan");
     let (mut now, mut asked) = (0, None);
     while asked.is_none() {
         while let Some(decision) = router.next_decision(now) {
@@ -179,13 +188,13 @@
                 _ => {}
             }
         }
-        now = router.wake_at().expect("it goes on").max(now);
+        now = router.wake_at().expect("a wake-up time is set").max(now);
     }
-    let (to, turn) = asked.expect("it asked");
+    let (to, turn) = asked.expect("the router sent a request");
     (router, to, turn)
 }
 
-fn applies(router: &mut Subscriber, now: Tenths) -> Vec<Version> {
+fn versions_to_apply(router: &mut Subscriber, now: Tenths) -> Vec<Version> {
     let decisions = std::iter::from_fn(|| router.next_decision(now));
     let version = |decision| match decision {
         Decision::Apply { version, .. } => Some(version),
@@ -195,10 +204,10 @@
 }
 
 #[test]
-fn machines_of_its_own_zone_are_asked_first() {
+fn router_asks_machines_of_its_own_zone_first() {
     for near in names() {
         let router = Subscriber::new(Plan::default(), name("r1"), 1, None, names(), 0, 1);
-        let mut router = router.expect("a good plan");
+        let mut router = router.expect("a valid plan");
         router.prefer(std::slice::from_ref(&near));
         let now = Plan::default().spread;
         let asked = std::iter::from_fn(|| router.next_decision(now)).find_map(|decision| match decision {
@@ -210,63 +219,69 @@
 }
 
 #[test]
-fn an_older_whole_copy_does_not_lead_back() {
-    let (_, newer) = edited("8");
-    let (_, older) = edited("7");
-    let (mut router, machine, turn) = asking(Some((at(2, 5), newer)));
-    let bytes = whole::pack(at(2, 4), 0, &older);
-    let message = Message::Whole { turn, version: at(2, 4), published: 0, part: 0, of: 1, bytes };
+fn older_full_copy_does_not_roll_a_router_back() {
+    let (_, newer) = document_with_limit("8");
+    let (_, older) = document_with_limit("7");
+    let (mut router, machine, turn) = router_with_request(Some((version(2, 5), newer)));
+    let bytes = whole::pack(version(2, 4), 0, &older);
+    let message = Message::Whole { turn, version: version(2, 4), published: 0, part: 0, of: 1, bytes };
     router.heard(30_000, &machine, message);
-    assert_eq!(applies(&mut router, 30_000), vec![]);
-    assert_eq!(router.holds(), at(2, 5));
+    assert_eq!(versions_to_apply(&mut router, 30_000), vec![]);
+    assert_eq!(router.holds(), version(2, 5));
 }
 
 #[test]
-fn one_apply_at_a_time_and_the_newest_next() {
-    let (mut router, machine, turn) = asking(None);
-    router.heard(30_000, &machine, Message::Changes { turn, changes: vec![first("7")] });
-    assert_eq!(applies(&mut router, 30_000), vec![at(1, 1)]);
-    let (edits, document) = edited("8");
+fn router_applies_one_version_at_a_time_and_the_newest_next() {
+    let (mut router, machine, turn) = router_with_request(None);
+    router.heard(30_000, &machine, Message::Changes { turn, changes: vec![first_change("7")] });
+    assert_eq!(versions_to_apply(&mut router, 30_000), vec![version(1, 1)]);
+    let (edits, document) = document_with_limit("8");
     let digest = document.digest();
-    let next = Change { version: at(1, 2), after: at(1, 1), published: 0, edits: edits.clone(), digest };
-    let last = Change { version: at(1, 3), after: at(1, 2), published: 0, edits, digest };
+    let next =
+        Change { version: version(1, 2), after: version(1, 1), published: 0, edits: edits.clone(), digest };
+    let last = Change { version: version(1, 3), after: version(1, 2), published: 0, edits, digest };
     router.heard(30_000, &machine, Message::Changes { turn, changes: vec![next, last] });
-    assert_eq!(applies(&mut router, 30_000), vec![], "the host has one in hand");
-    router.applied(30_000, at(1, 1));
-    assert_eq!(applies(&mut router, 30_000), vec![at(1, 3)]);
-    router.refused(30_000, at(1, 3), "no".into());
-    assert_eq!(router.in_force(), at(1, 1));
+    assert_eq!(versions_to_apply(&mut router, 30_000), vec![], "the host is still applying a version");
+    router.applied(30_000, version(1, 1));
+    assert_eq!(versions_to_apply(&mut router, 30_000), vec![version(1, 3)]);
+    router.refused(30_000, version(1, 3), "no".into());
+    assert_eq!(router.in_force(), version(1, 1));
 }
 
 #[test]
-fn a_gap_is_asked_for_from_where_it_is() {
-    let (document, later) = (edited("7").1, edited("8"));
-    let (mut router, machine, turn) = asking(Some((at(1, 1), document)));
-    let change =
-        Change { version: at(1, 3), after: at(1, 2), published: 0, edits: later.0, digest: later.1.digest() };
+fn router_asks_again_from_its_held_version_after_a_gap() {
+    let (document, later) = (document_with_limit("7").1, document_with_limit("8"));
+    let (mut router, machine, turn) = router_with_request(Some((version(1, 1), document)));
+    let change = Change {
+        version: version(1, 3),
+        after: version(1, 2),
+        published: 0,
+        edits: later.0,
+        digest: later.1.digest(),
+    };
     router.heard(30_000, &machine, Message::Changes { turn, changes: vec![change] });
     let asked = std::iter::from_fn(|| router.next_decision(31_000)).find_map(|decision| match decision {
         Decision::Send { message: Message::Ask { holds, .. }, .. } => Some(holds),
         _ => None,
     });
-    assert_eq!(asked, Some(at(1, 1)));
+    assert_eq!(asked, Some(version(1, 1)));
 }
 
 #[test]
-fn what_answers_an_earlier_ask_is_passed_over() {
-    let (mut router, machine, turn) = asking(None);
-    router.heard(30_000, &machine, Message::Changes { turn: turn - 1, changes: vec![first("7")] });
-    router.heard(30_000, &name("m9"), Message::Changes { turn, changes: vec![first("7")] });
+fn answer_to_an_earlier_request_is_ignored() {
+    let (mut router, machine, turn) = router_with_request(None);
+    router.heard(30_000, &machine, Message::Changes { turn: turn - 1, changes: vec![first_change("7")] });
+    router.heard(30_000, &name("m9"), Message::Changes { turn, changes: vec![first_change("7")] });
     assert_eq!(router.holds(), Version::NONE);
 }
 
 #[test]
-fn one_that_kept_nothing_says_so_until_it_is_told_its_floor() {
-    let (mut router, machine, turn) = asking(None);
-    router.heard(30_000, &machine, Message::Changes { turn, changes: vec![first("7")] });
-    assert_eq!(applies(&mut router, 30_000), vec![at(1, 1)]);
-    router.applied(30_000, at(1, 1));
-    // What it was sent since its start is not what it had been told before.
+fn router_without_state_asks_as_lost_until_it_learns_its_floor() {
+    let (mut router, machine, turn) = router_with_request(None);
+    router.heard(30_000, &machine, Message::Changes { turn, changes: vec![first_change("7")] });
+    assert_eq!(versions_to_apply(&mut router, 30_000), vec![version(1, 1)]);
+    router.applied(30_000, version(1, 1));
+    // A version received since the start does not show which version the router had in force before it.
     let mut ask_again = |now: Tenths, from: &Name| {
         router.broken(now, from);
         let asked =
@@ -274,24 +289,24 @@
                 Decision::Send { to, message: Message::Ask { lost, turn, .. } } => Some((to, lost, turn)),
                 _ => None,
             });
-        let (to, lost, turn) = asked.expect("it asks another one");
-        let beat = Message::Beat { turn, version: at(1, 1), floor: Some(at(1, 1)), apart: false };
+        let (to, lost, turn) = asked.expect("the router asks another machine");
+        let beat = Message::Beat { turn, version: version(1, 1), floor: Some(version(1, 1)), apart: false };
         router.heard(now + 2_100, &to, beat);
         (to, lost)
     };
     let (second, lost) = ask_again(30_000, &machine);
-    assert!(lost, "it asks like one that kept a file");
-    assert!(!ask_again(40_000, &second).1, "its floor is known");
+    assert!(lost, "the router asks as if it had a saved document");
+    assert!(!ask_again(40_000, &second).1, "the router asks as lost although its floor is known");
 }
 
 fn report(machine: &mut Machine, from: &str, turn: u32, linked: bool) -> Vec<Order> {
-    let entry = Entry { name: name("r1"), start: 1, turn, version: at(1, 1), refused: None, linked };
+    let entry = Entry { name: name("r1"), start: 1, turn, version: version(1, 1), refused: None, linked };
     machine.heard(10, &name(from), Message::Report { mark: 0, by: name(from), entries: vec![entry] });
     orders(machine, 10)
 }
 
 #[test]
-fn a_machine_that_the_router_has_left_makes_it_not_silent() {
+fn late_report_of_a_former_machine_does_not_make_the_router_silent() {
     let mut machine = keeper(Some(settled()));
     report(&mut machine, "m1", 2, true);
     report(&mut machine, "m2", 1, false);
@@ -299,7 +314,7 @@
 }
 
 #[test]
-fn a_keeper_knows_its_routers_by_name_after_a_restart() {
+fn keeper_remembers_router_names_over_a_restart() {
     let mut machine = keeper(Some(settled()));
     let mut kept = settled();
     for order in report(&mut machine, "m1", 1, true) {
@@ -307,22 +322,22 @@
             kept.take(&record, &Plan::default());
         }
     }
-    let again = keeper(Some(kept));
-    assert!(again.ledger().get(&name("r1")).is_some_and(|entry| !entry.linked));
+    let restarted = keeper(Some(kept));
+    assert!(restarted.ledger().get(&name("r1")).is_some_and(|entry| !entry.linked));
 }
 
 #[test]
-fn a_keeper_tells_a_new_writer_of_routers_of_other_machines() {
+fn keeper_reports_routers_of_other_machines_to_a_new_writer() {
     let mut machine = keeper(Some(settled()));
     report(&mut machine, "m2", 1, true);
     let (released, tail) = (Version::NONE, Vec::new());
     let message = Message::Accept { epoch: 2, round: 1, released, tail, judged: released, mark: 0, sure: 0 };
     machine.heard(20, &name("m1"), message);
-    let told = orders(&mut machine, 10_000).into_iter().any(|order| match order {
+    let relayed = orders(&mut machine, 10_000).into_iter().any(|order| match order {
         Order::Send { to, message: Message::Report { by, entries, .. } } => {
             to == name("m1") && by == name("m2") && entries.len() == 1
         }
         _ => false,
     });
-    assert!(told);
+    assert!(relayed);
 }
