--- a/crates/configuration/tests/fleet.rs
+++ b/crates/configuration/tests/fleet.rs
@@ -1,6 +1,7 @@
-//! A fleet's configuration under loss, cuts, stops, kills and restarts. The world checks at every step, from outside: no
-//! two documents under one version, what is released is on the disks of a majority of keepers, no router goes back or
-//! serves below what it had told, and no verdict that is not so.
+//! Simulated fleets under message loss, network partitions, paused and killed processes and restarts. At every step
+//! the world checks from outside that no version has two documents, that a released version is on the disks of a
+//! majority of keepers, that no router goes back to an older version or serves one below its last report, and that
+//! every verdict is true.
 
 mod world;
 
@@ -9,15 +10,16 @@
 use vetchkeel_configuration::{Event, Message, Notice, Refused, Tenths, Version};
 use world::{Node, SECOND, World, edit};
 
-/// A change is in force everywhere within this, also with one machine killed and one stopped.
-const IN_FORCE: Tenths = 14 * SECOND;
-/// After any schedule all are at one version within this, once the links are whole.
-const HEALED: Tenths = 40 * SECOND;
+/// Time within which a change is in force everywhere, also with one machine killed and one paused.
+const IN_FORCE_LIMIT: Tenths = 14 * SECOND;
+/// Time within which all nodes converge on one version after the last fault is repaired.
+const CONVERGENCE_LIMIT: Tenths = 40 * SECOND;
 
-/// Publishes as soon as someone takes it, as an operator's program would, at most so long; the time it took.
-fn publish(world: &mut World, name: &str, value: &str, most: Tenths) -> Option<Tenths> {
+/// Retries until a machine accepts the change, as an operator's program does. Returns the time taken, or `None` after
+/// `limit`.
+fn publish(world: &mut World, name: &str, value: &str, limit: Tenths) -> Option<Tenths> {
     let from = world.now;
-    while world.now - from <= most {
+    while world.now - from <= limit {
         if world.publish(name, value) {
             return Some(world.now - from);
         }
@@ -27,32 +29,35 @@
 }
 
 #[rstest]
-#[case::whole(0, 0)]
-#[case::lossy(5, 5)]
-fn a_change_is_in_force_everywhere_and_known_so(#[case] lost: u32, #[case] doubled: u32) {
+#[case::reliable_links(0, 0)]
+#[case::lossy_links(5, 5)]
+fn published_change_reaches_every_router_and_the_verdict_confirms_it(
+    #[case] loss_percent: u32,
+    #[case] duplicate_percent: u32,
+) {
     for seed in 0..3 {
         let mut world = World::whole(20, 5, 60, seed);
-        (world.lost, world.doubled) = (lost, doubled);
+        (world.loss_percent, world.duplicate_percent) = (loss_percent, duplicate_percent);
         world.verdicts.clear();
         assert!(world.publish("limit", "7"), "seed {seed}");
-        let took = world.run_until(IN_FORCE, |world| world.everywhere("limit", "7"));
-        assert!(took.is_some(), "seed {seed}: not everywhere");
+        let took = world.run_until(IN_FORCE_LIMIT, |world| world.everywhere("limit", "7"));
+        assert!(took.is_some(), "seed {seed}: not in force everywhere");
         let version = world.newest;
         world.run(15 * SECOND);
         let verdict = world.verdicts.iter().find(|(.., verdict)| verdict.version == version);
-        let (_, _, verdict) = verdict.expect("a verdict");
+        let (_, _, verdict) = verdict.expect("there is a verdict");
         assert!(verdict.everywhere && verdict.at == 60, "seed {seed}: {verdict:?}");
     }
 }
 
 #[rstest]
-fn all_are_at_one_version_after_any_schedule(#[values(0, 100, 200, 300, 400, 500, 1_000)] base: u64) {
+fn all_nodes_converge_after_random_faults(#[values(0, 100, 200, 300, 400, 500, 1_000)] base: u64) {
     for seed in base..base + 8 {
         let mut world = World::whole(9, 5, 20, seed);
-        (world.lost, world.doubled) = (3, 3);
-        // Half of the routers keep nothing.
+        (world.loss_percent, world.duplicate_percent) = (3, 3);
+        // Half of the routers save nothing to disk.
         for router in world.routers().step_by(2) {
-            world.places[router].keeps = false;
+            world.places[router].persists = false;
             world.places[router].file = None;
         }
         let mut value = 0;
@@ -60,12 +65,12 @@
             let at = world.chance.generate_range(0..29usize);
             let other = world.chance.generate_range(0..9usize);
             match world.chance.generate_range(0..9u32) {
-                0 => world.cut.extend([(at, other)]),
-                1 => world.cut.extend([(other, at)]),
+                0 => world.cut_links.extend([(at, other)]),
+                1 => world.cut_links.extend([(other, at)]),
                 2 => world.part(|node| node % world::REGIONS),
                 3 => world.part(|node| usize::from(node < 3)),
                 4 => world.stop(at, 10 * SECOND),
-                // One of the keepers loses its disk whenever it is killed.
+                // Keeper 4 loses its disk whenever it is killed here.
                 5 if other == 4 => world.wipe(other),
                 5 => world.kill(other),
                 6 => {
@@ -83,7 +88,7 @@
             }
             for _ in 0..world.chance.generate_range(1..8u32) {
                 value += 1;
-                // Whoever believes to write, also an old writer.
+                // Every machine that believes it is the writer accepts the change, also a deposed one.
                 for machine in 0..9 {
                     drop(world.publish_at(machine, vec![edit("limit", &value.to_string())]));
                 }
@@ -92,168 +97,189 @@
             }
         }
         world.heal();
-        let took = world.run_until(HEALED, World::agreed);
-        assert!(took.is_some(), "seed {seed}: not at one version");
+        let took = world.run_until(CONVERGENCE_LIMIT, World::agreed);
+        assert!(took.is_some(), "seed {seed}: not converged on one version");
         let mut known = world.events.len();
-        assert!(publish(&mut world, "limit", "0", SECOND).is_some(), "seed {seed}: nobody writes");
+        assert!(
+            publish(&mut world, "limit", "0", SECOND).is_some(),
+            "seed {seed}: no machine accepts the change"
+        );
         let from = world.now;
         while !world.everywhere("limit", "0") {
-            assert!(world.now - from < IN_FORCE, "seed {seed}: the last change is not everywhere");
+            assert!(
+                world.now - from < IN_FORCE_LIMIT,
+                "seed {seed}: the last change is not in force everywhere"
+            );
             world.run(SECOND / 10);
-            // A writer that was voted out while the links were broken learns it now, and says what it had taken.
-            let lost = world.events[known..].iter().any(|(.., event)| matches!(event, Event::Unpublished(_)));
+            // A writer deposed while the links were broken learns of it now and lists the accepted changes it lost.
+            let unpublished =
+                world.events[known..].iter().any(|(.., event)| matches!(event, Event::Unpublished(_)));
             known = world.events.len();
-            if lost {
+            if unpublished {
                 assert!(
                     publish(&mut world, "limit", "0", 5 * SECOND).is_some(),
-                    "seed {seed}: nobody writes"
+                    "seed {seed}: no machine accepts the change"
                 );
             }
         }
     }
 }
 
-/// Stops and kills of two of the machines, by who they are: 0 the writer, 1 another keeper, 2 no keeper.
+/// Kills one machine and pauses another: 0 is the writer, 1 another keeper, 2 a machine that is not a keeper.
 #[rstest]
-#[case::writer_killed_keeper_stopped(0, 1)]
-#[case::keeper_killed_writer_stopped(1, 0)]
-#[case::writer_killed_other_stopped(0, 2)]
-#[case::other_killed_writer_stopped(2, 0)]
-#[case::keeper_killed_other_stopped(1, 2)]
-fn a_killed_and_a_stopped_machine_cost_no_more_than_14_s(#[case] killed: usize, #[case] stopped: usize) {
+#[case::writer_killed_keeper_paused(0, 1)]
+#[case::keeper_killed_writer_paused(1, 0)]
+#[case::writer_killed_non_keeper_paused(0, 2)]
+#[case::non_keeper_killed_writer_paused(2, 0)]
+#[case::keeper_killed_non_keeper_paused(1, 2)]
+fn change_is_in_force_within_14_s_despite_one_killed_and_one_paused_machine(
+    #[case] killed: usize,
+    #[case] paused: usize,
+) {
     for seed in 0..6 {
         let mut world = World::whole(20, 5, 60, seed);
-        let writer = world.writer().expect("one writes");
-        let other = (0..5).find(|at| *at != writer).expect("a keeper");
-        let who = [writer, other, 12];
-        // With the change under way, and a router's machine gone while it is sent.
+        let writer = world.writer().expect("there is a writer");
+        let other = (0..5).find(|at| *at != writer).expect("there is another keeper");
+        let roles = [writer, other, 12];
+        // The machines fail while the change is being distributed, also to routers that they serve.
         assert!(world.publish("limit", "7"), "seed {seed}");
-        let late = world.chance.generate_range(0..1_000u64) as Tenths;
-        world.run(late);
+        let delay = world.chance.generate_range(0..1_000u64) as Tenths;
+        world.run(delay);
         let from = world.now;
-        world.kill(who[killed]);
-        world.stop(who[stopped], 3_600 * SECOND);
-        // What was taken may be lost with its writer: it is published again, as its event and its absence say.
-        let mut again = 0;
+        world.kill(roles[killed]);
+        world.stop(roles[paused], 3_600 * SECOND);
+        // An accepted change may be lost with its writer, which shows by an event or by the missing change. It is
+        // published again once, after 6 s.
+        let mut republished = 0;
         while !world.everywhere("limit", "7") {
-            assert!(world.now - from < IN_FORCE, "seed {seed}: not everywhere after {} s", IN_FORCE / SECOND);
+            assert!(
+                world.now - from < IN_FORCE_LIMIT,
+                "seed {seed}: not in force everywhere after {} s",
+                IN_FORCE_LIMIT / SECOND
+            );
             world.run(SECOND / 10);
-            if again < 1
+            if republished < 1
                 && world.now - from > 6 * SECOND
                 && publish(&mut world, "limit", "7", SECOND).is_some()
             {
-                again += 1;
+                republished += 1;
             }
         }
     }
 }
 
 #[test]
-fn ten_of_twenty_machines_lost_still_release_and_serve() {
+fn changes_are_released_and_served_with_ten_of_twenty_machines_lost() {
     for seed in 0..4 {
         let mut world = World::whole(20, 5, 60, seed);
-        // Two keepers among them.
-        let gone = [0, 1, 5, 6, 7, 8, 9, 10, 11, 12];
-        for (number, at) in gone.into_iter().enumerate() {
+        // Two of the ten are keepers.
+        let failed = [0, 1, 5, 6, 7, 8, 9, 10, 11, 12];
+        for (number, at) in failed.into_iter().enumerate() {
             match number % 2 {
                 0 => world.kill(at),
                 _ => world.stop(at, 3_600 * SECOND),
             }
         }
         let from = world.now;
-        assert!(publish(&mut world, "limit", "7", IN_FORCE).is_some(), "seed {seed}: nobody writes");
-        let most = from + 2 * IN_FORCE - world.now;
-        let took = world.run_until(most, |world| world.everywhere("limit", "7"));
-        assert!(took.is_some(), "seed {seed}: not everywhere");
-        // And the next one is as fast as ever.
+        assert!(
+            publish(&mut world, "limit", "7", IN_FORCE_LIMIT).is_some(),
+            "seed {seed}: no machine accepts the change"
+        );
+        let limit = from + 2 * IN_FORCE_LIMIT - world.now;
+        let took = world.run_until(limit, |world| world.everywhere("limit", "7"));
+        assert!(took.is_some(), "seed {seed}: not in force everywhere");
+        // The next change is as fast as in a fleet without faults.
         assert!(publish(&mut world, "limit", "8", SECOND).is_some(), "seed {seed}");
-        let took = world.run_until(IN_FORCE, |world| world.everywhere("limit", "8"));
-        assert!(took.is_some(), "seed {seed}: the next one is not everywhere");
+        let took = world.run_until(IN_FORCE_LIMIT, |world| world.everywhere("limit", "8"));
+        assert!(took.is_some(), "seed {seed}: the next change is not in force everywhere");
     }
 }
 
-/// The first two keepers and half of everything else on one side.
-fn sides(node: Node) -> usize {
+/// Partition side of a node: the first two keepers and half of all other nodes are on side 0.
+fn partition_side(node: Node) -> usize {
     usize::from((2..5).contains(&node) || node >= 5 && node.is_multiple_of(2))
 }
 
 #[rstest]
-#[case::a_minute(60)]
-#[case::an_hour(3_600)]
-fn a_minority_puts_nothing_in_force_and_joins_without_going_back(#[case] seconds: Tenths) {
+#[case::one_minute(60)]
+#[case::one_hour(3_600)]
+fn minority_partition_applies_nothing_and_rejoins_without_rollback(#[case] seconds: Tenths) {
     for seed in 0..3 {
         let mut world = World::whole(12, 5, 24, seed);
-        world.part(sides);
+        world.part(partition_side);
         world.run(10 * SECOND);
         let before = world.newest;
-        // An old writer, and whoever would like to be one.
-        for machine in (0..12).filter(|at| sides(*at) == 0) {
+        // No machine of the minority accepts a change, neither the deposed writer nor a candidate.
+        for machine in (0..12).filter(|at| partition_side(*at) == 0) {
             let refused = world.publish_at(machine, vec![edit("limit", "1")]);
             assert!(
                 matches!(refused, Err(Refused::NotWriter(_))),
-                "seed {seed}: {machine} writes in a minority"
+                "seed {seed}: machine {machine} accepts a change in the minority"
             );
         }
         assert!(
             publish(&mut world, "limit", "2", 10 * SECOND).is_some(),
-            "seed {seed}: the majority is stuck"
+            "seed {seed}: no machine of the majority accepts the change"
         );
         world.run(seconds * SECOND);
         for (at, router) in world.live_routers() {
-            let newest =
-                if sides(at) == 0 { router.in_force() <= before } else { router.in_force() == world.newest };
+            let newest = if partition_side(at) == 0 {
+                router.in_force() <= before
+            } else {
+                router.in_force() == world.newest
+            };
             assert!(newest, "seed {seed}: router {at} is at {}", router.in_force());
-            assert_eq!(router.silent_since().is_some(), sides(at) == 0, "seed {seed}: router {at}");
+            assert_eq!(router.silent_since().is_some(), partition_side(at) == 0, "seed {seed}: router {at}");
         }
         let known = world.verdicts.iter().rfind(|(.., verdict)| verdict.version == world.newest);
-        let (_, _, verdict) = known.expect("a verdict");
+        let (_, _, verdict) = known.expect("there is a verdict");
         let named = verdict.silent.len() + verdict.behind.len();
         assert_eq!((verdict.everywhere, named), (false, 12), "seed {seed}: {verdict:?}");
         world.heal();
-        let took = world.run_until(HEALED, World::agreed);
-        assert!(took.is_some(), "seed {seed}: not joined");
+        let took = world.run_until(CONVERGENCE_LIMIT, World::agreed);
+        assert!(took.is_some(), "seed {seed}: not converged after the partition healed");
         assert!(world.everywhere("limit", "2"), "seed {seed}");
     }
 }
 
 #[test]
-fn an_old_writer_that_comes_back_puts_nothing_in_force() {
+fn deposed_writer_that_resumes_puts_no_change_in_force() {
     for seed in 0..10 {
         let mut world = World::whole(7, 5, 10, seed);
-        let old = world.writer().expect("one writes");
-        world.stop(old, 20 * SECOND);
+        let deposed = world.writer().expect("there is a writer");
+        world.stop(deposed, 20 * SECOND);
         world.run(19 * SECOND);
         assert!(publish(&mut world, "limit", "2", SECOND).is_some(), "seed {seed}");
         world.run(SECOND);
-        // It wakes and still believes to write.
-        let taken = world.publish_at(old, vec![edit("limit", "1")]);
+        // The paused machine resumes and still believes that it is the writer.
+        let result = world.publish_at(deposed, vec![edit("limit", "1")]);
         world.run(20 * SECOND);
-        assert!(world.agreed() && world.everywhere("limit", "2"), "seed {seed}: {taken:?}");
+        assert!(world.agreed() && world.everywhere("limit", "2"), "seed {seed}: {result:?}");
     }
 }
 
 #[test]
-fn an_old_writer_that_still_believes_is_refused_by_all_that_promised_a_later_epoch() {
+fn stale_writer_is_rejected_by_keepers_that_promised_a_later_epoch() {
     for seed in 0..10 {
         let mut world = World::new(7, 5, 10, seed);
-        // It goes on for longer than the others wait.
+        // The writer tolerates a longer silence (`patience`) than the others wait before an election (`stand`).
         (world.plan.stand, world.plan.patience, world.plan.start_wait) = (10_000, 60_000, 60_000);
         (world.plan.home, world.plan.verdict) = (6_000_000, 140_000);
         world.start_all();
         assert!(world.run_until(60 * SECOND, World::agreed).is_some(), "seed {seed}");
-        let old = world.writer().expect("one writes");
-        let friend = (0..5).find(|at| *at != old).expect("a keeper");
-        for at in (0..17).filter(|at| *at != old && *at != friend) {
-            world.cut.extend([(at, old), (old, at), (at, friend), (friend, at)]);
+        let stale = world.writer().expect("there is a writer");
+        let follower = (0..5).find(|at| *at != stale).expect("there is another keeper");
+        for at in (0..17).filter(|at| *at != stale && *at != follower) {
+            world.cut_links.extend([(at, stale), (stale, at), (at, follower), (follower, at)]);
         }
-        assert!(world.publish_at(old, vec![edit("limit", "1")]).is_ok(), "seed {seed}");
-        let newer = world.run_until(5 * SECOND, |world| world.writer().is_some_and(|at| at != old));
-        assert!(newer.is_some(), "seed {seed}: no other one writes");
-        let writes = |world: &World| world.machine(old).expect("it runs").writes().is_some();
-        assert!(writes(&world), "seed {seed}: the old one gave up too soon for this test");
-        world.cut.clear();
+        assert!(world.publish_at(stale, vec![edit("limit", "1")]).is_ok(), "seed {seed}");
+        let successor = world.run_until(5 * SECOND, |world| world.writer().is_some_and(|at| at != stale));
+        assert!(successor.is_some(), "seed {seed}: no other machine became the writer");
+        let is_writer = |world: &World| world.machine(stale).expect("the node runs").writes().is_some();
+        assert!(is_writer(&world), "seed {seed}: the stale writer stepped down too early for this test");
+        world.cut_links.clear();
         world.run(SECOND);
-        assert!(!writes(&world), "seed {seed}: the old writer goes on");
+        assert!(!is_writer(&world), "seed {seed}: the stale writer is still the writer");
         assert!(publish(&mut world, "limit", "2", SECOND).is_some(), "seed {seed}");
         world.run(10 * SECOND);
         assert!(world.agreed() && world.everywhere("limit", "2"), "seed {seed}");
@@ -261,7 +287,7 @@
 }
 
 #[test]
-fn keepers_that_start_again_and_again_promise_no_epoch_twice() {
+fn restarting_keepers_never_promise_an_epoch_twice() {
     for seed in 0..60 {
         let mut world = World::whole(5, 5, 3, seed);
         for value in 0..60 {
@@ -269,7 +295,7 @@
             let other = world.chance.generate_range(0..5usize);
             match value % 8 {
                 0 => world.kill(at),
-                1 => world.cut.extend([(at, other), (other, at)]),
+                1 => world.cut_links.extend([(at, other), (other, at)]),
                 7 => world.heal(),
                 _ => {
                     world.kill(at);
@@ -283,22 +309,22 @@
             world.run(length);
         }
         world.heal();
-        assert!(world.run_until(HEALED, World::agreed).is_some(), "seed {seed}");
+        assert!(world.run_until(CONVERGENCE_LIMIT, World::agreed).is_some(), "seed {seed}");
     }
 }
 
 #[test]
-fn a_keeper_that_comes_back_does_not_unseat_the_writer() {
+fn rejoining_keeper_does_not_depose_the_writer() {
     for seed in 0..10 {
         let mut world = World::whole(7, 5, 10, seed);
-        let writer = world.writer().expect("one writes");
+        let writer = world.writer().expect("there is a writer");
         let epoch = world.machine(writer).and_then(vetchkeel_configuration::Machine::writes);
-        let alone = (0..5).find(|at| *at != writer).expect("a keeper");
+        let isolated = (0..5).find(|at| *at != writer).expect("there is another keeper");
         for at in 0..17 {
-            world.cut.extend([(at, alone), (alone, at)]);
+            world.cut_links.extend([(at, isolated), (isolated, at)]);
         }
         world.run(60 * SECOND);
-        world.cut.clear();
+        world.cut_links.clear();
         world.run(20 * SECOND);
         assert_eq!(
             world.machine(writer).and_then(vetchkeel_configuration::Machine::writes),
@@ -310,45 +336,46 @@
 }
 
 #[test]
-fn keepers_that_lost_their_disk_do_not_count_until_they_have_caught_up() {
+fn keeper_that_lost_its_disk_has_no_vote_until_it_has_caught_up() {
     for seed in 0..20 {
         let mut world = World::whole(7, 5, 6, seed);
-        let writer = world.writer().expect("one writes");
+        let writer = world.writer().expect("there is a writer");
         let others: Vec<Node> = (0..5).filter(|at| *at != writer).collect();
-        // Two keepers can't be reached while a change is released by the three others; one of these loses its disk.
-        for far in &others[..2] {
+        // Two keepers are unreachable while the three others release a change; one of the three then loses its disk.
+        for unreachable in &others[..2] {
             for at in 0..13 {
-                world.cut.insert((at, *far));
-                world.cut.insert((*far, at));
+                world.cut_links.insert((at, *unreachable));
+                world.cut_links.insert((*unreachable, at));
             }
         }
         let before = world.newest;
         assert!(world.publish("limit", "7"), "seed {seed}");
         world.run(SECOND);
-        assert!(world.newest > before, "seed {seed}: it is not released");
-        world.cut.clear();
+        assert!(world.newest > before, "seed {seed}: the change is not released");
+        world.cut_links.clear();
         world.kill(writer);
         world.kill(others[3]);
         world.wipe(others[2]);
         world.start(others[2]);
-        // The two that know nothing of it, and the one that knows nothing at all, are three of five.
+        // The two keepers without the change and the one without any state make three of five, but the last one has no
+        // vote.
         world.run(20 * SECOND);
-        let wrote = world.writer();
-        assert!(wrote.is_none(), "seed {seed}: {wrote:?} writes without the change");
+        let current = world.writer();
+        assert!(current.is_none(), "seed {seed}: node {current:?} is the writer without holding the change");
         world.heal();
-        let took = world.run_until(HEALED, World::agreed);
+        let took = world.run_until(CONVERGENCE_LIMIT, World::agreed);
         assert!(took.is_some() && world.everywhere("limit", "7"), "seed {seed}");
-        let counts = world.events.iter().any(|(_, at, event)| *at == others[2] && *event == Event::Settled);
-        assert!(counts, "seed {seed}: it never counts again");
+        let settled = world.events.iter().any(|(_, at, event)| *at == others[2] && *event == Event::Settled);
+        assert!(settled, "seed {seed}: the vote of the keeper never counts again");
     }
 }
 
 #[test]
-fn who_resumes_is_sent_what_changed() {
+fn resuming_router_receives_only_the_missed_changes() {
     let mut world = World::whole(4, 3, 4, 1);
     for number in 0..400 {
         let edits = vec![edit(&format!("group-{number}"), &"x".repeat(100))];
-        let writer = world.writer().expect("one writes");
+        let writer = world.writer().expect("there is a writer");
         assert!(world.publish_at(writer, edits).is_ok());
     }
     world.run(30 * SECOND);
@@ -369,7 +396,7 @@
 }
 
 #[test]
-fn who_is_behind_the_log_gets_the_whole_in_parts() {
+fn router_older_than_the_log_receives_a_full_copy_in_parts() {
     let mut world = World::new(4, 3, 4, 1);
     world.plan.log_changes = 5;
     world.start_all();
@@ -385,20 +412,20 @@
     world.start(router);
     assert!(world.run_until(30 * SECOND, World::agreed).is_some());
     assert!(world.kinds.get("whole").is_some_and(|parts| *parts > 8), "{:?}", world.kinds);
-    let told = world
+    let reported = world
         .notices
         .iter()
         .any(|(_, at, notice)| *at == router && matches!(notice, Notice::BaseGone { .. }));
-    assert!(told, "it is not told");
+    assert!(reported, "the router did not report that its version left the log");
 }
 
 #[test]
-fn no_router_is_sent_more_than_its_bytes_a_second_also_when_all_ask_at_once() {
+fn per_router_byte_rate_holds_when_all_routers_ask_at_once() {
     let mut world = World::whole(4, 3, 80, 3);
-    // 50 KB that do not compress.
+    // A document of 50 KB that does not compress.
     for number in 0..50 {
         let value: String = (0..1_000).map(|_| char::from(world.chance.generate_range(33..127u8))).collect();
-        let writer = world.writer().expect("one writes");
+        let writer = world.writer().expect("there is a writer");
         assert!(world.publish_at(writer, vec![edit(&format!("group-{number}"), &value)]).is_ok());
         world.run(SECOND);
     }
@@ -410,13 +437,13 @@
     (world.count, world.bytes) = (true, Default::default());
     world.heal();
     let took = world.run_until(30 * SECOND, World::agreed);
-    assert!(took.is_some(), "not everywhere");
+    assert!(took.is_some(), "not converged");
     let most = world.bytes.values().max().copied().unwrap_or(0);
     assert!(most <= u64::from(world.plan.bytes_a_second), "{most} bytes in one second");
 }
 
-/// Spoils the first edit of changes that carry it; the digest is not the one of what comes out.
-fn spoil(message: &mut Message) {
+/// Corrupts each edit of the name `spoilt`, so that the resulting document does not match the digest of the change.
+fn corrupt_changes(message: &mut Message) {
     if let Message::Changes { changes, .. } = message {
         for change in changes {
             for edit in change.edits.iter_mut().filter(|edit| edit.name == "spoilt") {
@@ -427,78 +454,81 @@
 }
 
 #[test]
-fn a_damaged_change_is_not_applied_and_the_whole_mends_it() {
+fn corrupted_change_is_not_applied_and_a_full_copy_replaces_it() {
     let mut world = World::whole(4, 3, 6, 1);
-    world.tamper = Some(spoil);
+    world.tamper = Some(corrupt_changes);
     assert!(world.publish("spoilt", "as published"));
     world.run(10 * SECOND);
     assert!(world.agreed() && world.everywhere("spoilt", "as published"));
     assert!(world.kinds.contains_key("whole"));
 }
 
-/// Spoils whole copies too.
-fn spoil_all(message: &mut Message) {
-    spoil(message);
+/// Corrupts full copies as well.
+fn corrupt_changes_and_copies(message: &mut Message) {
+    corrupt_changes(message);
     if let Message::Whole { bytes, .. } = message {
         bytes.iter_mut().for_each(|byte| *byte ^= 1);
     }
 }
 
 #[test]
-fn what_can_not_be_read_is_refused_by_name_and_a_later_version_heals_it() {
+fn corrupted_full_copy_is_refused_until_a_later_version_arrives() {
     let mut world = World::whole(4, 3, 6, 1);
-    world.tamper = Some(spoil_all);
+    world.tamper = Some(corrupt_changes_and_copies);
     let good = world.newest;
     assert!(world.publish("spoilt", "as published"));
     world.run(20 * SECOND);
     let bad = world.newest;
-    assert!(world.live_routers().all(|(_, router)| router.in_force() == good), "the last good one stays");
+    assert!(
+        world.live_routers().all(|(_, router)| router.in_force() == good),
+        "the last valid version does not stay in force"
+    );
     for at in world.routers() {
         let refused = world.notices.iter().filter(|(_, of, notice)| {
             *of == at && matches!(notice, Notice::Refused { version, .. } if *version == bad)
         });
         assert_eq!(refused.count(), 1, "router {at}");
     }
-    let wholes = world.kinds.get("whole").copied().unwrap_or(0);
-    assert!(wholes <= 12, "{wholes} parts of a broken copy");
+    let parts = world.kinds.get("whole").copied().unwrap_or(0);
+    assert!(parts <= 12, "{parts} parts of a corrupted copy were sent");
     let verdict = world.verdicts.iter().find(|(.., verdict)| verdict.version == bad);
-    let (_, _, verdict) = verdict.expect("a verdict");
+    let (_, _, verdict) = verdict.expect("there is a verdict");
     assert_eq!((verdict.everywhere, verdict.refused.len()), (false, 6), "{verdict:?}");
     world.tamper = None;
     assert!(world.publish("limit", "7"));
-    assert!(world.run_until(IN_FORCE, World::agreed).is_some(), "a later version does not heal it");
+    assert!(world.run_until(IN_FORCE_LIMIT, World::agreed).is_some(), "not converged on the later version");
 }
 
 #[test]
-fn a_document_that_a_router_refuses_leaves_the_last_good_one_and_is_named() {
+fn document_refused_by_a_router_leaves_the_previous_one_in_force() {
     let mut world = World::whole(4, 3, 6, 1);
     let good = world.newest;
-    let one = world.routers().start;
+    let refusing = world.routers().start;
     assert!(world.publish("poison", "r0000"));
     world.run(15 * SECOND);
     let verdict = world.verdicts.iter().find(|(.., verdict)| verdict.version == world.newest);
-    let (_, _, verdict) = verdict.expect("a verdict");
-    assert_eq!(verdict.refused, vec![(world.places[one].name.clone(), "poison".to_string())]);
+    let (_, _, verdict) = verdict.expect("there is a verdict");
+    assert_eq!(verdict.refused, vec![(world.places[refusing].name.clone(), "poison".to_string())]);
     assert_eq!((verdict.at, verdict.everywhere), (5, false));
-    assert_eq!(world.router(one).expect("it runs").in_force(), good);
-    let writer = world.writer().expect("one writes");
+    assert_eq!(world.router(refusing).expect("the node runs").in_force(), good);
+    let writer = world.writer().expect("there is a writer");
     let refused = world.publish_at(writer, vec![edit("limit", "many")]);
     assert!(
         matches!(refused, Err(Refused::Check(_))),
-        "the source takes what its check refuses: {refused:?}"
+        "the writer accepts a document that its check refuses: {refused:?}"
     );
-    let mend = vetchkeel_configuration::Edit { name: "poison".into(), value: None };
-    assert!(world.publish_at(writer, vec![mend]).is_ok());
-    assert!(world.run_until(IN_FORCE, World::agreed).is_some(), "a later version does not heal it");
+    let repair = vetchkeel_configuration::Edit { name: "poison".into(), value: None };
+    assert!(world.publish_at(writer, vec![repair]).is_ok());
+    assert!(world.run_until(IN_FORCE_LIMIT, World::agreed).is_some(), "not converged on the later version");
 }
 
 #[test]
-fn a_router_that_hears_nothing_goes_on_and_says_since_when() {
+fn isolated_router_keeps_serving_and_reports_since_when_it_is_isolated() {
     let mut world = World::whole(4, 3, 4, 1);
     let router = world.routers().start;
-    let held = world.router(router).expect("it runs").in_force();
+    let held = world.router(router).expect("the node runs").in_force();
     for machine in 0..4 {
-        world.cut.insert((machine, router));
+        world.cut_links.insert((machine, router));
     }
     let cut = world.now;
     world.run(2 * SECOND);
@@ -506,39 +536,40 @@
     world.run(10 * SECOND);
     for hours in [0, 1] {
         world.run(hours * 3_600 * SECOND);
-        let it = world.router(router).expect("it runs");
-        assert_eq!(it.in_force(), held);
-        assert!(it.may_serve(world.now));
-        let since = it.silent_since().expect("it says so");
+        let subscriber = world.router(router).expect("the node runs");
+        assert_eq!(subscriber.in_force(), held);
+        assert!(subscriber.may_serve(world.now));
+        let since = subscriber.silent_since().expect("the router reports its silence");
         assert!((cut - 2 * SECOND..=cut + SECOND).contains(&since), "since {since}, cut at {cut}");
     }
     let verdict = world.verdicts.iter().find(|(.., verdict)| verdict.version == world.newest);
-    let (_, _, verdict) = verdict.expect("a verdict");
+    let (_, _, verdict) = verdict.expect("there is a verdict");
     assert!(!verdict.everywhere, "{verdict:?}");
-    world.cut.clear();
+    world.cut_links.clear();
     assert!(world.run_until(30 * SECOND, World::agreed).is_some());
-    assert_eq!(world.router(router).expect("it runs").silent_since(), None);
+    assert_eq!(world.router(router).expect("the node runs").silent_since(), None);
 }
 
 #[test]
-fn a_router_that_lost_what_it_kept_does_not_serve_below_what_it_had_told() {
+fn router_that_lost_its_disk_does_not_serve_below_its_last_report() {
     for seed in 0..20 {
         let mut world = World::whole(9, 5, 12, seed);
         for at in world.routers() {
-            world.places[at].keeps = false;
+            world.places[at].persists = false;
             world.places[at].file = None;
         }
-        // One machine that no news reaches for a while: it still beats, and knows only the old version.
-        let writer = world.writer().expect("one writes");
-        let late = (5..9).find(|at| *at != writer).expect("one");
-        world.cut.extend((0..9).map(|at| (at, late)));
+        // No message of another machine reaches this one for a while: it still sends beats, but knows only the old
+        // version.
+        let writer = world.writer().expect("there is a writer");
+        let lagging = (5..9).find(|at| *at != writer).expect("there is another machine");
+        world.cut_links.extend((0..9).map(|at| (at, lagging)));
         assert!(world.publish("limit", "7"), "seed {seed}");
         world.run(2 * SECOND);
         for at in world.routers() {
             world.kill(at);
             world.start(at);
         }
-        // The world checks under what they serve.
+        // The world checks the version that each router serves.
         world.run(20 * SECOND);
         let serving = world.live_routers().filter(|(_, router)| router.may_serve(world.now)).count();
         assert!(serving == 12, "seed {seed}: {serving} of 12 serve");
@@ -546,7 +577,7 @@
 }
 
 #[test]
-fn a_router_that_kept_serves_alone_and_one_that_did_not_waits() {
+fn without_machines_only_a_router_with_a_saved_document_serves() {
     let mut world = World::whole(4, 3, 4, 1);
     let (kept, lost) = (world.routers().start, world.routers().start + 1);
     let held = world.newest;
@@ -558,21 +589,26 @@
     world.wipe(lost);
     world.start(lost);
     world.run(SECOND);
-    let (one, other) = (world.router(kept).expect("it runs"), world.router(lost).expect("it runs"));
-    assert!(!one.may_serve(world.now) && !other.may_serve(world.now));
+    let (with_document, without_document) =
+        (world.router(kept).expect("the node runs"), world.router(lost).expect("the node runs"));
+    assert!(!with_document.may_serve(world.now) && !without_document.may_serve(world.now));
     world.run(10 * SECOND);
-    let (one, other) = (world.router(kept).expect("it runs"), world.router(lost).expect("it runs"));
-    assert!(one.may_serve(world.now) && one.in_force() == held);
-    assert!(!other.may_serve(world.now), "it can't know what it had been told");
+    let (with_document, without_document) =
+        (world.router(kept).expect("the node runs"), world.router(lost).expect("the node runs"));
+    assert!(with_document.may_serve(world.now) && with_document.in_force() == held);
+    assert!(
+        !without_document.may_serve(world.now),
+        "serves without knowing the version it had in force before"
+    );
     let unsure = Notice::Serving { version: held, unsure: true };
     assert!(
         world.notices.iter().any(|(_, at, notice)| *at == kept && *notice == unsure),
-        "it is not counted"
+        "serving without a confirmed floor is not reported"
     );
 }
 
 #[test]
-fn a_file_that_was_put_back_is_not_served_under() {
+fn restored_older_file_is_not_served() {
     let mut world = World::whole(4, 3, 4, 1);
     let router = world.routers().start;
     let old = world.places[router].file.clone();
@@ -587,7 +623,7 @@
 }
 
 #[test]
-fn the_verdict_names_who_is_silent_and_a_machine_that_is_gone_makes_nobody_silent() {
+fn verdict_lists_a_silent_router_but_not_the_routers_of_a_dead_machine() {
     let mut world = World::whole(6, 3, 12, 1);
     let router = world.routers().start;
     world.stop(router, 3_600 * SECOND);
@@ -596,47 +632,51 @@
     assert!(world.publish("limit", "7"));
     world.run(15 * SECOND);
     let verdict = world.verdicts.iter().find(|(.., verdict)| verdict.version == world.newest);
-    let (at, _, verdict) = verdict.expect("a verdict");
+    let (at, _, verdict) = verdict.expect("there is a verdict");
     assert_eq!(verdict.silent, vec![world.places[router].name.clone()], "{verdict:?}");
     assert_eq!((verdict.at, verdict.behind.len(), verdict.everywhere), (11, 0, false));
     let released = world.events.iter().find(|(.., event)| *event == Event::Released(world.newest));
-    let (released, ..) = released.expect("it is released");
-    assert!(at - released <= IN_FORCE, "the verdict came {} s after the release", (at - released) / SECOND);
+    let (released, ..) = released.expect("the version is released");
+    assert!(
+        at - released <= IN_FORCE_LIMIT,
+        "the verdict came {} s after the release",
+        (at - released) / SECOND
+    );
 }
 
 #[test]
-fn a_router_not_heard_for_an_hour_is_forgotten() {
+fn router_not_heard_for_an_hour_leaves_the_ledger() {
     let mut world = World::whole(4, 3, 4, 1);
     world.kill(world.routers().start);
     world.run(3 * 3_600 * SECOND);
     assert!(world.publish("limit", "7"));
     world.run(15 * SECOND);
     let verdict = world.verdicts.iter().find(|(.., verdict)| verdict.version == world.newest);
-    let (_, _, verdict) = verdict.expect("a verdict");
+    let (_, _, verdict) = verdict.expect("there is a verdict");
     assert_eq!((verdict.at, verdict.everywhere), (3, true), "{verdict:?}");
 }
 
 #[test]
-fn machines_are_full_at_their_places_and_send_elsewhere() {
+fn full_machine_redirects_further_routers() {
     let mut world = World::new(4, 3, 36, 1);
     world.plan.places = 10;
     world.start_all();
     assert!(world.run_until(60 * SECOND, World::agreed).is_some());
-    let served: Vec<usize> = (0..4).map(|at| world.machine(at).expect("it runs").served()).collect();
+    let served: Vec<usize> = (0..4).map(|at| world.machine(at).expect("the node runs").served()).collect();
     assert!(served.iter().all(|count| *count <= 10) && served.iter().sum::<usize>() == 36, "{served:?}");
     assert!(world.events.iter().any(|(.., event)| matches!(event, Event::Full(_))));
 }
 
 #[test]
-fn routers_go_back_to_the_machine_that_they_prefer() {
+fn routers_return_to_their_preferred_machine() {
     let mut world = World::whole(5, 3, 50, 1);
-    // At the first start they look for a machine that hears a writer.
+    // After the first start routers move until they find a machine that hears a writer, so the fleet settles first.
     world.run(30 * 60 * SECOND);
-    let before: Vec<usize> = (0..5).map(|at| world.machine(at).expect("it runs").served()).collect();
+    let before: Vec<usize> = (0..5).map(|at| world.machine(at).expect("the node runs").served()).collect();
     world.kill(4);
     world.run(20 * SECOND);
     world.start(4);
     world.run(30 * 60 * SECOND);
-    let after: Vec<usize> = (0..5).map(|at| world.machine(at).expect("it runs").served()).collect();
+    let after: Vec<usize> = (0..5).map(|at| world.machine(at).expect("the node runs").served()).collect();
     assert_eq!(before, after);
 }
--- a/crates/configuration/tests/world/mod.rs
+++ b/crates/configuration/tests/world/mod.rs
@@ -1,5 +1,6 @@
-//! A small world: machines and routers with disks, links that lose, delay, double, overtake and are cut one way, and a
-//! checker that looks on from outside. Time is told, all chance comes from the seed.
+//! A deterministic simulation of control machines and routers with disks. Links lose, delay, duplicate and reorder
+//! messages and can be cut in one direction; invariants are checked from outside. Time is simulated, and all randomness
+//! comes from the seed.
 
 #![allow(dead_code)]
 
@@ -12,11 +13,12 @@
 };
 
 pub const SECOND: Tenths = 10_000;
-/// Headers of IP, TCP and the link, counted with each message.
+/// Bytes of the IP, TCP and link headers, counted with each message.
 pub const FRAME: usize = 60;
+/// Number of regions; node `n` is in region `n % REGIONS`.
 pub const REGIONS: usize = 4;
 
-/// Machine or router: machines come first.
+/// Index of a machine or router in the world; machines come first.
 pub type Node = usize;
 
 pub enum Process {
@@ -24,25 +26,30 @@
     Router(Box<Subscriber>),
 }
 
-pub struct Place {
+/// One machine or router: its process, its disk and what the checks know of it.
+pub struct NodeState {
     pub name: Name,
     pub process: Option<Process>,
-    pub stopped_until: Tenths,
+    /// The process does nothing before this time.
+    pub paused_until: Tenths,
     pub started: Tenths,
     wake: Option<Tenths>,
-    /// A machine's disk.
+    /// The disk of a machine.
     pub kept: Option<Kept>,
-    /// A router's disk.
+    /// The disk of a router: the last saved version and document.
     pub file: Option<(Version, Document)>,
-    /// A router that keeps.
-    pub keeps: bool,
-    /// The highest version that was in force, or of which a machine was told.
+    /// Whether this router saves its document to disk.
+    pub persists: bool,
+    /// The highest version that was in force here.
     pub in_force: Version,
+    /// The highest version in force that this router has reported to a running machine.
     pub told: Version,
-    served: bool,
+    /// Whether the router has served since its last start.
+    has_served: bool,
 }
 
-pub struct Sent {
+/// A message in flight.
+pub struct InFlight {
     from: Node,
     to: Node,
     bytes: Vec<u8>,
@@ -53,49 +60,54 @@
     pub plan: Plan,
     pub machines: usize,
     pub keepers: usize,
-    pub places: Vec<Place>,
+    pub places: Vec<NodeState>,
     names: BTreeMap<Name, Node>,
-    net: BTreeMap<(Tenths, u64), Sent>,
-    wakes: BTreeSet<(Tenths, Node)>,
-    sent: u64,
+    in_flight: BTreeMap<(Tenths, u64), InFlight>,
+    wake_times: BTreeSet<(Tenths, Node)>,
+    sent_count: u64,
     pub chance: WyRand,
-    /// Lost, and doubled, of a hundred.
-    pub lost: u32,
-    pub doubled: u32,
-    /// One way.
-    pub cut: BTreeSet<(Node, Node)>,
-    /// Nothing passes between nodes of different groups.
-    pub groups: Option<fn(Node) -> usize>,
-    /// A dead machine's address says so.
-    pub answers: bool,
-    /// Changes what goes from a machine to a router.
+    /// Percentage of messages lost.
+    pub loss_percent: u32,
+    /// Percentage of messages duplicated.
+    pub duplicate_percent: u32,
+    /// Links cut in one direction, from the first node to the second.
+    pub cut_links: BTreeSet<(Node, Node)>,
+    /// Network partition: no message passes between nodes of different groups.
+    pub group_of: Option<fn(Node) -> usize>,
+    /// Whether a sender to a dead process is notified that its connection is refused.
+    pub refuses_connections: bool,
+    /// Modifies messages sent to routers.
     pub tamper: Option<fn(&mut Message)>,
-    /// Bytes to and from routers, by router and second, when asked for.
+    /// Whether bytes are counted.
     pub count: bool,
+    /// Bytes to and from routers, by router and second.
     pub bytes: BTreeMap<(Node, Tenths), u64>,
-    /// Bytes between machines, counted with the others.
+    /// Bytes between machines.
     pub between: u64,
+    /// Number of messages sent, by kind.
     pub kinds: BTreeMap<&'static str, u64>,
     pub events: Vec<(Tenths, Node, Event)>,
     pub notices: Vec<(Tenths, Node, Notice)>,
     pub verdicts: Vec<(Tenths, Node, Verdict)>,
-    /// When a version was in force at a router first.
+    /// When a version was first in force at a router.
     pub applied: BTreeMap<(Version, Node), Tenths>,
-    /// The digest under each version that was ever held or released anywhere.
+    /// The digest of the document of each version that any node has held, released or applied.
     digests: BTreeMap<Version, u64>,
+    /// The newest version released anywhere.
     pub newest: Version,
+    /// Whether the invariants are checked.
     pub check: bool,
 }
 
 pub fn name(text: &str) -> Name {
-    Name::new(text).expect("a good name")
+    Name::new(text).expect("a valid name")
 }
 
 pub fn edit(name: &str, value: &str) -> Edit {
     Edit { name: name.into(), value: Some(value.into()) }
 }
 
-pub fn kind(message: &Message) -> &'static str {
+pub fn message_kind(message: &Message) -> &'static str {
     match message {
         Message::Ask { .. } => "ask",
         Message::Told { .. } => "told",
@@ -110,7 +122,7 @@
     }
 }
 
-fn good(document: &Document) -> Result<(), String> {
+fn validate(document: &Document) -> Result<(), String> {
     match document.get("limit") {
         Some(limit) if limit.parse::<u32>().is_err() => {
             Err(format!("limit: expected a number, not {limit:?}"))
@@ -120,25 +132,25 @@
 }
 
 impl World {
-    /// Machines, the first `keepers` of them keepers, and routers; nobody has started.
+    /// A world of machines, the first `keepers` of which are keepers, and routers. No process runs yet.
     pub fn new(machines: usize, keepers: usize, routers: usize, seed: u64) -> World {
         let names = (0..machines).map(|at| name(&format!("m{at:02}")));
         let names = names.chain((0..routers).map(|at| name(&format!("r{at:04}"))));
-        let place = |name: Name| Place {
+        let node = |name: Name| NodeState {
             name,
             process: None,
-            stopped_until: 0,
+            paused_until: 0,
             started: 0,
             wake: None,
             kept: None,
             file: None,
-            keeps: true,
+            persists: true,
             in_force: Version::NONE,
             told: Version::NONE,
-            served: false,
+            has_served: false,
         };
-        let places: Vec<Place> = names.map(place).collect();
-        let names = places.iter().enumerate().map(|(at, place)| (place.name.clone(), at)).collect();
+        let places: Vec<NodeState> = names.map(node).collect();
+        let names = places.iter().enumerate().map(|(at, node)| (node.name.clone(), at)).collect();
         World {
             now: 1_000_000,
             plan: Plan::default(),
@@ -146,15 +158,15 @@
             keepers,
             places,
             names,
-            net: BTreeMap::new(),
-            wakes: BTreeSet::new(),
-            sent: 0,
+            in_flight: BTreeMap::new(),
+            wake_times: BTreeSet::new(),
+            sent_count: 0,
             chance: WyRand::new_seed(seed),
-            lost: 0,
-            doubled: 0,
-            cut: BTreeSet::new(),
-            groups: None,
-            answers: true,
+            loss_percent: 0,
+            duplicate_percent: 0,
+            cut_links: BTreeSet::new(),
+            group_of: None,
+            refuses_connections: true,
             tamper: None,
             count: false,
             bytes: BTreeMap::new(),
@@ -170,12 +182,12 @@
         }
     }
 
-    /// All started, a writer there, and everybody at one version.
+    /// A world in which all processes run, there is a writer, and all nodes have converged on one version.
     pub fn whole(machines: usize, keepers: usize, routers: usize, seed: u64) -> World {
         let mut world = World::new(machines, keepers, routers, seed);
         world.start_all();
         let took = world.run_until(60 * SECOND, World::agreed);
-        assert!(took.is_some(), "seed {seed}: not at one version at the start");
+        assert!(took.is_some(), "seed {seed}: not converged on one version after the start");
         world
     }
 
@@ -194,7 +206,7 @@
     }
 
     fn machine_names(&self) -> Vec<Name> {
-        self.places[..self.machines].iter().map(|place| place.name.clone()).collect()
+        self.places[..self.machines].iter().map(|node| node.name.clone()).collect()
     }
 
     pub fn start(&mut self, at: Node) {
@@ -202,42 +214,42 @@
         let (now, plan, machines) = (self.now, self.plan, self.machine_names());
         let keepers = machines[..self.keepers].to_vec();
         let router = self.is_router(at);
-        let place = &mut self.places[at];
-        place.started = now;
-        place.served = false;
-        let me = place.name.clone();
+        let node = &mut self.places[at];
+        node.started = now;
+        node.has_served = false;
+        let me = node.name.clone();
         let process = if router {
-            let kept = place.file.clone();
+            let kept = node.file.clone();
             let start = now as u64;
             let subscriber = Subscriber::new(plan, me, start, kept, machines, now, seed);
-            Process::Router(Box::new(subscriber.expect("a good plan")))
+            Process::Router(Box::new(subscriber.expect("a valid plan")))
         } else {
-            let kept = place.kept.clone();
-            let machine = Machine::new(plan, me, machines, keepers, kept, good, now, seed);
-            Process::Machine(Box::new(machine.expect("a good plan")))
+            let kept = node.kept.clone();
+            let machine = Machine::new(plan, me, machines, keepers, kept, validate, now, seed);
+            Process::Machine(Box::new(machine.expect("a valid plan")))
         };
-        place.process = Some(process);
-        self.pull(at);
+        node.process = Some(process);
+        self.run_node(at);
     }
 
-    /// Its process ends; its disk stays.
+    /// Ends the process; its disk keeps its content.
     pub fn kill(&mut self, at: Node) {
         self.places[at].process = None;
-        self.sleep(at, None);
+        self.set_wake(at, None);
     }
 
-    /// Its disk is lost with it.
+    /// Ends the process and erases its disk.
     pub fn wipe(&mut self, at: Node) {
         self.kill(at);
         self.places[at].kept = None;
         self.places[at].file = None;
     }
 
-    /// It does nothing for so long.
+    /// Pauses the process for the given time.
     pub fn stop(&mut self, at: Node, length: Tenths) {
         let until = self.now + length;
-        self.places[at].stopped_until = until;
-        self.sleep(at, Some(until));
+        self.places[at].paused_until = until;
+        self.set_wake(at, Some(until));
     }
 
     pub fn machine(&self, at: Node) -> Option<&Machine> {
@@ -258,26 +270,26 @@
         self.names[name]
     }
 
-    /// The writer of the highest epoch.
+    /// The machine that is the writer of the highest epoch, if any.
     pub fn writer(&self) -> Option<Node> {
         let writes = |at: &Node| self.machine(*at).and_then(Machine::writes);
         (0..self.machines).filter(|at| writes(at).is_some()).max_by_key(writes)
     }
 
-    /// Publishes at the given one.
+    /// Publishes at the given machine, whether or not it is the writer.
     pub fn publish_at(&mut self, at: Node, edits: Vec<Edit>) -> Result<(), vetchkeel_configuration::Refused> {
         let now = self.now;
         let Some(Process::Machine(machine)) = &mut self.places[at].process else {
             return Err(vetchkeel_configuration::Refused::NotWriter(None));
         };
         let done = machine.publish(now, edits);
-        self.pull(at);
+        self.run_node(at);
         done
     }
 
-    /// Publishes at the writer; false if there is none, or it refuses.
+    /// Publishes at the writer. Returns false if there is none, or if it is paused or refuses.
     pub fn publish(&mut self, name: &str, value: &str) -> bool {
-        let Some(writer) = self.writer().filter(|at| self.places[*at].stopped_until <= self.now) else {
+        let Some(writer) = self.writer().filter(|at| self.places[*at].paused_until <= self.now) else {
             return false;
         };
         self.publish_at(writer, vec![edit(name, value)]).is_ok()
@@ -287,16 +299,16 @@
         self.run_until(length, |_| false);
     }
 
-    /// Runs until it is so, looked at every 10 ms, at most so long; the time it took.
-    pub fn run_until(&mut self, most: Tenths, done: impl Fn(&World) -> bool) -> Option<Tenths> {
-        let (from, end) = (self.now, self.now + most);
-        let mut asked = self.now - 100;
+    /// Runs until `done`, tested at most every 10 ms, holds. Returns the time taken, or `None` after `limit`.
+    pub fn run_until(&mut self, limit: Tenths, done: impl Fn(&World) -> bool) -> Option<Tenths> {
+        let (from, end) = (self.now, self.now + limit);
+        let mut last_test = self.now - 100;
         loop {
-            let message = self.net.first_key_value().map(|((at, _), _)| *at);
-            let wake = self.wakes.first().map(|(at, _)| *at);
+            let message = self.in_flight.first_key_value().map(|((at, _), _)| *at);
+            let wake = self.wake_times.first().map(|(at, _)| *at);
             let next = message.into_iter().chain(wake).min().unwrap_or(end).max(self.now);
-            if next >= asked + 100 {
-                asked = next;
+            if next >= last_test + 100 {
+                last_test = next;
                 if done(self) {
                     return Some(self.now - from);
                 }
@@ -308,8 +320,8 @@
             self.now = next;
             if message.is_some_and(|at| at <= next) {
                 self.deliver();
-            } else if let Some((_, at)) = self.wakes.first().copied() {
-                self.pull(at);
+            } else if let Some((_, at)) = self.wake_times.first().copied() {
+                self.run_node(at);
             } else {
                 return None;
             }
@@ -317,38 +329,38 @@
     }
 
     fn deliver(&mut self) {
-        let Some(((_, number), sent)) = self.net.pop_first() else { return };
-        let Sent { from, to, bytes } = sent;
-        let place = &mut self.places[to];
-        if place.process.is_some() && self.now < place.stopped_until {
-            // It waits in the socket, which holds so many.
-            let until = place.stopped_until;
-            if self.net.range((until, 0)..(until, u64::MAX)).count() < 2_000 {
-                self.net.insert((until, number), Sent { from, to, bytes });
+        let Some(((_, number), sent)) = self.in_flight.pop_first() else { return };
+        let InFlight { from, to, bytes } = sent;
+        let node = &mut self.places[to];
+        if node.process.is_some() && self.now < node.paused_until {
+            // Messages to a paused process wait in its socket buffer, which is limited.
+            let until = node.paused_until;
+            if self.in_flight.range((until, 0)..(until, u64::MAX)).count() < 2_000 {
+                self.in_flight.insert((until, number), InFlight { from, to, bytes });
             }
             return;
         }
         let (now, name) = (self.now, self.places[from].name.clone());
-        let message = wire::decode(&bytes).expect("what was sent can be read");
+        let message = wire::decode(&bytes).expect("a sent message can be decoded");
         if let Message::Told { in_force, .. } = &message
-            && place_lives(&self.places[to])
+            && is_running(&self.places[to])
         {
             self.places[from].told = self.places[from].told.max(*in_force);
         }
-        let refused = self.answers && !self.is_cut(to, from);
+        let refused = self.refuses_connections && !self.is_cut(to, from);
         match &mut self.places[to].process {
             Some(Process::Machine(machine)) => machine.heard(now, &name, message),
             Some(Process::Router(router)) => router.heard(now, &name, message),
-            None if refused => return self.refuse(from, to),
+            None if refused => return self.notify_refused(from, to),
             None => return,
         }
-        self.pull(to);
+        self.run_node(to);
     }
 
-    /// The address of a dead one says so.
-    fn refuse(&mut self, to: Node, dead: Node) {
+    /// Notifies node `to` that its connection to the dead node `dead` is refused.
+    fn notify_refused(&mut self, to: Node, dead: Node) {
         let (now, name) = (self.now, self.places[dead].name.clone());
-        if now < self.places[to].stopped_until {
+        if now < self.places[to].paused_until {
             return;
         }
         match &mut self.places[to].process {
@@ -356,35 +368,38 @@
             Some(Process::Router(router)) => router.broken(now, &name),
             None => return,
         }
-        self.pull(to);
+        self.run_node(to);
     }
 
-    fn pull(&mut self, at: Node) {
-        if self.now < self.places[at].stopped_until {
-            return self.sleep(at, Some(self.places[at].stopped_until));
+    fn run_node(&mut self, at: Node) {
+        if self.now < self.places[at].paused_until {
+            return self.set_wake(at, Some(self.places[at].paused_until));
         }
-        let Some(mut process) = self.places[at].process.take() else { return self.sleep(at, None) };
+        let Some(mut process) = self.places[at].process.take() else { return self.set_wake(at, None) };
         let wake = match &mut process {
             Process::Machine(machine) => {
                 while let Some(order) = machine.next_decision(self.now) {
-                    self.carry_out(at, machine, order);
+                    self.execute_order(at, machine, order);
                 }
                 machine.wake_at()
             }
             Process::Router(router) => {
                 while let Some(decision) = router.next_decision(self.now) {
-                    self.do_as_told(at, router, decision);
+                    self.execute_decision(at, router, decision);
                 }
                 self.check_serving(at, router);
                 router.wake_at()
             }
         };
-        assert!(wake.is_none_or(|wake| wake > self.now), "{at} wakes at {wake:?} and has nothing to do");
+        assert!(
+            wake.is_none_or(|wake| wake > self.now),
+            "node {at} wants to wake at {wake:?}, which is not in the future"
+        );
         self.places[at].process = Some(process);
-        self.sleep(at, wake);
+        self.set_wake(at, wake);
     }
 
-    fn carry_out(&mut self, at: Node, machine: &Machine, order: Order) {
+    fn execute_order(&mut self, at: Node, machine: &Machine, order: Order) {
         match order {
             Order::Keep(record) => {
                 let plan = self.plan;
@@ -392,7 +407,7 @@
             }
             Order::Send { to, message } => {
                 if let Message::Accept { tail, .. } = &message {
-                    tail.iter().for_each(|change| self.see(change.version, change.digest));
+                    tail.iter().for_each(|change| self.check_digest(change.version, change.digest));
                 }
                 let to = self.names[&to];
                 self.send(at, to, message);
@@ -405,8 +420,8 @@
                 if let Event::Released(version) = event
                     && version == machine.version()
                 {
-                    self.see(version, machine.document().digest());
-                    self.check_held(version);
+                    self.check_digest(version, machine.document().digest());
+                    self.check_durability(version);
                     self.newest = self.newest.max(version);
                 }
                 self.events.push((self.now, at, event));
@@ -414,26 +429,29 @@
         }
     }
 
-    fn do_as_told(&mut self, at: Node, router: &mut Subscriber, decision: Decision) {
+    fn execute_decision(&mut self, at: Node, router: &mut Subscriber, decision: Decision) {
         match decision {
             Decision::Send { to, message } => {
                 let to = self.names[&to];
                 self.send(at, to, message);
             }
             Decision::Apply { version, document } => {
-                self.see(version, document.digest());
+                self.check_digest(version, document.digest());
                 let me = self.places[at].name.clone();
                 if document.get("poison").is_some_and(|of| of == "all" || of == me.as_str()) {
                     return router.refused(self.now, version, "poison".into());
                 }
-                let place = &mut self.places[at];
+                let node = &mut self.places[at];
                 if self.check {
-                    assert!(version >= place.in_force || !place.keeps, "{me} goes back to {version}");
-                    assert!(version > router.in_force(), "{me} goes back to {version}");
+                    assert!(
+                        version >= node.in_force || !node.persists,
+                        "router {me} goes back to version {version}"
+                    );
+                    assert!(version > router.in_force(), "router {me} goes back to version {version}");
                 }
-                place.in_force = version;
-                if place.keeps {
-                    place.file = Some((version, document));
+                node.in_force = version;
+                if node.persists {
+                    node.file = Some((version, document));
                 }
                 self.applied.entry((version, at)).or_insert(self.now);
                 router.applied(self.now, version);
@@ -442,18 +460,18 @@
         }
     }
 
-    fn sleep(&mut self, at: Node, until: Option<Tenths>) {
+    fn set_wake(&mut self, at: Node, until: Option<Tenths>) {
         if let Some(old) = self.places[at].wake.take() {
-            self.wakes.remove(&(old, at));
+            self.wake_times.remove(&(old, at));
         }
         if let Some(until) = until {
-            self.wakes.insert((until, at));
+            self.wake_times.insert((until, at));
         }
         self.places[at].wake = until;
     }
 
     pub fn is_cut(&self, from: Node, to: Node) -> bool {
-        self.cut.contains(&(from, to)) || self.groups.is_some_and(|of| of(from) != of(to))
+        self.cut_links.contains(&(from, to)) || self.group_of.is_some_and(|of| of(from) != of(to))
     }
 
     fn send(&mut self, from: Node, to: Node, mut message: Message) {
@@ -462,8 +480,8 @@
         {
             tamper(&mut message);
         }
-        let bytes = wire::encode(&message).expect("it fits");
-        *self.kinds.entry(kind(&message)).or_default() += 1;
+        let bytes = wire::encode(&message).expect("the message is within the size limit");
+        *self.kinds.entry(message_kind(&message)).or_default() += 1;
         if self.count {
             let router = from.max(to);
             if self.is_router(router) {
@@ -477,62 +495,72 @@
             return;
         }
         let copies = match self.chance.generate_range(0..100u32) {
-            roll if roll < self.lost => 0,
-            roll if roll >= 100 - self.doubled => 2,
+            roll if roll < self.loss_percent => 0,
+            roll if roll >= 100 - self.duplicate_percent => 2,
             _ => 1,
         };
         for _ in 0..copies {
-            // Half to 1 ms within a region, 10 to 40 ms between two: one sent later may come sooner.
+            // The delay is 0.5 to 2 ms within a region and 10 to 40 ms between two, so messages may be reordered.
             let base = if from % REGIONS == to % REGIONS { 5 } else { 100 };
-            let late = base + self.chance.generate_range(0..3 * base as u64) as Tenths;
-            self.sent += 1;
-            self.net.insert((self.now + late, self.sent), Sent { from, to, bytes: bytes.clone() });
+            let delay = base + self.chance.generate_range(0..3 * base as u64) as Tenths;
+            self.sent_count += 1;
+            self.in_flight
+                .insert((self.now + delay, self.sent_count), InFlight { from, to, bytes: bytes.clone() });
         }
     }
 
-    /// No two documents under one version.
-    fn see(&mut self, version: Version, digest: u64) {
+    /// Checks that a version never has two different documents.
+    fn check_digest(&mut self, version: Version, digest: u64) {
         let known = *self.digests.entry(version).or_insert(digest);
-        assert!(!self.check || known == digest, "two documents under {version}");
+        assert!(!self.check || known == digest, "version {version} has two different documents");
     }
 
-    /// What is released is on the disks of a majority of keepers.
-    fn check_held(&self, version: Version) {
-        // Later a disk may have been lost.
+    /// Checks that a released version is on the disks of a majority of keepers.
+    fn check_durability(&self, version: Version) {
+        // Checked at the first release only: a disk may be lost later.
         if !self.check || version <= self.newest {
             return;
         }
-        let holds = |place: &&Place| place.kept.as_ref().is_some_and(|kept| kept.holds(version));
+        let holds = |node: &&NodeState| node.kept.as_ref().is_some_and(|kept| kept.holds(version));
         let holders = self.places[..self.keepers].iter().filter(holds).count();
-        assert!(holders > self.keepers / 2, "{version} is released and on {holders} disks");
+        assert!(
+            holders > self.keepers / 2,
+            "version {version} is released, but only on {holders} disks of keepers"
+        );
     }
 
-    /// A router that serves after a start does so under no older version than it had been told before, or had told.
+    /// Checks that a restarted router does not serve a version older than one that it reported before the restart.
     fn check_serving(&mut self, at: Node, router: &Subscriber) {
-        let place = &mut self.places[at];
-        if !self.check || place.served || !router.may_serve(self.now) {
+        let node = &mut self.places[at];
+        if !self.check || node.has_served || !router.may_serve(self.now) {
             return;
         }
-        place.served = true;
-        let (version, told) = (router.in_force(), place.told);
-        assert!(version >= told, "{} serves under {version}, and had told {told}", place.name);
+        node.has_served = true;
+        let (version, told) = (router.in_force(), node.told);
+        assert!(version >= told, "{} serves version {version} but has reported {told} before", node.name);
     }
 
-    /// A verdict of everywhere is true, and otherwise who is not at it is named.
+    /// Checks that a verdict of `everywhere` is true, and that any other verdict names each router below the version.
+    /// Routers that are not running, started at most 30 s ago or have reported nothing are left out.
     fn check_verdict(&self, verdict: &Verdict) {
         if !self.check {
             return;
         }
         for at in self.routers() {
-            let place = &self.places[at];
-            let old = place.process.is_some() && self.now - place.started > 30 * SECOND;
-            if !old || place.told == Version::NONE || place.in_force >= verdict.version {
+            let node = &self.places[at];
+            let old = node.process.is_some() && self.now - node.started > 30 * SECOND;
+            if !old || node.told == Version::NONE || node.in_force >= verdict.version {
                 continue;
             }
-            let named = verdict.behind.contains(&place.name)
-                || verdict.silent.contains(&place.name)
-                || verdict.refused.iter().any(|(name, _)| *name == place.name);
-            assert!(!verdict.everywhere && named, "{} is at {}: {verdict:?}", place.name, place.in_force);
+            let named = verdict.behind.contains(&node.name)
+                || verdict.silent.contains(&node.name)
+                || verdict.refused.iter().any(|(name, _)| *name == node.name);
+            assert!(
+                !verdict.everywhere && named,
+                "router {} is at {}, which contradicts {verdict:?}",
+                node.name,
+                node.in_force
+            );
         }
     }
 
@@ -540,7 +568,7 @@
         self.routers().filter_map(|at| self.router(at).map(|router| (at, router)))
     }
 
-    /// Is every live router, and every live machine, at the newest released version, and does one write?
+    /// Whether there is a writer and all running machines and routers are at the newest released version.
     pub fn agreed(&self) -> bool {
         let newest = self.newest;
         newest > Version::NONE
@@ -551,9 +579,9 @@
                 .all(|(_, router)| router.in_force() == newest && router.may_serve(self.now))
     }
 
-    /// Is this in force at all routers that run?
+    /// Whether this value is in force at all routers that run and are not paused.
     pub fn everywhere(&self, name: &str, value: &str) -> bool {
-        let running = |at: &Node| self.places[*at].stopped_until <= self.now;
+        let running = |at: &Node| self.places[*at].paused_until <= self.now;
         let mut documents = BTreeMap::new();
         for machine in (0..self.machines).filter_map(|at| self.machine(at)) {
             documents.insert(machine.version(), machine.document());
@@ -563,20 +591,21 @@
         })
     }
 
-    /// Every machine cut off from every other node, by the rule.
-    pub fn part(&mut self, groups: fn(Node) -> usize) {
-        self.groups = Some(groups);
+    /// Partitions the network into groups: no message passes between nodes of different groups.
+    pub fn part(&mut self, group_of: fn(Node) -> usize) {
+        self.group_of = Some(group_of);
     }
 
+    /// Repairs all links, resumes paused processes and starts those that do not run.
     pub fn heal(&mut self) {
-        self.cut.clear();
-        self.groups = None;
-        self.lost = 0;
-        self.doubled = 0;
+        self.cut_links.clear();
+        self.group_of = None;
+        self.loss_percent = 0;
+        self.duplicate_percent = 0;
         for at in 0..self.places.len() {
-            if self.now < self.places[at].stopped_until {
-                self.places[at].stopped_until = self.now;
-                self.sleep(at, Some(self.now));
+            if self.now < self.places[at].paused_until {
+                self.places[at].paused_until = self.now;
+                self.set_wake(at, Some(self.now));
             }
             if self.places[at].process.is_none() {
                 self.start(at);
@@ -585,6 +614,6 @@
     }
 }
 
-fn place_lives(place: &Place) -> bool {
-    place.process.is_some()
+fn is_running(node: &NodeState) -> bool {
+    node.process.is_some()
 }
