--- a/crates/configuration/src/machine.rs
+++ b/crates/configuration/src/machine.rs
@@ -23,7 +23,7 @@
 /// What the host has to do, in the order in which it is returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Persist the record before carrying out any later order; writing all of [`Machine::persisted`] is as good.
+    /// Persist the record before carrying out any later action; writing all of [`Machine::persisted`] is as good.
     Persist(Record),
     /// Send a message to a router or machine. It may be lost.
     Send {
@@ -246,7 +246,7 @@
         self.catch_up.connection_lost(now, from);
     }
 
-    /// The next order for the host, or `None` if there is nothing left to do.
+    /// The next action for the host, or `None` if there is nothing left to do.
     pub fn next_decision(&mut self, now: Tenths) -> Option<Action> {
         loop {
             if let Some(order) = self.orders.pop_front() {
--- a/crates/configuration/src/machine/follow.rs
+++ b/crates/configuration/src/machine/follow.rs
@@ -13,11 +13,11 @@
     pub(super) target: Version,
     asked_machine: Option<Name>,
     turn: u32,
-    /// When the last answer came, or the last ask was sent.
+    /// When the last answer came, or the last subscribe message was sent.
     last_progress: Tenths,
     next_ask_at: Tenths,
     parts: Parts,
-    /// The next ask requests a snapshot.
+    /// The next subscribe message requests a snapshot.
     need_snapshot: bool,
 }
 
@@ -35,7 +35,7 @@
         self.catch_up.target > self.kept.version()
     }
 
-    /// When the next ask is due.
+    /// When the next subscribe message is due.
     pub(super) fn catch_up_at(&self) -> Option<Tenths> {
         if matches!(self.role, Role::Writer(_)) {
             return None;
--- a/crates/configuration/src/machine/serve.rs
+++ b/crates/configuration/src/machine/serve.rs
@@ -64,7 +64,7 @@
         let machine = self.others.contains(from);
         let before =
             self.sessions.get(from).map(|session| (session.start, session.turn, session.paced_until));
-        // Without this check, a delayed ask would restart what a later ask has begun.
+        // Without this check, a delayed ask would restart what a later message has begun.
         if !machine && before.is_some_and(|(old, last, _)| (start, turn) <= (old, last)) {
             return;
         }
--- a/crates/configuration/src/message.rs
+++ b/crates/configuration/src/message.rs
@@ -24,7 +24,7 @@
     Subscribe {
         /// Grows with each start of the sender.
         start: u64,
-        /// Grows with each ask of one start.
+        /// Grows with each subscribe message of one start.
         turn: u32,
         /// The version that the sender holds; [`Version::NONE`] if it holds nothing or requests a snapshot.
         holds: Version,
@@ -36,9 +36,9 @@
     },
     /// Router to machine: what the router did with a version. Repeated at intervals as a sign of life.
     Status {
-        /// The start given in the ask.
+        /// The start given in the subscribe message.
         start: u64,
-        /// The turn given in the ask.
+        /// The turn given in the subscribe message.
         turn: u32,
         /// The version in force.
         in_force: Version,
@@ -49,21 +49,21 @@
     },
     /// Router to machine: the router ends its subscription and moves to another machine.
     Unsubscribe {
-        /// The start given in the ask.
+        /// The start given in the subscribe message.
         start: u64,
-        /// The turn given in the ask.
+        /// The turn given in the subscribe message.
         turn: u32,
     },
     /// Machine to router or machine: the changes that follow the version held.
     Changes {
-        /// The turn of the ask that this answers.
+        /// The turn of the subscribe message that this answers.
         turn: u32,
         /// The changes, in order.
         changes: Vec<Change>,
     },
     /// Machine to router or machine: a part of a snapshot.
     SnapshotPart {
-        /// The turn of the ask that this answers.
+        /// The turn of the subscribe message that this answers.
         turn: u32,
         /// The version of the snapshot.
         version: Version,
@@ -78,7 +78,7 @@
     },
     /// Machine to router or machine: a sign of life.
     Beat {
-        /// The turn of the ask that this answers.
+        /// The turn of the subscribe message that this answers.
         turn: u32,
         /// The newest released version that the machine holds.
         version: Version,
@@ -89,7 +89,7 @@
     },
     /// Machine to router: subscribe elsewhere.
     Redirect {
-        /// The turn of the ask that this answers.
+        /// The turn of the subscribe message that this answers.
         turn: u32,
         /// How long not to ask this machine again.
         wait: Tenths,
@@ -162,7 +162,7 @@
     },
     /// Machine to router or machine: a part of changes that are too long for one message.
     ChangesPart {
-        /// The turn of the ask that this answers.
+        /// The turn of the subscribe message that this answers.
         turn: u32,
         /// The version that the last change leads to.
         version: Version,
--- a/crates/configuration/src/name.rs
+++ b/crates/configuration/src/name.rs
@@ -5,8 +5,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The name of a router or control machine, the same across restarts: 1 to [`Name::MAX_BYTES`] letters, digits, `-`, `_`
-/// or `.`.
+/// The name of a router or control machine, the same across restarts: 1 to [`Name::MAX_BYTES`] letters, digits, `-`,
+/// `_` or `.`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name(Arc<str>);
--- a/crates/configuration/src/persisted_state.rs
+++ b/crates/configuration/src/persisted_state.rs
@@ -9,8 +9,9 @@
 use crate::log::Log;
 use crate::{Change, Name, Plan, Tenths, Version, replica};
 
-/// The persisted state of a control machine. The host writes it before it carries out any order that follows an
-/// [`crate::Action::Persist`]: either all of it (`to_bytes`), or the records of these orders, which [`PersistedState::apply`] replays.
+/// The persisted state of a control machine. The host writes it before it carries out any action that follows an
+/// [`crate::Action::Persist`]: either all of it (`to_bytes`), or the records of these actions, which
+/// [`PersistedState::apply`] replays.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedState {
     /// The highest epoch promised, if this machine is a keeper.
--- a/crates/configuration/src/plan.rs
+++ b/crates/configuration/src/plan.rs
@@ -17,9 +17,9 @@
     pub patience: Tenths,
     /// Election timeout: a keeper that heard from no writer for once to twice this time becomes a candidate.
     pub stand: Tenths,
-    /// Time over which routers spread their first asks when many start at once.
+    /// Time over which routers spread their first subscribe messages when many start at once.
     pub spread: Tenths,
-    /// Maximum backoff between two asks of a router that finds no machine; the first backoff is a hundredth of it.
+    /// Maximum backoff between two subscribe messages of a router that finds no machine; the first backoff is a hundredth of it.
     pub pause: Tenths,
     /// A router that is not served by its preferred machine tries that one again after once to twice this time.
     pub home: Tenths,
--- a/crates/configuration/src/replica.rs
+++ b/crates/configuration/src/replica.rs
@@ -60,7 +60,7 @@
         Ok(())
     }
 
-    /// Adds a part, and applies the whole when no part is missing any more.
+    /// Adds a part, and applies all of them when no part is missing any more.
     ///
     /// # Errors
     /// A snapshot that cannot be used is not applied. Of a run of changes, those before the first invalid one are
--- a/crates/configuration/src/subscriber.rs
+++ b/crates/configuration/src/subscriber.rs
@@ -91,7 +91,7 @@
     applying: Option<Version>,
     in_force: Version,
     refused: Option<(Version, String)>,
-    /// The next ask requests a snapshot.
+    /// The next subscribe message requests a snapshot.
     need_snapshot: bool,
     /// The snapshot of this version could not be used. No further snapshot is requested until there is a later version.
     unusable_snapshot: Version,
@@ -99,7 +99,7 @@
     /// Machines that are not to be asked before the given time.
     avoid_until: BTreeMap<Name, Tenths>,
     next_ask_at: Tenths,
-    /// Consecutive asks that failed.
+    /// Consecutive subscribe messages that failed.
     failed_asks: u32,
     /// Consecutive moves away from machines without contact to a writer.
     isolated_moves: u32,
@@ -188,7 +188,7 @@
     pub fn handle_message(&mut self, now: Tenths, from: &Name, message: Message) {
         let turn = self.turn;
         let Some(link) = self.link.as_mut().filter(|link| link.machine == *from) else { return };
-        // What a machine sent for an earlier ask or an earlier start does not continue from the version held.
+        // What a machine sent for an earlier subscribe message or an earlier start does not continue from the version held.
         if answered_turn(&message) != Some(turn) {
             return;
         }
--- a/crates/configuration/src/subscriber/link.rs
+++ b/crates/configuration/src/subscriber/link.rs
@@ -18,7 +18,7 @@
     pub(super) leave_isolated_at: Option<Tenths>,
 }
 
-/// The turn of the ask that a message answers.
+/// The turn of the subscribe message that a message answers.
 pub(super) fn answered_turn(message: &Message) -> Option<u32> {
     match message {
         Message::Changes { turn, .. }
