--- a/crates/configuration/src/ledger.rs
+++ b/crates/configuration/src/ledger.rs
@@ -13,7 +13,8 @@
     pub name: Name,
     /// Identifies this run of the router; later starts have higher values.
     pub start: u64,
-    /// The number of the subscribe message that the router is served by. Within one start a later message has a higher number.
+    /// The number of the subscribe message that the router is served by. Within one start a later message has a higher
+    /// number.
     pub turn: u32,
     /// The highest version that the router has ever reported in force.
     pub version: Version,
--- a/crates/configuration/src/plan.rs
+++ b/crates/configuration/src/plan.rs
@@ -19,7 +19,8 @@
     pub stand: Tenths,
     /// Time over which routers spread their first subscribe messages when many start at once.
     pub spread: Tenths,
-    /// Maximum backoff between two subscribe messages of a router that finds no machine; the first backoff is a hundredth of it.
+    /// Maximum backoff between two subscribe messages of a router that finds no machine; the first backoff is a
+    /// hundredth of it.
     pub pause: Tenths,
     /// A router that is not served by its preferred machine tries that one again after once to twice this time.
     pub home: Tenths,
--- a/crates/configuration/src/subscriber.rs
+++ b/crates/configuration/src/subscriber.rs
@@ -188,7 +188,8 @@
     pub fn handle_message(&mut self, now: Tenths, from: &Name, message: Message) {
         let turn = self.turn;
         let Some(link) = self.link.as_mut().filter(|link| link.machine == *from) else { return };
-        // What a machine sent for an earlier subscribe message or an earlier start does not continue from the version held.
+        // What a machine sent for an earlier subscribe message or an earlier start does not continue from the version
+        // held.
         if answered_turn(&message) != Some(turn) {
             return;
         }
