--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,20 +1,20 @@
-//! Who an instance is: a name that stays and a start that does not.
+//! Identity of an instance: a name that it keeps over restarts, and a start that differs for each run.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The name of an instance, as its operators write it: 1 to [`Name::LONGEST`] bytes, kept over restarts.
+/// The name of an instance, as configured by the operator: 1 to [`Name::LONGEST`] bytes, kept over restarts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name(Box<str>);
 
-/// A name that can't be used, with its length in bytes.
+/// The name is empty or too long; holds its length in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BadName(pub usize);
 
 impl Name {
-    /// Longest name, in bytes.
+    /// Maximum length of a name, in bytes.
     pub const LONGEST: usize = 32;
 
     /// # Errors
@@ -26,7 +26,6 @@
         }
     }
 
-    /// The name as written.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -60,13 +59,13 @@
 
 impl std::error::Error for BadName {}
 
-/// One life of an instance. The later of two starts under one name is the higher one: by wall-clock time, then by a
-/// count that only grows (the host keeps it in its store; without one it is 0).
+/// Identifies one run of an instance. Of two starts under one name, the later one compares higher: first by wall-clock
+/// time, then by a counter that never decreases. The host stores the counter; without a store it is 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Start {
     /// Milliseconds since 1970, by the instance's own clock.
     pub at: u64,
-    /// How often the host has counted a start, or raised one that was lower than its last.
+    /// Number of starts that the host has counted, including those raised because they were lower than the previous one.
     pub count: u32,
 }
 
--- a/crates/membership/src/plan.rs
+++ b/crates/membership/src/plan.rs
@@ -1,32 +1,32 @@
-//! How often and how patiently a fleet looks after itself. The same on every instance.
+//! Timing of the failure detector and of the gossip. All instances of a fleet use the same plan.
 
 use std::fmt;
 
 use crate::Tenths;
 
-/// Most other instances that one keeps. Twice a fleet of 2,100: as many again may be remembered as gone, restarted under
-/// new names. At the bound the one that has been gone for longest is forgotten; if all are there, a further one is not
-/// taken in. It guards memory: `docs/membership.md` says what one takes.
+/// Maximum number of other instances in the view: about twice a fleet of 2,100, because as many again may still be remembered
+/// as gone after restarts under new names. At the bound, the instance that has been gone for longest is forgotten; if none
+/// is gone, a further one is not added. The bound limits memory; `docs/membership.md` gives the size of one entry.
 pub const MOST_INSTANCES: usize = 4_096;
 
-/// The rhythm of a fleet.
+/// Timing parameters of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// Number of the fleet: messages of another one are refused.
+    /// Number of the fleet: messages of other fleets are ignored.
     pub fleet: u32,
-    /// Time between two probes of one instance that trusts itself.
+    /// Time between two probes by an instance with a local health score of 0.
     pub period: Tenths,
-    /// Helpers asked when a probe is not answered.
+    /// Number of helpers for indirect probes after a direct probe was not answered.
     pub helpers: usize,
-    /// Least suspicion: so many periods for each tenfold of the fleet.
+    /// Minimum length of a suspicion, in periods per factor of ten in the size of the fleet.
     pub patience: i64,
-    /// Longest suspicion, when nobody else confirms it: so many times the least.
+    /// Maximum length of a suspicion that nobody else confirms, as a multiple of the minimum.
     pub slack: i64,
-    /// How often an instance that is gone, or a seed that is not known, is tried again.
+    /// Interval of the attempts to reach a dead instance or a seed that is not in the view.
     pub reach: Tenths,
-    /// How often two instances compare all they know.
+    /// Interval of the full comparison of views with a random peer (anti-entropy).
     pub compare: Tenths,
-    /// How long one that is gone is remembered.
+    /// How long an instance that is gone stays in the view.
     pub forget: Tenths,
 }
 
@@ -45,12 +45,12 @@
     }
 }
 
-/// A plan that can't be used: which value, and what was expected.
+/// An invalid plan: the value and its valid range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BadPlan {
-    /// The value.
+    /// Name of the invalid value.
     pub what: &'static str,
-    /// What it should be.
+    /// The valid range.
     pub expected: &'static str,
 }
 
@@ -63,8 +63,10 @@
 impl std::error::Error for BadPlan {}
 
 impl Plan {
+    /// Checks the ranges of all values.
+    ///
     /// # Errors
-    /// [`BadPlan`] names the first value that can't be used.
+    /// [`BadPlan`] names the first invalid value.
     pub fn check(&self) -> Result<(), BadPlan> {
         let rules = [
             (self.period >= 500 && self.period <= 600_000, "period", "50 ms to 1 min"),
@@ -75,7 +77,7 @@
             (self.compare >= self.period, "compare", "at least one period"),
             (self.forget >= 10 * self.reach, "forget", "at least ten times reach"),
         ];
-        match rules.into_iter().find(|(good, ..)| !good) {
+        match rules.into_iter().find(|(valid, ..)| !valid) {
             Some((_, what, expected)) => Err(BadPlan { what, expected }),
             None => Ok(()),
         }
