--- a/crates/membership/examples/figures.rs
+++ b/crates/membership/examples/figures.rs
@@ -1,5 +1,5 @@
-//! Simulated figures of the membership: `cargo run --release -p vetchkeel-membership --example figures [seeds] [instances]
-//! [lost of a hundred]`.
+//! Prints figures of the simulated membership: `cargo run --release -p vetchkeel-membership --example figures [seeds]
+//! [instances] [percentage of lost messages]`.
 
 #[path = "../tests/world/mod.rs"]
 mod world;
@@ -7,7 +7,7 @@
 use vetchkeel_membership::{Change, Tenths};
 use world::{SECOND, World, name};
 
-/// Middle and 99th of a hundred, in milliseconds.
+/// Median, 99th percentile and maximum, in milliseconds.
 fn quantiles(mut times: Vec<Tenths>) -> String {
     times.sort_unstable();
     let at = |part: usize| times.get((times.len() * part / 100).min(times.len().saturating_sub(1)));
@@ -15,12 +15,12 @@
     format!("{} | {} | {}", ms(at(50)), ms(at(99)), ms(times.last()))
 }
 
-/// A wide fleet that started at once goes on telling for longer, though all know all.
+/// Extra time for a large fleet after a simultaneous start: its gossip goes on for longer, though all views are complete.
 fn settling(count: usize) -> Tenths {
     if count > 700 { 40 * SECOND } else { 0 }
 }
 
-/// How a fleet of `count` came up: when the last join was learned, if all were.
+/// One table row about the start of a fleet of `count`: time of the last join in any view, and number of incomplete views.
 fn start(world: &World, count: usize) -> String {
     let joined = world.changes.iter().filter(|(_, _, change)| matches!(change, Change::Joined(_)));
     let mut by = vec![0; count];
@@ -53,11 +53,11 @@
         let mut rates = Vec::new();
         let mut datagrams = 0;
         for seed in 0..seeds {
-            let mut world = World::whole(count, seed, 30 * SECOND);
+            let mut world = World::all_started(count, seed, 30 * SECOND);
             started.push(start(&world, count));
             world.run(settling(count));
             world.changes.clear();
-            world.lost = lost;
+            world.loss_percent = lost;
             world.run(10 * SECOND);
             (world.bytes, world.datagrams) = (0, 0);
             world.run(30 * SECOND);
@@ -65,9 +65,9 @@
             datagrams += world.datagrams;
         }
         let mean = rates.iter().sum::<u64>() / seeds;
-        let each = datagrams as f64 / 30.0 / count as f64 / seeds as f64;
+        let per_instance = datagrams as f64 / 30.0 / count as f64 / seeds as f64;
         let (least, most) = (rates.iter().min().unwrap_or(&0), rates.iter().max().unwrap_or(&0));
-        println!("| {count} | {lost}% | {mean} | {each:.1} | {least} to {most} |");
+        println!("| {count} | {lost}% | {mean} | {per_instance:.1} | {least} to {most} |");
     }
     println!(
         "\n| instances | all started within 1 s: views whole after, ms | views not whole after 30 s | KB a router in 31 s |"
@@ -85,37 +85,37 @@
                 world.start(at, 1_000);
             }
             world.run(30 * SECOND + settling(count));
-            world.lost = lost;
+            world.loss_percent = lost;
             world.run(10 * SECOND);
             world.changes.clear();
             let from = world.now;
             world.start(count, 2_000);
             world.run(20 * SECOND);
-            let of_it =
+            let joined_new =
                 |change: &Change| matches!(change, Change::Joined(instance) if instance.name == name(count));
             joins.extend(
-                world.changes.iter().filter(|(_, _, change)| of_it(change)).map(|(at, ..)| at - from),
+                world.changes.iter().filter(|(_, _, change)| joined_new(change)).map(|(at, ..)| at - from),
             );
-            let its = world
+            let joined_by_new = world
                 .changes
                 .iter()
                 .filter(|(_, by, change)| *by == count && matches!(change, Change::Joined(_)));
-            learnt.extend(its.map(|(at, ..)| at - from));
+            learnt.extend(joined_by_new.map(|(at, ..)| at - from));
             world.changes.clear();
             let from = world.now;
             world.kill(count / 2);
             world.run(40 * SECOND);
             let died: Vec<_> =
                 world.changes.iter().filter(|(_, _, change)| matches!(change, Change::Died(_))).collect();
-            let true_ones = died.iter().filter(|(_, _, change)| *change == Change::Died(name(count / 2)));
-            deaths.extend(true_ones.map(|(at, ..)| at - from));
+            let correct = died.iter().filter(|(_, _, change)| *change == Change::Died(name(count / 2)));
+            deaths.extend(correct.map(|(at, ..)| at - from));
             falsely += died.iter().filter(|(_, _, change)| *change != Change::Died(name(count / 2))).count();
             if count <= 100 {
-                world.part(|at| at % 2 == 0);
+                world.partition(|at| at % 2 == 0);
                 world.run(60 * SECOND);
-                world.cut.clear();
+                world.cut_links.clear();
                 world.changes.clear();
-                heals.extend(world.run_until(60 * SECOND, World::agreed));
+                heals.extend(world.run_until(60 * SECOND, World::converged));
                 let died = world.changes.iter().filter(|(_, _, change)| matches!(change, Change::Died(_)));
                 falsely_healed += died.count();
             }
--- a/crates/membership/src/claim.rs
+++ b/crates/membership/src/claim.rs
@@ -1,4 +1,4 @@
-//! What is said about an instance, and which of two claims counts.
+//! Claims about the state of an instance, and which of two claims takes precedence.
 
 use std::net::SocketAddr;
 
@@ -6,45 +6,45 @@
 
 use crate::{Name, Start, Zone};
 
-/// One life of an instance and where it is reached.
+/// One run of an instance and its address.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Instance {
     /// Its name, kept over restarts.
     pub name: Name,
-    /// Its life.
+    /// Identifies the run.
     pub start: Start,
-    /// Where it hears.
+    /// The address that it receives messages on.
     pub address: SocketAddr,
-    /// Where it runs, if its operators say.
+    /// The zone it runs in, if configured.
     pub zone: Option<Zone>,
 }
 
-/// How an instance is said to be. New kinds only go to the end.
+/// State of an instance. New variants are added at the end only, because the wire format numbers them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Standing {
-    /// There.
+    /// Present and not suspected.
     Alive,
-    /// Did not answer the one named.
+    /// Did not answer a probe of the named instance.
     Suspect(Name),
-    /// A suspicion was not answered in time; the one named said so first.
+    /// Did not refute a suspicion in time; the named instance raised that suspicion.
     Dead(Name),
-    /// Said itself that it goes.
+    /// Announced that it leaves.
     Left,
 }
 
-/// What is said about one life of an instance.
+/// A claim about the state of one run of an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Claim {
-    /// Who is meant.
+    /// The subject of the claim.
     pub instance: Instance,
-    /// Raised by the instance alone, to answer a claim against it.
+    /// Raised only by the instance itself, to refute a claim against it.
     pub incarnation: u32,
-    /// How it is.
+    /// The claimed state.
     pub standing: Standing,
 }
 
 impl Standing {
-    /// Is it there, as far as anybody knows?
+    /// True unless the instance is dead or has left; a suspected instance still counts as present.
     pub fn is_there(&self) -> bool {
         matches!(self, Standing::Alive | Standing::Suspect(_))
     }
@@ -60,9 +60,10 @@
 }
 
 impl Claim {
-    /// Does it count more than `other` about the same instance? A later life does, then a higher incarnation, then the
-    /// worse standing: only the instance itself can better its standing, by raising its incarnation.
-    pub fn outdoes(&self, other: &Claim) -> bool {
+    /// True if this claim takes precedence over `other` about the same instance: a later start wins, then a higher
+    /// incarnation, then the worse standing. So only the instance itself can improve its standing, by raising its
+    /// incarnation.
+    pub fn overrides(&self, other: &Claim) -> bool {
         let key = |claim: &Claim| (claim.instance.start, claim.incarnation, claim.standing.rank());
         key(self) > key(other)
     }
--- a/crates/membership/src/doubt.rs
+++ b/crates/membership/src/doubt.rs
@@ -1,30 +1,32 @@
-//! How far an instance doubts itself before it doubts others.
+//! Local health of an instance, as in Lifeguard: a slow observer suspects itself before it suspects others.
 
-/// Doubt of 0 (none) to [`Doubt::MOST`]. It stretches the instance's own period, time-outs and suspicions.
+/// Score from 0 (healthy) to [`LocalHealth::MAX`]. The higher it is, the longer the instance's own probe period, time-outs
+/// and suspicions become.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Doubt(u8);
+pub struct LocalHealth(u8);
 
-impl Doubt {
-    /// Highest doubt.
-    pub const MOST: u8 = 8;
+impl LocalHealth {
+    /// The highest score.
+    pub const MAX: u8 = 8;
 
-    /// Something that may be its own fault: a missed answer of a helper, a late wake-up, being suspected itself.
-    pub fn raise(&mut self, by: i64) {
-        self.0 = (i64::from(self.0) + by).clamp(0, i64::from(Self::MOST)) as u8;
+    /// Raises the score after an event that may be caused by this instance itself: a helper that did not answer, a late
+    /// wake-up, or being suspected.
+    pub fn degrade(&mut self, by: i64) {
+        self.0 = (i64::from(self.0) + by).clamp(0, i64::from(Self::MAX)) as u8;
     }
 
-    /// A probe was answered in time.
-    pub fn ease(&mut self) {
+    /// Lowers the score by one after a probe that was answered in time.
+    pub fn improve(&mut self) {
         self.0 = self.0.saturating_sub(1);
     }
 
-    /// The doubt as a number.
+    /// The score.
     pub fn level(self) -> u8 {
         self.0
     }
 
-    /// By what times are stretched.
-    pub(crate) fn stretch(self) -> i64 {
+    /// Factor by which periods and time-outs grow.
+    pub(crate) fn multiplier(self) -> i64 {
         1 + i64::from(self.0)
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,25 +1,26 @@
-//! Which instances of the fleet are there: SWIM with suspicion and incarnations, with a slow observer that doubts itself
-//! first. Nothing performs I/O, times are told, all chance comes from one seed: equal events give equal decisions.
+//! Group membership of the fleet by gossip: SWIM with suspicion and incarnation numbers, and with the local health score
+//! of Lifeguard. The crate performs no I/O, takes the time as an argument and draws all random numbers from one seed, so
+//! equal events give equal decisions.
 //!
-//! Tell a [`Membership`] what came ([`Membership::heard`]), then pull [`Membership::next_decision`] until there is none,
-//! and come back at [`Membership::wake_at`]. The host hears all that waits in its socket before it pulls: what a stopped
-//! process finds there is older than its own timers.
+//! Pass each received message to [`Membership::heard`], then call [`Membership::next_decision`] until it returns none, and
+//! call it again at [`Membership::wake_at`]. The host reads everything queued in its socket before it asks for decisions:
+//! after a process was stopped, the queued messages are older than its expired timers.
 
 mod claim;
 mod doubt;
+mod gossip_queue;
 mod identity;
 mod membership;
 mod order;
 mod peer;
 mod plan;
 mod probe;
-mod rumours;
 mod suspicion;
 mod trip;
 pub mod wire;
 
 pub use claim::{Claim, Instance, Standing};
-pub use doubt::Doubt;
+pub use doubt::LocalHealth;
 pub use identity::{BadName, Name, Start};
 pub use membership::{Change, Decision, Membership, Seen};
 pub use plan::{BadPlan, MOST_INSTANCES, Plan};
@@ -28,5 +29,5 @@
 /// A time, or a length of time, in tenths of a millisecond.
 pub type Tenths = i64;
 
-/// The zone that an instance runs in, as its operators write it.
+/// The zone that an instance runs in, as configured by the operator.
 pub type Zone = Name;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,6 +1,6 @@
-//! The state machine of one instance: probes, suspicions, news, comparisons, and coming back.
+//! State machine of one instance: probes, suspicions, gossip, anti-entropy and reconnection.
 
-mod learn;
+mod claims;
 mod rounds;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -10,126 +10,127 @@
 use nanorand::{Rng, WyRand};
 
 use crate::claim::{Claim, Instance, Standing};
-use crate::doubt::Doubt;
-use crate::order::Order;
+use crate::doubt::LocalHealth;
+use crate::gossip_queue::GossipQueue;
+use crate::order::ProbeOrder;
 use crate::peer::Peer;
 use crate::plan::{BadPlan, MOST_INSTANCES, Plan};
-use crate::probe::{Errand, Probe};
-use crate::rumours::Rumours;
+use crate::probe::{IndirectProbe, Probe};
 use crate::wire::{Body, LONGEST, Message, length};
 use crate::{Name, Start, Tenths};
 
-/// Most messages that wait to be pulled; at the bound the oldest goes, as a lost datagram would.
+/// Maximum number of messages that wait to be pulled. At the bound the oldest is dropped, like a lost datagram.
 const MOST_WAITING: usize = 4_096;
-/// Most changes that wait to be pulled: all may be suspected and dead at once. At the bound the oldest goes, and
-/// [`Change::Missed`] says so.
+/// Maximum number of changes that wait to be pulled: room for one suspicion and one death of each instance. At the bound
+/// the oldest is dropped, and [`Change::Missed`] reports it.
 const MOST_CHANGES: usize = 2 * MOST_INSTANCES;
-/// Most errands for others at a time; a further one is answered with a regret at once.
-const MOST_ERRANDS: usize = 256;
-/// Probes whose late answers still tell a round trip.
-const MOST_LATE: usize = 8;
+/// Maximum number of concurrent indirect probes for others; a further request is answered with a nack at once.
+const MAX_INDIRECT_PROBES: usize = 256;
+/// Number of failed probes that are kept, so that a late answer still gives a round-trip sample.
+const MAX_LATE_PROBES: usize = 8;
 
-/// What the host is to do.
+/// An action for the host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it as one datagram; it may be lost.
+    /// Send the message as one datagram; it may be lost.
     Send {
-        /// Where.
+        /// Destination.
         to: SocketAddr,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// Pass it on to whoever acts on the view.
+    /// Pass the change on to the consumers of the view.
     Tell(Change),
 }
 
-/// Something that changed in the view.
+/// A change of the view or of this instance's own state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A name that was not known.
+    /// An instance with a new name was added.
     Joined(Instance),
-    /// The same name in a later life.
+    /// A known name has a later start.
     Restarted(Instance),
-    /// It is suspected.
+    /// The instance is suspected.
     Suspected(Name),
-    /// It was suspected or gone, and is there.
+    /// The instance was suspected or gone, and is alive again.
     Returned(Name),
-    /// It is held dead.
+    /// The instance is considered dead.
     Died(Name),
-    /// It said that it goes.
+    /// The instance announced that it leaves.
     Left(Name),
-    /// This instance doubts itself that much (0 to [`Doubt::MOST`]).
+    /// This instance's local health score changed to this value (0 to [`LocalHealth::MAX`]).
     Doubting(u8),
-    /// An earlier life of this instance had a later start: this one is now counted as the given one. Keep its count.
+    /// An earlier run of this instance had a later start, so the start was raised to this one. The host should store its
+    /// counter.
     Raised(Start),
-    /// Another process has this name, elsewhere and with a later start: this one says and does nothing any more.
+    /// Another process has this name at another address and with a later start: this one stops sending and deciding.
     Superseded(Instance),
-    /// The fleet is full: this one was not taken in.
+    /// The view is full: this instance was not added.
     Crowded(Name),
-    /// So many changes were not pulled in time: read the whole view.
+    /// This many changes were dropped because they were not pulled in time: read the whole view.
     Missed(u64),
 }
 
-/// One instance as it is seen.
+/// One entry of the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Seen<'a> {
-    /// Who, in which life, where and in which zone.
+    /// Name, start, address and zone.
     pub instance: &'a Instance,
-    /// How.
+    /// The known state.
     pub standing: &'a Standing,
-    /// Since when.
+    /// Time of the last change of the state.
     pub since: Tenths,
 }
 
-/// The membership as one instance knows it.
+/// The membership of the fleet as one instance knows it.
 pub struct Membership {
     plan: Plan,
     me: Instance,
     incarnation: u32,
     seeds: Vec<SocketAddr>,
     peers: BTreeMap<Name, Peer>,
-    doubt: Doubt,
-    rumours: Rumours,
-    order: Order,
-    chance: WyRand,
-    /// Ends of the running suspicions.
-    ends: BTreeSet<(Tenths, Name)>,
-    /// Whom to tell what is said against it, so that it can answer.
-    slandered: BTreeMap<Name, Claim>,
+    local_health: LocalHealth,
+    gossip_queue: GossipQueue,
+    probe_order: ProbeOrder,
+    rng: WyRand,
+    /// Deadlines of the running suspicions.
+    suspicion_deadlines: BTreeSet<(Tenths, Name)>,
+    /// Instances to be sent the claim against them, so that they can refute it.
+    refutation_pending: BTreeMap<Name, Claim>,
     probe: Option<Probe>,
-    late: VecDeque<(u64, Name, Tenths)>,
-    errands: BTreeMap<u64, Errand>,
-    waiting: VecDeque<Waiting>,
+    late_probes: VecDeque<(u64, Name, Tenths)>,
+    indirect_probes: BTreeMap<u64, IndirectProbe>,
+    outgoing: VecDeque<Outgoing>,
     changes: VecDeque<Change>,
-    missed: u64,
+    dropped_changes: u64,
     number: u64,
-    at: Tenths,
-    /// When the host was told to come back.
-    promised: Option<Tenths>,
+    latest_time: Tenths,
+    /// The last wake-up time returned to the host.
+    expected_wake: Option<Tenths>,
     next_probe: Tenths,
-    next_news: Tenths,
+    next_gossip: Tenths,
     next_compare: Tenths,
-    next_reach: Tenths,
+    next_reconnect: Tenths,
     next_forget: Tenths,
-    next_tell: Tenths,
+    next_refutation_request: Tenths,
+    /// Set after leaving or being superseded: no message is handled and no new one is queued.
     silent: bool,
 }
 
-struct Waiting {
+struct Outgoing {
     to: SocketAddr,
     body: Body,
-    /// Goes first, whatever else there is room for.
+    /// Claims that are always included, before any gossip.
     first: Vec<Claim>,
-    /// May news fill the rest?
-    news: bool,
+    /// Whether gossip fills the rest of the message.
+    gossip: bool,
 }
 
 impl Membership {
-    /// An instance that begins its life now. It joins through any of `seeds` that answers; its own address among them is
-    /// left out.
+    /// Starts an instance. It joins through any of `seeds` that answers; its own address among them is skipped.
     ///
     /// # Errors
-    /// [`BadPlan`] names the first value that can't be used.
+    /// [`BadPlan`] names the first invalid value.
     pub fn new(
         plan: Plan,
         me: Instance,
@@ -138,55 +139,55 @@
         seed: u64,
     ) -> Result<Membership, BadPlan> {
         plan.check()?;
-        let mut chance = WyRand::new_seed(seed);
-        let number = chance.generate::<u64>() >> 1;
-        let mut early = |of: Tenths| now + chance.generate_range(0..of as u64) as Tenths;
-        let (next_probe, next_compare) = (early(plan.period), early(plan.compare));
+        let mut rng = WyRand::new_seed(seed);
+        let number = rng.generate::<u64>() >> 1;
+        let mut random_offset = |of: Tenths| now + rng.generate_range(0..of as u64) as Tenths;
+        let (next_probe, next_compare) = (random_offset(plan.period), random_offset(plan.compare));
         let seeds = seeds.iter().filter(|seed| **seed != me.address).copied().collect();
-        let mut rumours = Rumours::default();
-        rumours.spread(Claim { instance: me.clone(), incarnation: 0, standing: Standing::Alive });
+        let mut gossip_queue = GossipQueue::default();
+        gossip_queue.enqueue(Claim { instance: me.clone(), incarnation: 0, standing: Standing::Alive });
         Ok(Membership {
             plan,
             me,
             incarnation: 0,
             seeds,
             peers: BTreeMap::new(),
-            doubt: Doubt::default(),
-            rumours,
-            order: Order::default(),
-            chance,
-            ends: BTreeSet::new(),
-            slandered: BTreeMap::new(),
+            local_health: LocalHealth::default(),
+            gossip_queue,
+            probe_order: ProbeOrder::default(),
+            rng,
+            suspicion_deadlines: BTreeSet::new(),
+            refutation_pending: BTreeMap::new(),
             probe: None,
-            late: VecDeque::new(),
-            errands: BTreeMap::new(),
-            waiting: VecDeque::new(),
+            late_probes: VecDeque::new(),
+            indirect_probes: BTreeMap::new(),
+            outgoing: VecDeque::new(),
             changes: VecDeque::new(),
-            missed: 0,
+            dropped_changes: 0,
             number,
-            at: now,
-            promised: None,
+            latest_time: now,
+            expected_wake: None,
             next_probe,
-            next_news: now,
+            next_gossip: now,
             next_compare,
-            next_reach: now,
+            next_reconnect: now,
             next_forget: now + plan.reach,
-            next_tell: now,
+            next_refutation_request: now,
             silent: false,
         })
     }
 
-    /// This instance, as others are told of it.
+    /// This instance, as announced to the others.
     pub fn me(&self) -> &Instance {
         &self.me
     }
 
-    /// How far this instance doubts itself.
-    pub fn doubt(&self) -> Doubt {
-        self.doubt
+    /// The local health score of this instance.
+    pub fn doubt(&self) -> LocalHealth {
+        self.local_health
     }
 
-    /// All others that are known, also those that are gone and not forgotten, by name.
+    /// All other known instances in the order of their names, including those that are gone and not yet forgotten.
     pub fn view(&self) -> impl Iterator<Item = Seen<'_>> {
         self.peers.values().map(|peer| Seen {
             instance: &peer.claim.instance,
@@ -195,29 +196,29 @@
         })
     }
 
-    /// How one is seen.
-    pub fn seen(&self, name: &Name) -> Option<&Standing> {
+    /// The known state of an instance.
+    pub fn liveness_of(&self, name: &Name) -> Option<&Standing> {
         self.peers.get(name).map(|peer| &peer.claim.standing)
     }
 
-    /// Says good-bye to a few; the host pulls what there is to send and stops.
+    /// Announces to up to eight peers that this instance leaves. The host then pulls the remaining messages and stops.
     pub fn leave(&mut self) {
         let claim =
             Claim { instance: self.me.clone(), incarnation: self.incarnation, standing: Standing::Left };
-        let mut there: Vec<_> = self
+        let mut present: Vec<_> = self
             .peers
             .values()
             .filter(|peer| peer.is_there())
             .map(|peer| peer.claim.instance.address)
             .collect();
-        self.chance.shuffle(&mut there);
-        for to in there.into_iter().take(8) {
-            self.put(to, Body::News, vec![claim.clone()], false);
+        self.rng.shuffle(&mut present);
+        for to in present.into_iter().take(8) {
+            self.queue_message(to, Body::News, vec![claim.clone()], false);
         }
         self.silent = true;
     }
 
-    /// A message has come.
+    /// Handles a received message.
     pub fn heard(&mut self, now: Tenths, message: &Message) {
         if self.silent || message.fleet != self.plan.fleet {
             return;
@@ -226,127 +227,138 @@
         if from.name == self.me.name && from.start == self.me.start && from.address == self.me.address {
             return;
         }
-        let speaks =
+        let sender_claim =
             Claim { instance: from.clone(), incarnation: message.incarnation, standing: Standing::Alive };
-        self.hear_from(now, speaks);
-        let page = matches!(message.body, Body::Page { .. });
+        self.handle_sender(now, sender_claim);
+        let page = matches!(message.body, Body::SyncPage { .. });
         for claim in &message.claims {
-            self.learn(now, claim, page);
+            self.merge_claim(now, claim, page);
         }
         match &message.body {
             Body::Ping { number, to } if *to == self.me.name => {
-                self.put(from.address, Body::Ack { number: *number }, Vec::new(), true);
+                self.queue_message(from.address, Body::Ack { number: *number }, Vec::new(), true);
             }
             Body::Ping { .. } | Body::News => {}
-            Body::Ack { number } => self.answered(now, *number, &from.name),
-            Body::Errand { number, to, address } => self.run_errand(now, from.address, *number, to, *address),
-            Body::Regret { number } => {
+            Body::Ack { number } => self.handle_ack(now, *number, &from.name),
+            Body::Errand { number, to, address } => {
+                self.handle_ping_req(now, from.address, *number, to, *address)
+            }
+            Body::Nack { number } => {
                 if let Some(probe) = self.probe.as_mut().filter(|probe| probe.number == *number) {
-                    probe.regrets += 1;
+                    probe.nacks += 1;
                 }
             }
-            Body::Compare { digest, after } => {
-                // Who asks on has none: the sum over all is not worked out for each page.
+            Body::SyncRequest { digest, after } => {
+                // A request for a further page has no digest, so that the digest is not computed for each page.
                 if digest.is_none_or(|digest| digest != self.digest()) {
-                    self.put_page(from.address, after.as_ref());
+                    self.queue_page(from.address, after.as_ref());
                 }
             }
-            Body::Page { next: Some(next) } => {
-                let body = Body::Compare { digest: None, after: Some(next.clone()) };
-                self.put(from.address, body, Vec::new(), false);
+            Body::SyncPage { next: Some(next) } => {
+                let body = Body::SyncRequest { digest: None, after: Some(next.clone()) };
+                self.queue_message(from.address, body, Vec::new(), false);
             }
-            Body::Page { next: None } => {}
+            Body::SyncPage { next: None } => {}
         }
     }
 
-    /// The next thing to do, until none is left.
+    /// Returns the next action for the host, or `None` if nothing is due.
     pub fn next_decision(&mut self, now: Tenths) -> Option<Decision> {
-        self.wake(now);
+        self.adjust_for_late_wake(now);
         loop {
-            if self.missed > 0 {
-                return Some(Decision::Tell(Change::Missed(std::mem::take(&mut self.missed))));
+            if self.dropped_changes > 0 {
+                return Some(Decision::Tell(Change::Missed(std::mem::take(&mut self.dropped_changes))));
             }
             if let Some(change) = self.changes.pop_front() {
                 return Some(Decision::Tell(change));
             }
-            if let Some(waiting) = self.waiting.pop_front() {
-                return Some(self.write(waiting));
+            if let Some(outgoing) = self.outgoing.pop_front() {
+                return Some(self.build_message(outgoing));
             }
             if self.silent || !self.do_next(now) {
-                self.promised = self.wake_at();
+                self.expected_wake = self.wake_at();
                 return None;
             }
         }
     }
 
-    /// When to come back if nothing is heard before; none once it is silent.
+    /// When to call [`Membership::next_decision`] again if no message arrives before; `None` after leaving or being
+    /// superseded.
     pub fn wake_at(&self) -> Option<Tenths> {
         if self.silent {
             return None;
         }
-        let rounds = [self.next_compare, self.next_reach, self.next_forget];
-        let ends = self.ends.first().map(|(at, _)| *at);
+        let periodic = [self.next_compare, self.next_reconnect, self.next_forget];
+        let suspicions = self.suspicion_deadlines.first().map(|(at, _)| *at);
         let probe = self.probe.as_ref().map_or(self.next_probe, Probe::due);
-        let errands = self.errands.values().map(|errand| errand.regret_at.unwrap_or(errand.ends)).min();
-        let news = (!self.rumours.is_empty()).then_some(self.next_news);
-        let tell = (!self.slandered.is_empty()).then_some(self.next_tell);
-        rounds.into_iter().chain(ends).chain([probe]).chain(errands).chain(news).chain(tell).min()
+        let indirect_probes =
+            self.indirect_probes.values().map(|indirect| indirect.nack_at.unwrap_or(indirect.deadline)).min();
+        let gossip = (!self.gossip_queue.is_empty()).then_some(self.next_gossip);
+        let refutations = (!self.refutation_pending.is_empty()).then_some(self.next_refutation_request);
+        periodic
+            .into_iter()
+            .chain(suspicions)
+            .chain([probe])
+            .chain(indirect_probes)
+            .chain(gossip)
+            .chain(refutations)
+            .min()
     }
 
-    /// Danger: a process that was stopped finds every timer run out, and would hold everybody dead. Time that it did not
-    /// see does not count against others, and it doubts itself.
-    fn wake(&mut self, now: Tenths) {
-        let late = self.promised.take().map_or(0, |due| now - due);
-        self.at = self.at.max(now);
+    /// Guards against a process that was stopped: it finds every timer expired and would consider all others dead. So the
+    /// time during which it did not run is added to the running time-outs, and its local health score rises.
+    fn adjust_for_late_wake(&mut self, now: Tenths) {
+        let late = self.expected_wake.take().map_or(0, |due| now - due);
+        self.latest_time = self.latest_time.max(now);
         if late <= self.plan.period / 5 {
             return;
         }
-        self.doubting(1 + late / self.plan.period);
+        self.degrade_health(1 + late / self.plan.period);
         if let Some(probe) = &mut self.probe {
-            probe.put_off(late);
+            probe.postpone(late);
         }
-        self.ends.clear();
+        self.suspicion_deadlines.clear();
         for (name, peer) in &mut self.peers {
             if let Some(suspicion) = &mut peer.suspicion {
-                suspicion.put_off(late);
-                self.ends.insert((suspicion.ends(), name.clone()));
+                suspicion.postpone(late);
+                self.suspicion_deadlines.insert((suspicion.deadline(), name.clone()));
             }
         }
     }
 
-    fn trusting(&mut self) {
-        let before = self.doubt;
-        self.doubt.ease();
-        if before != self.doubt {
-            self.change(Change::Doubting(self.doubt.level()));
+    fn improve_health(&mut self) {
+        let before = self.local_health;
+        self.local_health.improve();
+        if before != self.local_health {
+            self.push_change(Change::Doubting(self.local_health.level()));
         }
     }
 
-    fn doubting(&mut self, by: i64) {
-        let before = self.doubt;
-        self.doubt.raise(by);
-        if before != self.doubt {
-            self.change(Change::Doubting(self.doubt.level()));
+    fn degrade_health(&mut self, by: i64) {
+        let before = self.local_health;
+        self.local_health.degrade(by);
+        if before != self.local_health {
+            self.push_change(Change::Doubting(self.local_health.level()));
         }
     }
 
-    fn change(&mut self, change: Change) {
+    fn push_change(&mut self, change: Change) {
         if self.changes.len() == MOST_CHANGES {
             self.changes.pop_front();
-            self.missed += 1;
+            self.dropped_changes += 1;
         }
         self.changes.push_back(change);
     }
 
-    fn put(&mut self, to: SocketAddr, body: Body, first: Vec<Claim>, news: bool) {
-        if self.waiting.len() == MOST_WAITING {
-            self.waiting.pop_front();
+    fn queue_message(&mut self, to: SocketAddr, body: Body, first: Vec<Claim>, gossip: bool) {
+        if self.outgoing.len() == MOST_WAITING {
+            self.outgoing.pop_front();
         }
-        self.waiting.push_back(Waiting { to, body, first, news });
+        self.outgoing.push_back(Outgoing { to, body, first, gossip });
     }
 
-    fn write(&mut self, waiting: Waiting) -> Decision {
-        let Waiting { to, body, first, news } = waiting;
+    fn build_message(&mut self, outgoing: Outgoing) -> Decision {
+        let Outgoing { to, body, first, gossip } = outgoing;
         let mut message = Message {
             fleet: self.plan.fleet,
             from: self.me.clone(),
@@ -354,17 +366,17 @@
             body,
             claims: first,
         };
-        if news && !self.rumours.is_empty() {
+        if gossip && !self.gossip_queue.is_empty() {
             // One byte of version, and up to two for the number of claims.
             let room = (LONGEST - 3).saturating_sub(length(&message));
-            message.claims.extend(self.rumours.pick(room, self.tellings()));
+            message.claims.extend(self.gossip_queue.take_batch(room, self.retransmit_limit()));
         }
         Decision::Send { to, message }
     }
 
-    /// How often news is passed on by each, which is how often each hears it: four times more than the binary logarithm of
-    /// the fleet. What it misses by chance a comparison brings.
-    fn tellings(&self) -> u32 {
+    /// How often each instance sends a claim, which is also how often each receives it on average: the binary logarithm of
+    /// the size of the fleet, plus 4. Anti-entropy delivers what an instance misses.
+    fn retransmit_limit(&self) -> u32 {
         4 + (self.peers.len() as u32 + 2).ilog2()
     }
 
@@ -373,7 +385,7 @@
         self.number
     }
 
-    /// Check sum of who is there, in which life and incarnation, this instance with them.
+    /// Checksum over the names, starts and incarnations of all present instances, including this one.
     fn digest(&self) -> u32 {
         let mut sum = crc32fast::Hasher::new();
         let mut add = |instance: &Instance, incarnation: u32| {
@@ -382,25 +394,25 @@
             sum.update(&instance.start.count.to_le_bytes());
             sum.update(&incarnation.to_le_bytes());
         };
-        let mut told = false;
+        let mut self_added = false;
         for (name, peer) in self.peers.iter().filter(|(_, peer)| peer.is_there()) {
-            if !told && *name > self.me.name {
-                told = true;
+            if !self_added && *name > self.me.name {
+                self_added = true;
                 add(&self.me, self.incarnation);
             }
             add(&peer.claim.instance, peer.claim.incarnation);
         }
-        if !told {
+        if !self_added {
             add(&self.me, self.incarnation);
         }
         sum.finalize()
     }
 
-    /// As much of all that is known as fits, behind `after`.
-    fn put_page(&mut self, to: SocketAddr, after: Option<&Name>) {
+    /// Queues one page of the view: as many entries after `after` as fit into a message.
+    fn queue_page(&mut self, to: SocketAddr, after: Option<&Name>) {
         let mine =
             Claim { instance: self.me.clone(), incarnation: self.incarnation, standing: Standing::Alive };
-        // The number of claims and the name to go on after take their part.
+        // Reserves space for the number of claims and for the name to continue after.
         let mut room = (LONGEST - 3 - Name::LONGEST - 64).saturating_sub(length(&mine));
         let (mut claims, mut next) = (Vec::new(), None);
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
@@ -413,10 +425,11 @@
             room -= takes;
             claims.push(peer.claim.clone());
         }
-        self.put(to, Body::Page { next }, claims, false);
+        self.queue_message(to, Body::SyncPage { next }, claims, false);
     }
 
-    /// Room for one more name: forgets the one that has been gone for longest.
+    /// Makes room for one more name: at the bound, forgets the instance that has been gone for longest. Returns false if
+    /// none is gone.
     fn make_room(&mut self) -> bool {
         if self.peers.len() < MOST_INSTANCES {
             return true;
--- a/crates/membership/src/membership/rounds.rs
+++ b/crates/membership/src/membership/rounds.rs
@@ -1,68 +1,68 @@
-//! What is done when its time has come: probes, ends of suspicions, news, comparisons, and trying those that are gone.
+//! Timed actions: probes, expiry of suspicions, gossip, anti-entropy, and reconnection to instances that are gone.
 
 use std::net::SocketAddr;
 
 use nanorand::Rng;
 
-use super::{MOST_ERRANDS, MOST_LATE, Membership};
+use super::{MAX_INDIRECT_PROBES, MAX_LATE_PROBES, Membership};
 use crate::claim::{Claim, Standing};
-use crate::probe::{Errand, Probe};
+use crate::probe::{IndirectProbe, Probe};
 use crate::wire::Body;
 use crate::{Name, Tenths};
 
-/// Time between two rounds of news while there is any, and how many are told in each.
+/// Time between two rounds of gossip while any is queued, and the number of peers that each round reaches.
 const NEWS_EVERY: Tenths = 2_000;
 const NEWS_TO: usize = 3;
-/// Time between telling two of what is said against them.
-const TELL_EVERY: Tenths = 100;
-/// Shortest time to wait for an answer: below it a sleeping scheduler looks like a death.
-const LEAST_PATIENCE: Tenths = 300;
+/// Minimum time between two pings that ask an instance to refute a claim against it.
+const REFUTATION_INTERVAL: Tenths = 100;
+/// Minimum probe time-out: with a shorter one, a scheduling delay looks like a failure.
+const MIN_PROBE_TIMEOUT: Tenths = 300;
 
 impl Membership {
-    /// Does one thing that is due. False if there is none.
+    /// Runs one action that is due. Returns false if there is none.
     pub(super) fn do_next(&mut self, now: Tenths) -> bool {
-        if let Some((at, name)) = self.ends.first().cloned()
+        if let Some((at, name)) = self.suspicion_deadlines.first().cloned()
             && at <= now
         {
-            self.ends.pop_first();
+            self.suspicion_deadlines.pop_first();
             self.end_suspicion(now, &name);
             return true;
         }
         if self.probe.as_ref().is_some_and(|probe| probe.due() <= now) {
-            self.go_on_probing(now);
+            self.advance_probe(now);
             return true;
         }
-        if let Some(number) = self.due_errand(now) {
-            self.regret(now, number);
+        if let Some(number) = self.due_indirect_probe(now) {
+            self.send_nack(now, number);
             return true;
         }
         if self.next_probe <= now && self.probe.is_none() {
-            self.next_probe = now + self.pace();
-            self.begin_probe(now);
+            self.next_probe = now + self.probe_interval();
+            self.start_probe(now);
             return true;
         }
-        if self.next_news <= now && !self.rumours.is_empty() {
-            self.next_news = now + NEWS_EVERY;
-            for to in self.some(NEWS_TO) {
-                self.put(to, Body::News, Vec::new(), true);
+        if self.next_gossip <= now && !self.gossip_queue.is_empty() {
+            self.next_gossip = now + NEWS_EVERY;
+            for to in self.random_peers(NEWS_TO) {
+                self.queue_message(to, Body::News, Vec::new(), true);
             }
             return true;
         }
-        if self.next_tell <= now && !self.slandered.is_empty() {
-            self.next_tell = now + TELL_EVERY;
-            self.tell_slandered(now);
+        if self.next_refutation_request <= now && !self.refutation_pending.is_empty() {
+            self.next_refutation_request = now + REFUTATION_INTERVAL;
+            self.request_refutation(now);
             return true;
         }
-        if self.next_reach <= now {
-            self.next_reach = now + self.jitter(self.plan.reach);
-            self.reach();
+        if self.next_reconnect <= now {
+            self.next_reconnect = now + self.jitter(self.plan.reach);
+            self.reconnect();
             return true;
         }
         if self.next_compare <= now {
             self.next_compare = now + self.jitter(self.plan.compare);
-            if let Some(to) = self.some(1).pop() {
+            if let Some(to) = self.random_peers(1).pop() {
                 let digest = Some(self.digest());
-                self.put(to, Body::Compare { digest, after: None }, Vec::new(), true);
+                self.queue_message(to, Body::SyncRequest { digest, after: None }, Vec::new(), true);
             }
             return true;
         }
@@ -75,33 +75,33 @@
         false
     }
 
-    /// The period of an instance that doubts itself is longer.
-    pub(super) fn pace(&self) -> Tenths {
-        self.plan.period * self.doubt.stretch()
+    /// The probe period, extended by the local health score.
+    pub(super) fn probe_interval(&self) -> Tenths {
+        self.plan.period * self.local_health.multiplier()
     }
 
-    /// The longest that is waited for an answer of anybody who is there.
-    pub(super) fn slowest(&self) -> Tenths {
-        let there = self.peers.values().filter(|peer| peer.is_there());
-        there.filter_map(|peer| peer.trip.patience()).max().unwrap_or(LEAST_PATIENCE).min(self.plan.period)
+    /// The longest RTT-based time-out of all present peers.
+    pub(super) fn max_rtt_timeout(&self) -> Tenths {
+        let present = self.peers.values().filter(|peer| peer.is_there());
+        present.filter_map(|peer| peer.rtt.timeout()).max().unwrap_or(MIN_PROBE_TIMEOUT).min(self.plan.period)
     }
 
-    /// How long to wait for `name` itself before helpers are asked.
-    fn patience(&self, name: &Name) -> Tenths {
-        let measured = self.peers.get(name).and_then(|peer| peer.trip.patience());
+    /// How long to wait for a direct answer of `name` before helpers are asked.
+    fn probe_timeout(&self, name: &Name) -> Tenths {
+        let measured = self.peers.get(name).and_then(|peer| peer.rtt.timeout());
         measured
             .unwrap_or(self.plan.period / 4)
-            .clamp(LEAST_PATIENCE.min(self.plan.period / 4), self.plan.period / 2)
-            * self.doubt.stretch()
+            .clamp(MIN_PROBE_TIMEOUT.min(self.plan.period / 4), self.plan.period / 2)
+            * self.local_health.multiplier()
     }
 
-    fn begin_probe(&mut self, now: Tenths) {
+    fn start_probe(&mut self, now: Tenths) {
         let peers = &self.peers;
-        let there = |name: &Name| peers.get(name).is_some_and(|peer| peer.is_there());
-        let Some(name) = self.order.next(peers.keys(), there, &mut self.chance) else { return };
+        let present = |name: &Name| peers.get(name).is_some_and(|peer| peer.is_there());
+        let Some(name) = self.probe_order.next(peers.keys(), present, &mut self.rng) else { return };
         let Some(peer) = self.peers.get(&name) else { return };
         let (address, start) = (peer.claim.instance.address, peer.claim.instance.start);
-        // One that is suspected hears so first.
+        // A suspected peer receives the suspicion with the ping, so that it can refute it.
         let first = if peer.is_alive() { Vec::new() } else { vec![peer.claim.clone()] };
         let number = self.next_number();
         self.probe = Some(Probe {
@@ -109,39 +109,39 @@
             peer: name.clone(),
             start,
             sent: now,
-            helpers_at: Some(now + self.patience(&name)),
-            ends: now + self.pace() - 1,
+            helpers_at: Some(now + self.probe_timeout(&name)),
+            deadline: now + self.probe_interval() - 1,
             answered: false,
             helpers: 0,
-            regrets: 0,
+            nacks: 0,
         });
-        self.put(address, Body::Ping { number, to: name }, first, true);
+        self.queue_message(address, Body::Ping { number, to: name }, first, true);
     }
 
-    fn go_on_probing(&mut self, now: Tenths) {
+    fn advance_probe(&mut self, now: Tenths) {
         let Some(mut probe) = self.probe.take() else { return };
-        if probe.answered || now >= probe.ends {
-            return if probe.answered { self.trusting() } else { self.failed(now, probe) };
+        if probe.answered || now >= probe.deadline {
+            return if probe.answered { self.improve_health() } else { self.probe_failed(now, probe) };
         }
         probe.helpers_at = None;
         if let Some(address) = self.peers.get(&probe.peer).map(|peer| peer.claim.instance.address) {
-            for to in self.helpers(&probe.peer) {
+            for to in self.choose_helpers(&probe.peer) {
                 probe.helpers += 1;
                 let body = Body::Errand { number: probe.number, to: probe.peer.clone(), address };
-                self.put(to, body, Vec::new(), true);
+                self.queue_message(to, body, Vec::new(), true);
             }
         }
         self.probe = Some(probe);
     }
 
-    /// Nobody got an answer in time.
-    fn failed(&mut self, now: Tenths, probe: Probe) {
-        // Helpers that are silent too point at this instance, not at the one that was probed.
-        self.doubting(if probe.helpers == 0 { 1 } else { (probe.helpers - probe.regrets).max(0) });
-        if self.late.len() == MOST_LATE {
-            self.late.pop_front();
+    /// Handles a probe that got neither a direct nor an indirect answer in time.
+    fn probe_failed(&mut self, now: Tenths, probe: Probe) {
+        // Helpers that do not answer either point to a fault of this instance, not of the probed one.
+        self.degrade_health(if probe.helpers == 0 { 1 } else { (probe.helpers - probe.nacks).max(0) });
+        if self.late_probes.len() == MAX_LATE_PROBES {
+            self.late_probes.pop_front();
         }
-        self.late.push_back((probe.number, probe.peer.clone(), probe.sent));
+        self.late_probes.push_back((probe.number, probe.peer.clone(), probe.sent));
         let Some(peer) = self.peers.get(&probe.peer) else { return };
         if peer.claim.instance.start != probe.start || !peer.is_there() {
             return;
@@ -151,35 +151,40 @@
         if peer.is_alive() {
             self.suspect(now, &claim, self.me.name.clone(), false);
         } else {
-            self.learn(now, &claim, false);
+            self.merge_claim(now, &claim, false);
         }
     }
 
-    /// An answer, to this instance's probe or to an errand.
-    pub(super) fn answered(&mut self, now: Tenths, number: u64, from: &Name) {
-        if let Some(errand) = self.errands.remove(&number) {
-            return self.put(errand.from, Body::Ack { number: errand.number }, Vec::new(), true);
+    /// Handles an answer to this instance's own probe or to an indirect probe for another instance.
+    pub(super) fn handle_ack(&mut self, now: Tenths, number: u64, from: &Name) {
+        if let Some(indirect) = self.indirect_probes.remove(&number) {
+            return self.queue_message(
+                indirect.from,
+                Body::Ack { number: indirect.number },
+                Vec::new(),
+                true,
+            );
         }
         if let Some(probe) = self.probe.as_mut().filter(|probe| probe.number == number) {
             let direct = *from == probe.peer;
             let sent = probe.sent;
             probe.answered = true;
             if let Some(peer) = self.peers.get_mut(from).filter(|_| direct) {
-                peer.trip.measured(now - sent);
+                peer.rtt.record(now - sent);
             }
             return;
         }
-        // A late answer teaches patience.
-        if let Some(at) = self.late.iter().position(|(late, name, _)| *late == number && name == from)
-            && let Some((_, name, sent)) = self.late.remove(at)
+        // A late answer still gives a round-trip sample, which lengthens the next time-out.
+        if let Some(at) = self.late_probes.iter().position(|(late, name, _)| *late == number && name == from)
+            && let Some((_, name, sent)) = self.late_probes.remove(at)
             && let Some(peer) = self.peers.get_mut(&name)
         {
-            peer.trip.measured(now - sent);
+            peer.rtt.record(now - sent);
         }
     }
 
-    /// Another instance wants `to` asked.
-    pub(super) fn run_errand(
+    /// Handles a request to probe `to` for another instance.
+    pub(super) fn handle_ping_req(
         &mut self,
         now: Tenths,
         from: SocketAddr,
@@ -188,118 +193,130 @@
         address: SocketAddr,
     ) {
         if *to == self.me.name {
-            return self.put(from, Body::Ack { number }, Vec::new(), true);
+            return self.queue_message(from, Body::Ack { number }, Vec::new(), true);
         }
-        if self.errands.len() >= MOST_ERRANDS {
-            return self.put(from, Body::Regret { number }, Vec::new(), false);
+        if self.indirect_probes.len() >= MAX_INDIRECT_PROBES {
+            return self.queue_message(from, Body::Nack { number }, Vec::new(), false);
         }
         let mine = self.next_number();
-        // Soon enough to be back before the one who asked gives up.
-        let regret_at = Some(now + self.patience(to).min(self.plan.period / 4));
-        self.errands.insert(mine, Errand { from, number, regret_at, ends: now + self.plan.period * 2 });
+        // Early enough for the nack to arrive before the requester gives up.
+        let nack_at = Some(now + self.probe_timeout(to).min(self.plan.period / 4));
+        self.indirect_probes
+            .insert(mine, IndirectProbe { from, number, nack_at, deadline: now + self.plan.period * 2 });
         let first = self.peers.get(to).filter(|peer| !peer.is_alive()).map(|peer| peer.claim.clone());
-        self.put(address, Body::Ping { number: mine, to: to.clone() }, first.into_iter().collect(), true);
+        self.queue_message(
+            address,
+            Body::Ping { number: mine, to: to.clone() },
+            first.into_iter().collect(),
+            true,
+        );
     }
 
-    fn due_errand(&self, now: Tenths) -> Option<u64> {
-        let due = |errand: &Errand| errand.regret_at.unwrap_or(errand.ends) <= now;
-        self.errands.iter().find(|(_, errand)| due(errand)).map(|(number, _)| *number)
+    fn due_indirect_probe(&self, now: Tenths) -> Option<u64> {
+        let due = |indirect: &IndirectProbe| indirect.nack_at.unwrap_or(indirect.deadline) <= now;
+        self.indirect_probes.iter().find(|(_, indirect)| due(indirect)).map(|(number, _)| *number)
     }
 
-    fn regret(&mut self, now: Tenths, number: u64) {
-        let Some(errand) = self.errands.get_mut(&number) else { return };
-        if errand.regret_at.take().is_some() {
-            let (to, body) = (errand.from, Body::Regret { number: errand.number });
-            self.put(to, body, Vec::new(), false);
+    fn send_nack(&mut self, now: Tenths, number: u64) {
+        let Some(indirect) = self.indirect_probes.get_mut(&number) else { return };
+        if indirect.nack_at.take().is_some() {
+            let (to, body) = (indirect.from, Body::Nack { number: indirect.number });
+            self.queue_message(to, body, Vec::new(), false);
         }
-        self.errands.retain(|_, errand| errand.regret_at.is_some() || now < errand.ends);
+        self.indirect_probes.retain(|_, indirect| indirect.nack_at.is_some() || now < indirect.deadline);
     }
 
-    /// Helpers: one of the zone of the one that is probed, one of another zone than this instance's, the rest by chance.
-    /// So a cut between two zones shows as one.
-    fn helpers(&mut self, about: &Name) -> Vec<SocketAddr> {
+    /// Chooses the helpers: one in the zone of the probed instance, one in another zone than this instance's, the rest at
+    /// random. So a network cut between two zones can be told from a failure.
+    fn choose_helpers(&mut self, about: &Name) -> Vec<SocketAddr> {
         let zone = self.peers.get(about).and_then(|peer| peer.claim.instance.zone.clone());
         let mine = self.me.zone.clone();
-        let mut able: Vec<_> =
+        let mut candidates: Vec<_> =
             self.peers.values().filter(|peer| peer.is_alive()).map(|peer| &peer.claim.instance).collect();
-        able.retain(|instance| instance.name != *about);
-        self.chance.shuffle(&mut able);
-        let near = able.iter().position(|instance| instance.zone.is_some() && instance.zone == zone);
+        candidates.retain(|instance| instance.name != *about);
+        self.rng.shuffle(&mut candidates);
+        let near = candidates.iter().position(|instance| instance.zone.is_some() && instance.zone == zone);
         if let Some(at) = near {
-            able.swap(0, at);
+            candidates.swap(0, at);
         }
-        let rest = usize::from(near.is_some()).min(able.len());
+        let rest = usize::from(near.is_some()).min(candidates.len());
         if let Some(at) =
-            able[rest..].iter().position(|instance| instance.zone.is_some() && instance.zone != mine)
+            candidates[rest..].iter().position(|instance| instance.zone.is_some() && instance.zone != mine)
         {
-            able.swap(rest, rest + at);
+            candidates.swap(rest, rest + at);
         }
-        able.iter().take(self.plan.helpers).map(|instance| instance.address).collect()
+        candidates.iter().take(self.plan.helpers).map(|instance| instance.address).collect()
     }
 
-    /// A suspicion was not answered in time.
+    /// Declares an instance dead whose suspicion was not refuted in time.
     fn end_suspicion(&mut self, now: Tenths, name: &Name) {
         let Some(peer) = self.peers.get(name) else { return };
         if let Standing::Suspect(by) = &peer.claim.standing {
             let standing = Standing::Dead(by.clone());
             let claim = Claim { standing, ..peer.claim.clone() };
-            self.take(now, &claim, None);
+            self.apply_claim(now, &claim, None);
         }
     }
 
-    /// Tells one what is said against it, so that it can answer with a higher incarnation.
-    fn tell_slandered(&mut self, now: Tenths) {
-        let Some((name, claim)) = self.slandered.pop_first() else { return };
+    /// Sends one instance the claim against it, so that it can refute it with a higher incarnation.
+    fn request_refutation(&mut self, now: Tenths) {
+        let Some((name, claim)) = self.refutation_pending.pop_first() else { return };
         if let Some(peer) = self.peers.get_mut(&name) {
-            peer.told_at = Some(now);
+            peer.refutation_requested_at = Some(now);
         }
         let number = self.next_number();
-        self.put(claim.instance.address, Body::Ping { number, to: name }, vec![claim], true);
+        self.queue_message(claim.instance.address, Body::Ping { number, to: name }, vec![claim], true);
     }
 
-    /// Tries one that is gone, or a seed that is not known: partitions heal, and a fleet that began in parts joins.
-    fn reach(&mut self) {
-        let there = |address: &SocketAddr| {
+    /// Sends a request for a full comparison to a dead instance or to a seed that is not in the view, so that the fleet
+    /// joins again after a partition or a start in separate parts.
+    fn reconnect(&mut self) {
+        let present = |address: &SocketAddr| {
             self.peers.values().any(|peer| peer.is_there() && peer.claim.instance.address == *address)
         };
-        let mut away: Vec<(SocketAddr, Option<Claim>)> =
-            self.seeds.iter().filter(|seed| !there(seed)).map(|seed| (*seed, None)).collect();
+        let mut targets: Vec<(SocketAddr, Option<Claim>)> =
+            self.seeds.iter().filter(|seed| !present(seed)).map(|seed| (*seed, None)).collect();
         let dead = self.peers.values().filter(|peer| matches!(peer.claim.standing, Standing::Dead(_)));
-        away.extend(dead.map(|peer| (peer.claim.instance.address, Some(peer.claim.clone()))));
-        if away.is_empty() {
+        targets.extend(dead.map(|peer| (peer.claim.instance.address, Some(peer.claim.clone()))));
+        if targets.is_empty() {
             return;
         }
         let alone = !self.peers.values().any(|peer| peer.is_there());
-        // Alone, it asks three at a time; else one.
-        for _ in 0..if alone { away.len().min(3) } else { 1 } {
-            let (to, claim) = away.swap_remove(self.chance.generate_range(0..away.len()));
+        // An instance without any present peer tries three targets at a time, otherwise one.
+        for _ in 0..if alone { targets.len().min(3) } else { 1 } {
+            let (to, claim) = targets.swap_remove(self.rng.generate_range(0..targets.len()));
             let digest = Some(self.digest());
-            self.put(to, Body::Compare { digest, after: None }, claim.into_iter().collect(), true);
+            self.queue_message(
+                to,
+                Body::SyncRequest { digest, after: None },
+                claim.into_iter().collect(),
+                true,
+            );
         }
         if alone {
-            self.next_reach = self.next_reach.min(self.at + self.plan.period);
+            self.next_reconnect = self.next_reconnect.min(self.latest_time + self.plan.period);
         }
     }
 
-    /// Some of those who are there, by chance.
-    fn some(&mut self, count: usize) -> Vec<SocketAddr> {
-        let mut there: Vec<_> = self
+    /// Addresses of up to `count` random present peers.
+    fn random_peers(&mut self, count: usize) -> Vec<SocketAddr> {
+        let mut present: Vec<_> = self
             .peers
             .values()
             .filter(|peer| peer.is_there())
             .map(|peer| peer.claim.instance.address)
             .collect();
-        let count = count.min(there.len());
+        let count = count.min(present.len());
         for at in 0..count {
-            let other = self.chance.generate_range(at..there.len());
-            there.swap(at, other);
+            let other = self.rng.generate_range(at..present.len());
+            present.swap(at, other);
         }
-        there.truncate(count);
-        there
+        present.truncate(count);
+        present
     }
 
-    /// `of`, an eighth more or less, so that a fleet that began at once does not go on in step.
+    /// `of`, an eighth more or less, so that instances that started together do not stay in step.
     fn jitter(&mut self, of: Tenths) -> Tenths {
-        of - of / 8 + self.chance.generate_range(0..=(of / 4).max(1) as u64) as Tenths
+        of - of / 8 + self.rng.generate_range(0..=(of / 4).max(1) as u64) as Tenths
     }
 }
--- a/crates/membership/src/order.rs
+++ b/crates/membership/src/order.rs
@@ -1,35 +1,36 @@
-//! Who is probed next: everybody once in a shuffled round, so that nobody waits longer than two rounds.
+//! Order in which peers are probed: round robin over a list that is shuffled for each round, so that no peer waits longer
+//! than two rounds.
 
 use nanorand::{Rng, WyRand};
 
 use crate::Name;
 
 #[derive(Default)]
-pub(crate) struct Order {
+pub(crate) struct ProbeOrder {
     round: Vec<Name>,
 }
 
-impl Order {
-    /// The next of those for whom `fits`; a new round of `all` is shuffled when the last is through.
+impl ProbeOrder {
+    /// The next eligible peer. When the round is used up, starts a new one with all eligible names in random order.
     pub(crate) fn next<'a>(
         &mut self,
         all: impl Iterator<Item = &'a Name>,
-        fits: impl Fn(&Name) -> bool,
-        chance: &mut WyRand,
+        eligible: impl Fn(&Name) -> bool,
+        rng: &mut WyRand,
     ) -> Option<Name> {
         while let Some(name) = self.round.pop() {
-            if fits(&name) {
+            if eligible(&name) {
                 return Some(name);
             }
         }
-        self.round = all.filter(|name| fits(name)).cloned().collect();
-        chance.shuffle(&mut self.round);
+        self.round = all.filter(|name| eligible(name)).cloned().collect();
+        rng.shuffle(&mut self.round);
         self.round.pop()
     }
 
-    /// A newcomer gets a place by chance in the running round.
-    pub(crate) fn join(&mut self, name: Name, chance: &mut WyRand) {
-        let at = chance.generate_range(0..=self.round.len());
+    /// Inserts a new peer at a random position of the current round.
+    pub(crate) fn insert(&mut self, name: Name, rng: &mut WyRand) {
+        let at = rng.generate_range(0..=self.round.len());
         self.round.insert(at, name);
     }
 }
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -1,25 +1,31 @@
-//! What is known about one other instance.
+//! State kept for one other instance.
 
 use crate::claim::Claim;
 use crate::suspicion::Suspicion;
-use crate::trip::Trip;
+use crate::trip::RttEstimator;
 use crate::{Standing, Tenths};
 
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     pub(crate) claim: Claim,
-    /// Runs while the standing is `Suspect`.
+    /// Set while the standing is `Suspect`.
     pub(crate) suspicion: Option<Suspicion>,
-    pub(crate) trip: Trip,
-    /// Since when the standing is what it is.
+    pub(crate) rtt: RttEstimator,
+    /// Time of the last change of the standing.
     pub(crate) since: Tenths,
-    /// When it was last told what is said against it.
-    pub(crate) told_at: Option<Tenths>,
+    /// When the claim against it was last sent to it, so that it can refute it.
+    pub(crate) refutation_requested_at: Option<Tenths>,
 }
 
 impl Peer {
     pub(crate) fn new(claim: Claim, now: Tenths) -> Peer {
-        Peer { claim, suspicion: None, trip: Trip::default(), since: now, told_at: None }
+        Peer {
+            claim,
+            suspicion: None,
+            rtt: RttEstimator::default(),
+            since: now,
+            refutation_requested_at: None,
+        }
     }
 
     pub(crate) fn is_there(&self) -> bool {
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,45 +1,46 @@
-//! A suspicion that runs: the more independent observers confirm it, the sooner it ends.
+//! A running suspicion: the more independent observers confirm it, the earlier its deadline.
 
 use std::collections::BTreeSet;
 
 use crate::{Name, Tenths};
 
-/// So many confirmations beside the first observer bring the least time.
-const ENOUGH: usize = 3;
-/// log2(1 + confirmations) in 1024ths, over log2(1 + [`ENOUGH`]).
-const PART: [i64; ENOUGH + 1] = [0, 512, 811, 1_024];
+/// With this many confirmations besides the first observer, the suspicion lasts its minimum time.
+const CONFIRMATIONS_FOR_MIN: usize = 3;
+/// log2(1 + confirmations) / log2(1 + [`CONFIRMATIONS_FOR_MIN`]) in 1024ths, by number of confirmations.
+const LOG_FRACTIONS: [i64; CONFIRMATIONS_FOR_MIN + 1] = [0, 512, 811, 1_024];
 
-/// A suspicion.
+/// A suspicion and the observers that confirmed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Suspicion {
     since: Tenths,
-    least: Tenths,
-    most: Tenths,
-    by: BTreeSet<Name>,
+    min: Tenths,
+    max: Tenths,
+    observers: BTreeSet<Name>,
 }
 
 impl Suspicion {
-    pub(crate) fn new(since: Tenths, least: Tenths, most: Tenths, by: Name) -> Suspicion {
-        Suspicion { since, least, most, by: BTreeSet::from([by]) }
+    pub(crate) fn new(since: Tenths, min: Tenths, max: Tenths, by: Name) -> Suspicion {
+        Suspicion { since, min, max, observers: BTreeSet::from([by]) }
     }
 
-    /// Another observer says the same. True if that was new.
+    /// Adds the confirmation of an observer. Returns true if that observer is new and still counts.
     pub(crate) fn confirm(&mut self, by: &Name) -> bool {
-        self.by.len() <= ENOUGH && self.by.insert(by.clone())
+        self.observers.len() <= CONFIRMATIONS_FOR_MIN && self.observers.insert(by.clone())
     }
 
-    /// It has been called dead elsewhere: the least time is enough for it to answer.
-    pub(crate) fn hasten(&mut self) {
-        self.most = self.least;
+    /// Limits the suspicion to its minimum time: another instance already holds the suspect dead, and the minimum is
+    /// enough for it to refute that.
+    pub(crate) fn shorten(&mut self) {
+        self.max = self.min;
     }
 
-    /// Time that did not pass for the observer does not count.
-    pub(crate) fn put_off(&mut self, by: Tenths) {
+    /// Extends the suspicion by a time during which the observer did not run.
+    pub(crate) fn postpone(&mut self, by: Tenths) {
         self.since += by;
     }
 
-    pub(crate) fn ends(&self) -> Tenths {
-        let confirmed = (self.by.len() - 1).min(ENOUGH);
-        self.since + self.most - (self.most - self.least) * PART[confirmed] / 1_024
+    pub(crate) fn deadline(&self) -> Tenths {
+        let confirmed = (self.observers.len() - 1).min(CONFIRMATIONS_FOR_MIN);
+        self.since + self.max - (self.max - self.min) * LOG_FRACTIONS[confirmed] / 1_024
     }
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,4 +1,5 @@
-//! Messages as bytes: one byte of version, then postcard. Bounded; what is not known is refused by name.
+//! Wire format of the messages: one version byte, then postcard. The length is bounded, and each reason to reject a
+//! message has an error variant of its own.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,12 +10,12 @@
 use crate::Name;
 use crate::claim::{Claim, Instance};
 
-/// Version of this wire form. Another one is refused by name.
+/// Version of this wire format. Any other version is rejected with [`Refused::Version`].
 pub const VERSION: u8 = 1;
-/// Longest message, in bytes: fits a datagram on any usual path.
+/// Maximum length of a message, in bytes: fits into one datagram on any usual path.
 pub const LONGEST: usize = 1_200;
 
-/// One message between two instances. That it comes proves its sender alive, in the life and incarnation that it says.
+/// One message between two instances. Receiving it shows that its sender is alive, with the start and incarnation it carries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     /// The sender's fleet.
@@ -23,69 +24,69 @@
     pub from: Instance,
     /// The sender's incarnation.
     pub incarnation: u32,
-    /// What it is for.
+    /// The kind of the message.
     pub body: Body,
-    /// News that goes along.
+    /// Claims that are piggybacked.
     pub claims: Vec<Claim>,
 }
 
-/// What a message is for. New kinds only go to the end.
+/// The kind of a message. New kinds are added at the end only, because the wire format numbers them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Are you there? For one name in one life: whoever has the address now may be another.
+    /// Direct probe. It names its target, because another instance may have the address by now.
     Ping {
-        /// Comes back with the answer.
+        /// Repeated in the answer.
         number: u64,
-        /// Who is meant.
+        /// The target.
         to: Name,
     },
-    /// I am, or (through a helper) the one you asked for is.
+    /// Answer to a ping, or from a helper: the target of the indirect probe has answered.
     Ack {
-        /// The number of the ping, or of the errand.
+        /// The number of the ping, or of the request for an indirect probe.
         number: u64,
     },
-    /// Ask this one for me.
+    /// Request to a helper for an indirect probe (the `ping-req` of SWIM).
     Errand {
-        /// Comes back with the answer.
+        /// Repeated in the answer.
         number: u64,
-        /// Who is meant.
+        /// The target.
         to: Name,
-        /// Where it is.
+        /// Address of the target.
         address: SocketAddr,
     },
-    /// I asked and got no answer so far.
-    Regret {
-        /// The number of the errand.
+    /// From a helper: the target of the indirect probe has not answered so far.
+    Nack {
+        /// The number of the request for an indirect probe.
         number: u64,
     },
-    /// Nothing but news.
+    /// Carries claims only.
     News,
-    /// Tell me all you know, unless it is what I know.
-    Compare {
-        /// Check sum of what the sender knows; none to be told in any case.
+    /// Anti-entropy: requests the full view of the receiver, unless its digest equals the sender's.
+    SyncRequest {
+        /// Checksum over the sender's view; `None` requests an answer in any case.
         digest: Option<u32>,
-        /// Go on after this name.
+        /// Continue after this name.
         after: Option<Name>,
     },
-    /// All I know, in part: the claims of this message.
-    Page {
-        /// Where to go on, if there is more.
+    /// One page of the sender's full view: the claims of this message.
+    SyncPage {
+        /// The name after which the next page starts; `None` on the last page.
         next: Option<Name>,
     },
 }
 
-/// Why bytes were not taken.
+/// Why a received message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refused {
-    /// No byte at all.
+    /// There are no bytes.
     Empty,
     /// More than [`LONGEST`] bytes.
     TooLong(usize),
-    /// Another version of the wire form.
+    /// Another version of the wire format.
     Version(u8),
-    /// This version, but not a message of it: cut, of an unknown kind, or with a bad name.
+    /// Not a message of this version: truncated, of an unknown kind, or with an invalid name.
     Malformed,
-    /// A message with something behind it.
+    /// A message followed by this many further bytes.
     Trailing(usize),
 }
 
@@ -93,25 +94,31 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Refused::Empty => write!(out, "an empty message"),
-            Refused::TooLong(length) => write!(out, "{length} bytes, at most {LONGEST} are taken"),
-            Refused::Version(version) => write!(out, "wire version {version}, this one speaks {VERSION}"),
-            Refused::Malformed => write!(out, "not a message of wire version {VERSION}"),
-            Refused::Trailing(length) => write!(out, "{length} bytes behind the message"),
+            Refused::TooLong(length) => write!(out, "message of {length} bytes, the limit is {LONGEST}"),
+            Refused::Version(version) => {
+                write!(out, "unsupported wire version {version}, expected {VERSION}")
+            }
+            Refused::Malformed => write!(out, "malformed message of wire version {VERSION}"),
+            Refused::Trailing(length) => write!(out, "{length} trailing bytes after the message"),
         }
     }
 }
 
 impl std::error::Error for Refused {}
 
+/// Serializes a message behind the version byte.
+///
 /// # Errors
-/// [`Refused::TooLong`] if it does not fit; [`Refused::Malformed`] if it can't be written.
+/// [`Refused::TooLong`] if it exceeds [`LONGEST`]; [`Refused::Malformed`] if it can't be serialized.
 pub fn encode<M: Serialize>(message: &M) -> Result<Vec<u8>, Refused> {
     let bytes = postcard::to_extend(message, vec![VERSION]).map_err(|_| Refused::Malformed)?;
     if bytes.len() > LONGEST { Err(Refused::TooLong(bytes.len())) } else { Ok(bytes) }
 }
 
+/// Checks length and version, then deserializes the message.
+///
 /// # Errors
-/// [`Refused`], by name.
+/// [`Refused`] gives the reason.
 pub fn decode<M: DeserializeOwned>(bytes: &[u8]) -> Result<M, Refused> {
     let (&version, rest) = bytes.split_first().ok_or(Refused::Empty)?;
     if bytes.len() > LONGEST {
@@ -127,7 +134,7 @@
     }
 }
 
-/// Bytes that `value` takes; the most there is if it can't be written.
+/// Serialized length of `value` in bytes; [`LONGEST`] if it can't be serialized.
 pub fn length(value: &impl Serialize) -> usize {
     postcard::experimental::serialized_size(value).unwrap_or(LONGEST)
 }
