--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,6 +1,6 @@
-//! Operator files: HCL read together with its positions. A [`Section`] hands out values by name, each checked for its
-//! kind and range; what it was not asked for by the end is an error. Errors are one line: file, line, column, what
-//! was expected and what was found. Nothing here knows what the values mean.
+//! Operator files: HCL parsed together with the positions of its values. A [`Section`] returns values by name, each checked
+//! for its type and range. Names in the file that were never requested are an error. Errors are one line: file, line,
+//! column, what was expected and what was found. The meaning of the values is not known here.
 
 mod section;
 mod value;
@@ -16,11 +16,11 @@
 use std::ops::Range;
 use std::path::Path;
 
-/// What is wrong with an operator file, and where.
+/// An error in an operator file and its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Wrong {
     pub file: String,
-    /// Both from 1.
+    /// Line and column count from 1.
     pub line: usize,
     pub column: usize,
     pub expected: String,
@@ -36,13 +36,13 @@
 
 impl std::error::Error for Wrong {}
 
-/// A file as it was read, with values that stand in for its own.
+/// A parsed file, with values that override its own.
 pub struct OperatorFile {
     name: String,
     text: String,
     body: Body,
-    instead: BTreeMap<String, Expression>,
-    used: RefCell<BTreeSet<String>>,
+    overrides: BTreeMap<String, Expression>,
+    used_overrides: RefCell<BTreeSet<String>>,
 }
 
 impl OperatorFile {
@@ -67,32 +67,32 @@
             found: e.message().trim().to_owned(),
         })?;
         let (name, text) = (name.to_owned(), text.to_owned());
-        Ok(OperatorFile { name, text, body, instead: BTreeMap::new(), used: RefCell::default() })
+        Ok(OperatorFile { name, text, body, overrides: BTreeMap::new(), used_overrides: RefCell::default() })
     }
 
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// The file's text as it was read.
+    /// The text of the file.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// The same file with other values: path (`block.label.name`) to value. See [`OperatorFile::unused`].
+    /// The same file with values overridden, by path (`block.label.name`). See [`OperatorFile::unused`].
     pub fn with(&self, values: &[(String, Value<'_>)]) -> OperatorFile {
-        let instead = values.iter().map(|(path, v)| (path.clone(), v.expression().clone())).collect();
+        let overrides = values.iter().map(|(path, v)| (path.clone(), v.expression().clone())).collect();
         let (name, text, body) = (self.name.clone(), self.text.clone(), self.body.clone());
-        OperatorFile { name, text, body, instead, used: RefCell::default() }
+        OperatorFile { name, text, body, overrides, used_overrides: RefCell::default() }
     }
 
-    /// Values that were to stand in for others, and nobody asked for them: their paths name nothing.
+    /// Paths of overrides that were never requested: they match no value of the file.
     pub fn unused(&self) -> Vec<String> {
-        let used = self.used.borrow();
-        self.instead.keys().filter(|path| !used.contains(*path)).cloned().collect()
+        let used_overrides = self.used_overrides.borrow();
+        self.overrides.keys().filter(|path| !used_overrides.contains(*path)).cloned().collect()
     }
 
-    /// All of it.
+    /// The whole file.
     pub fn root(&self) -> Section<'_> {
         Section::new(self, &self.body, 0..0, String::new())
     }
--- a/crates/operator/src/section.rs
+++ b/crates/operator/src/section.rs
@@ -1,4 +1,4 @@
-//! A file or one of its blocks, asked value by value.
+//! A file or one of its blocks, whose values are requested by name.
 
 use crate::{OperatorFile, Value, Wrong};
 use hcl_edit::Span;
@@ -7,13 +7,14 @@
 use std::collections::BTreeSet;
 use std::ops::{Range, RangeInclusive};
 
+/// A file or one of its blocks. It records the requested names.
 pub struct Section<'a> {
     file: &'a OperatorFile,
     body: &'a Body,
-    /// Where it begins, for what is missing in it.
+    /// Where the block begins, as the position of errors about missing values.
     at: Range<usize>,
     path: String,
-    asked: RefCell<BTreeSet<String>>,
+    requested: RefCell<BTreeSet<String>>,
 }
 
 /// A block with its label, if it has one.
@@ -24,77 +25,77 @@
 
 impl<'a> Section<'a> {
     pub(crate) fn new(file: &'a OperatorFile, body: &'a Body, at: Range<usize>, path: String) -> Section<'a> {
-        Section { file, body, at, path, asked: RefCell::default() }
+        Section { file, body, at, path, requested: RefCell::default() }
     }
 
     pub fn path(&self) -> &str {
         &self.path
     }
 
-    fn full(&self, name: &str) -> String {
+    fn full_path(&self, name: &str) -> String {
         if self.path.is_empty() { name.to_owned() } else { format!("{}.{name}", self.path) }
     }
 
-    /// An error about this block as a whole.
+    /// An error at the position of this block.
     pub fn wrong(&self, expected: impl Into<String>, found: impl Into<String>) -> Wrong {
         self.file.wrong(self.at.clone(), expected, found)
     }
 
-    /// A value, if the file has it.
+    /// The value of this name, if the file or an override has it.
     pub fn value(&self, name: &str) -> Option<Value<'a>> {
-        self.asked.borrow_mut().insert(name.to_owned());
-        let path = self.full(name);
+        self.requested.borrow_mut().insert(name.to_owned());
+        let path = self.full_path(name);
         let attribute = self.body.get_attribute(name);
-        let near = attribute.and_then(|a| a.span()).unwrap_or(self.at.clone());
+        let fallback_span = attribute.and_then(|a| a.span()).unwrap_or(self.at.clone());
         let own = attribute.map(|a| &a.value);
-        let expression = match self.file.instead.get(&path) {
+        let expression = match self.file.overrides.get(&path) {
             Some(other) => {
-                self.file.used.borrow_mut().insert(path.clone());
+                self.file.used_overrides.borrow_mut().insert(path.clone());
                 Some(other)
             }
             None => own,
         }?;
-        Some(Value { file: self.file, expression, path, near })
+        Some(Value { file: self.file, expression, path, fallback_span })
     }
 
     pub fn need(&self, name: &str) -> Result<Value<'a>, Wrong> {
-        let missing = || self.wrong(format!("a value for {}", self.full(name)), "none");
+        let missing = || self.wrong(format!("a value for {}", self.full_path(name)), "none");
         self.value(name).ok_or_else(missing)
     }
 
-    pub fn number(&self, name: &str, or: f64, range: RangeInclusive<f64>) -> Result<f64, Wrong> {
-        self.value(name).map_or(Ok(or), |v| v.number(range))
+    pub fn number(&self, name: &str, default: f64, range: RangeInclusive<f64>) -> Result<f64, Wrong> {
+        self.value(name).map_or(Ok(default), |v| v.number(range))
     }
 
-    pub fn whole(&self, name: &str, or: u64, range: RangeInclusive<u64>) -> Result<u64, Wrong> {
-        self.value(name).map_or(Ok(or), |v| v.whole(range))
+    pub fn whole(&self, name: &str, default: u64, range: RangeInclusive<u64>) -> Result<u64, Wrong> {
+        self.value(name).map_or(Ok(default), |v| v.whole(range))
     }
 
-    pub fn time(&self, name: &str, or: i64, range: RangeInclusive<i64>) -> Result<i64, Wrong> {
-        self.value(name).map_or(Ok(or), |v| v.time(range))
+    pub fn time(&self, name: &str, default: i64, range: RangeInclusive<i64>) -> Result<i64, Wrong> {
+        self.value(name).map_or(Ok(default), |v| v.time(range))
     }
 
-    pub fn flag(&self, name: &str, or: bool) -> Result<bool, Wrong> {
-        self.value(name).map_or(Ok(or), |v| v.flag())
+    pub fn flag(&self, name: &str, default: bool) -> Result<bool, Wrong> {
+        self.value(name).map_or(Ok(default), |v| v.flag())
     }
 
-    pub fn text(&self, name: &str, or: &str) -> Result<String, Wrong> {
-        self.value(name).map_or(Ok(or.to_owned()), |v| v.text().map(str::to_owned))
+    pub fn text(&self, name: &str, default: &str) -> Result<String, Wrong> {
+        self.value(name).map_or(Ok(default.to_owned()), |v| v.text().map(str::to_owned))
     }
 
-    pub fn choice<T: Copy>(&self, name: &str, or: T, words: &[(&str, T)]) -> Result<T, Wrong> {
-        self.value(name).map_or(Ok(or), |v| v.choice(words))
+    pub fn choice<T: Copy>(&self, name: &str, default: T, words: &[(&str, T)]) -> Result<T, Wrong> {
+        self.value(name).map_or(Ok(default), |v| v.choice(words))
     }
 
     /// The blocks of this name, in order. Paths inside one are `name.label.`, or `name.` where it has no label.
     pub fn blocks(&self, name: &str) -> Result<Vec<Labelled<'a>>, Wrong> {
-        self.asked.borrow_mut().insert(name.to_owned());
+        self.requested.borrow_mut().insert(name.to_owned());
         let mut blocks = Vec::new();
         let mut paths = BTreeSet::new();
         for block in self.body.iter().filter_map(Structure::as_block).filter(|b| b.ident.as_str() == name) {
             let at = block.ident.span().or(block.span()).unwrap_or(self.at.clone());
             let labels: Vec<&str> = block.labels.iter().map(|l| l.as_str()).collect();
-            let mut path = self.full(name);
+            let mut path = self.full_path(name);
             for label in &labels {
                 path = format!("{path}.{label}");
             }
@@ -115,26 +116,26 @@
     pub fn block(&self, name: &str) -> Result<Option<Section<'a>>, Wrong> {
         let mut blocks = self.blocks(name)?;
         if blocks.len() > 1 {
-            return Err(blocks[1].section.wrong(format!("one block {}", self.full(name)), "another"));
+            return Err(blocks[1].section.wrong(format!("one block {}", self.full_path(name)), "another"));
         }
         Ok(blocks.pop().map(|b| b.section))
     }
 
     pub fn need_block(&self, name: &str) -> Result<Section<'a>, Wrong> {
-        let missing = || self.wrong(format!("a block {}", self.full(name)), "none");
+        let missing = || self.wrong(format!("a block {}", self.full_path(name)), "none");
         self.block(name)?.ok_or_else(missing)
     }
 
-    /// What was never asked for is no part of such a file.
+    /// Returns an error if the block contains a name that was never requested.
     pub fn done(&self) -> Result<(), Wrong> {
-        let asked = self.asked.borrow();
+        let requested = self.requested.borrow();
         for structure in self.body.iter() {
             let (name, span) = match structure {
                 Structure::Attribute(a) => (a.key.as_str(), a.key.span().or(a.span())),
                 Structure::Block(b) => (b.ident.as_str(), b.ident.span().or(b.span())),
             };
-            if !asked.contains(name) {
-                let names: Vec<&str> = asked.iter().map(String::as_str).collect();
+            if !requested.contains(name) {
+                let names: Vec<&str> = requested.iter().map(String::as_str).collect();
                 let within = if self.path.is_empty() { String::new() } else { format!(" in {}", self.path) };
                 let expected = format!("one of {}{within}", names.join(", "));
                 return Err(self.file.wrong(span.unwrap_or(self.at.clone()), expected, name));
