--- a/crates/control/src/carrier.rs
+++ b/crates/control/src/carrier.rs
@@ -1,4 +1,4 @@
-//! Messages of the configuration on the link's streams. Nothing is decided here.
+//! Sends and receives messages of the configuration on the link's streams. It makes no decisions of its own.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -9,41 +9,42 @@
     Bounds, Event, Kinds, Name as LinkName, Parts, Sender, Sockets, Transport, Unread, Waker, Way, Why,
 };
 
-/// The link's kinds: a message of the configuration, and before an ask where its sender is reached.
+/// Kinds of link messages: a configuration message, and the sender's address, which is sent before an `Ask`.
 const CONFIGURATION: u16 = 2;
 const ADDRESS: u16 = 3;
 const STREAM: Way = Way::Stream(2);
-/// Events taken in before decisions are pulled.
-const EVENTS: usize = 4_096;
+/// Maximum number of events handled before decisions are pulled.
+const MAX_EVENTS: usize = 4_096;
 
-/// What came in.
+/// A received event.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Came {
     Message(Name, Message),
-    /// The stream to this one broke.
+    /// The stream to the named peer broke.
     Left(Name),
-    /// Somebody sent what can't be taken. One line.
+    /// A received message was rejected; the reason in one line.
     Unread(String),
 }
 
-/// What passed since the start: messages, and bytes of them without the link's and the system's own.
+/// Traffic since the start: messages and their bytes, without the overhead of the link and of the system.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     pub messages_in: u64,
     pub bytes_in: u64,
     pub messages_out: u64,
     pub bytes_out: u64,
-    /// Not taken by the link: who was to have them asks again.
+    /// Messages that the link did not accept; the receivers ask again.
     pub unsent: u64,
 }
 
+/// Connections to the other machines and routers over the link.
 pub struct Carrier {
     sockets: Sockets,
     address: SocketAddr,
-    /// Who is reached where by the operator's word.
-    fixed: BTreeMap<Name, SocketAddr>,
-    /// Who said itself where it is reached.
-    met: BTreeSet<Name>,
+    /// Addresses configured by the operator.
+    configured: BTreeMap<Name, SocketAddr>,
+    /// Peers whose address comes from their own announcement.
+    announced: BTreeSet<Name>,
     traffic: Traffic,
 }
 
@@ -52,12 +53,12 @@
 }
 
 impl Carrier {
-    /// Takes the address. `start` grows with each start of this name. The error is one line.
+    /// Listens on the address. `start` grows with each start of this name. The error is one line.
     pub fn bind(
         me: &Name,
         start: u64,
         address: SocketAddr,
-        fixed: BTreeMap<Name, SocketAddr>,
+        configured: BTreeMap<Name, SocketAddr>,
         now: Tenths,
         seed: u64,
     ) -> Result<Carrier, String> {
@@ -68,11 +69,14 @@
         let kinds = Kinds::new(&[(CONFIGURATION, "configuration"), (ADDRESS, "address")]);
         let sockets = Sockets::bind(sender, kinds, bounds, address, Parts::Tcp, seed)
             .map_err(|e| format!("expected to listen on {address}: {e}"))?;
-        let (met, traffic) = (BTreeSet::new(), Traffic::default());
-        let mut carrier = Carrier { sockets, address, fixed, met, traffic };
-        for (other, at) in carrier.fixed.clone() {
+        let (announced, traffic) = (BTreeSet::new(), Traffic::default());
+        let mut carrier = Carrier { sockets, address, configured, announced, traffic };
+        for (other, at) in carrier.configured.clone() {
             if let Some(other) = link_name(&other) {
-                carrier.sockets.meet(now, &other, at).map_err(|e| format!("cannot talk to {other}: {e}"))?;
+                carrier
+                    .sockets
+                    .meet(now, &other, at)
+                    .map_err(|e| format!("cannot register the address of {other}: {e}"))?;
             }
         }
         Ok(carrier)
@@ -90,15 +94,15 @@
         self.sockets.wake_at()
     }
 
-    /// Poll first, until there is nothing.
+    /// Waits for events. Call it only after [`Carrier::hear`] has returned everything that was received.
     pub fn wait(&mut self, longest: Duration) -> io::Result<()> {
         self.sockets.wait(longest)
     }
 
-    /// What is not taken is lost, and counted: both sides ask again.
+    /// Sends a message. One that the link does not accept is dropped and counted; both sides ask again.
     pub fn send(&mut self, now: Tenths, to: &Name, message: &Message) {
         let Some(name) = link_name(to) else { return };
-        // Danger: an answer has no way back to who never said where it is reached.
+        // Without the sender's address, the receiver could not send its answer.
         if matches!(message, Message::Ask { .. }) {
             let address = self.address.to_string();
             let _ = self.sockets.send(now, &name, STREAM, ADDRESS, address.as_bytes());
@@ -116,29 +120,30 @@
         }
     }
 
-    /// All that waits in the sockets, before any decision: what a stopped process finds there is older than its timers.
+    /// Receives what waits in the sockets. It is handled before any decision: after a process was stopped, the waiting
+    /// messages are older than its expired timers.
     pub fn hear(&mut self, now: Tenths) -> Vec<Came> {
         let mut came = Vec::new();
-        for _ in 0..EVENTS {
+        for _ in 0..MAX_EVENTS {
             match self.sockets.poll(now) {
                 None => break,
-                Some(Event::Message { from, kind: ADDRESS, body, .. }) => self.met_at(now, &from.name, &body),
+                Some(Event::Message { from, kind: ADDRESS, body, .. }) => {
+                    self.record_announced_address(now, &from.name, &body)
+                }
                 Some(Event::Message { from, kind: CONFIGURATION, body, .. }) => {
                     self.traffic.messages_in += 1;
                     self.traffic.bytes_in += body.len() as u64;
                     came.push(match (Name::new(from.name.as_str()), wire::decode(&body)) {
                         (Ok(name), Ok(message)) => Came::Message(name, message),
-                        (_, Err(why)) => {
-                            Came::Unread(format!("a message of {} was not taken: {why}", from.name))
-                        }
-                        (Err(why), _) => Came::Unread(format!("a message was not taken: {why}")),
+                        (_, Err(why)) => Came::Unread(format!("message from {} rejected: {why}", from.name)),
+                        (Err(why), _) => Came::Unread(format!("message rejected: {why}")),
                     });
                 }
-                Some(Event::Broken { to, why, .. }) => came.extend(self.broken(now, &to, &why)),
+                Some(Event::Broken { to, why, .. }) => came.extend(self.handle_broken_stream(now, &to, &why)),
                 Some(Event::Unread { why: Unread::Stale, .. }) => {}
                 Some(Event::Unread { from, why }) => {
-                    let from = from.map_or_else(|| "somebody".to_owned(), |name| name.to_string());
-                    came.push(Came::Unread(format!("a message of {from} was not taken: {why}")));
+                    let from = from.map_or_else(|| "an unknown sender".to_owned(), |name| name.to_string());
+                    came.push(Came::Unread(format!("message from {from} rejected: {why}")));
                 }
                 Some(_) => {}
             }
@@ -146,21 +151,22 @@
         came
     }
 
-    fn met_at(&mut self, now: Tenths, from: &LinkName, body: &[u8]) {
+    fn record_announced_address(&mut self, now: Tenths, from: &LinkName, body: &[u8]) {
         let Ok(name) = Name::new(from.as_str()) else { return };
         let address = std::str::from_utf8(body).ok().and_then(|text| text.parse::<SocketAddr>().ok());
-        // Danger: the operator's word stands above what somebody says of itself under that name.
-        if let Some(address) = address.filter(|_| !self.fixed.contains_key(&name))
+        // Guards against an announcement that overrides the address which the operator configured for that name.
+        if let Some(address) = address.filter(|_| !self.configured.contains_key(&name))
             && self.sockets.meet(now, from, address).is_ok()
         {
-            self.met.insert(name);
+            self.announced.insert(name);
         }
     }
 
-    /// Who said itself where it is reached is forgotten until it asks again: routers come and go for ever.
-    fn broken(&mut self, now: Tenths, to: &LinkName, why: &Why) -> Option<Came> {
+    /// Forgets a peer with a self-announced address until it asks again. Without this, routers that are gone would
+    /// accumulate for ever.
+    fn handle_broken_stream(&mut self, now: Tenths, to: &LinkName, why: &Why) -> Option<Came> {
         let name = Name::new(to.as_str()).ok()?;
-        if *why != Why::Left && self.met.remove(&name) {
+        if *why != Why::Left && self.announced.remove(&name) {
             self.sockets.forget(now, to);
         }
         Some(Came::Left(name))
--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -1,11 +1,11 @@
-//! Files that are found again whole, or as they were before.
+//! Atomic replacement of files.
 
 use std::fs::File;
 use std::io::{self, ErrorKind, Write};
 use std::path::Path;
 
-/// Puts these bytes in place of what was there: beside it, to the disk, then under its name. Danger: a machine that loses its
-/// power in between finds the one or the other, never a half.
+/// Replaces the content of a file: writes a temporary file, syncs it to the disk, renames it and syncs the directory.
+/// Guards against a partly written file after a power failure: the old or the new content is found in full.
 pub fn keep(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let beside = path.with_extension("new");
     let mut file = File::create(&beside)?;
@@ -16,7 +16,7 @@
     File::open(folder)?.sync_all()
 }
 
-/// What is there; None if nothing was ever kept.
+/// Reads a file; `None` if it does not exist.
 pub fn found(path: &Path) -> io::Result<Option<Vec<u8>>> {
     match std::fs::read(path) {
         Ok(bytes) => Ok(Some(bytes)),
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a control machine, and what it shares with a router's thread: messages of the configuration on the link's
-//! streams, files that are whole or not there, and the operator's values.
+//! A minimal control machine, and the parts that it shares with a router: configuration messages on the link's streams,
+//! atomic replacement of files, and values of operator files.
 
 mod carrier;
 mod disk;
--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -1,4 +1,4 @@
-//! `vetchkeel-control`: a stand-in for one of the control machines that hold the configuration and serve it to routers.
+//! `vetchkeel-control`: a minimal control machine. Control machines store the configuration and serve it to routers.
 
 use std::process::ExitCode;
 
--- a/crates/control/src/program/file.rs
+++ b/crates/control/src/program/file.rs
@@ -7,18 +7,19 @@
 use vetchkeel_configuration::{Name, Plan};
 use vetchkeel_operator::{OperatorFile, Wrong};
 
-/// The file, checked.
+/// The checked settings of the operator file.
 #[derive(Debug)]
 pub struct Control {
     pub name: Name,
     pub address: SocketAddr,
-    /// The other machines, and routers that are reached at another address than they say.
+    /// Addresses of the other machines.
     pub others: BTreeMap<Name, SocketAddr>,
+    /// Addresses of routers that are reached at another address than the one they announce.
     pub via: BTreeMap<Name, SocketAddr>,
     pub keepers: Vec<Name>,
-    /// What is published at SIGHUP: a JSON object, as `settings` in a router's configuration.
+    /// The document to publish on SIGHUP: a JSON object, as `settings` in a router's configuration.
     pub document: PathBuf,
-    /// What this machine finds again at its next start.
+    /// File with the state that this machine restores at its next start.
     pub keep: PathBuf,
     pub plan: Plan,
 }
@@ -52,7 +53,7 @@
     Ok(control)
 }
 
-/// Reads and checks it. The error is one line: file, line, what was expected.
+/// Reads and checks the operator file. The error is one line with the file, the position and what was expected.
 pub fn read(path: &Path) -> Result<Control, String> {
     OperatorFile::read(path).and_then(|file| control(&file)).map_err(|wrong| wrong.to_string())
 }
--- a/crates/control/src/program/host.rs
+++ b/crates/control/src/program/host.rs
@@ -1,4 +1,4 @@
-//! The machine on sockets and disk. Nothing is decided here.
+//! Runs the configuration state machine on sockets and disk. It makes no decisions of its own.
 
 use super::file::Control;
 use crate::{Came, Carrier, found, keep};
@@ -11,20 +11,20 @@
 use vetchkeel_log::log_always;
 use vetchkeel_settings as settings;
 
-/// How long the thread sleeps at most.
-const LONGEST_SLEEP: Tenths = 2_000;
-/// What could not be kept is tried again after this.
-const KEEP_AGAIN: Tenths = 5_000;
+/// Maximum time that the thread sleeps.
+const MAX_SLEEP: Tenths = 2_000;
+/// Delay before a failed write of the state file is retried.
+const WRITE_RETRY_DELAY: Tenths = 5_000;
 
-/// What a signal asks for.
+/// Command given by a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum SignalCommand {
     Publish,
-    Print,
+    LogCounters,
     End,
 }
 
-/// Unix time in tenths of a millisecond, that never goes back.
+/// Unix time in tenths of a millisecond that never goes back.
 struct Clock(Tenths, Instant);
 
 impl Clock {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Whether a document may be published. The error is one line.
+/// Checks whether a document may be published. The error is one line.
 pub type Check = fn(&Document) -> Result<(), String>;
 
 pub struct Host {
@@ -46,55 +46,56 @@
     control: Control,
     carrier: Carrier,
     machine: Machine,
-    /// What it took on is not on its disk: when that is tried again.
-    keep_at: Option<Tenths>,
+    /// When to retry writing the state; set while the accepted state is not on the disk.
+    write_retry_at: Option<Tenths>,
 }
 
-/// The check at the source: what a router itself would check. The error is one line that says what was expected.
+/// Checks a document before it is published, in the same way as a router would. The error is one line that states what
+/// was expected.
 pub fn check(document: &Document) -> Result<(), String> {
-    let told = document.clone().into_map();
-    settings::check_client_names(&told)?;
+    let names = document.clone().into_map();
+    settings::check_client_names(&names)?;
     let refused = |why| format!("expected settings that a router can serve under: {why}");
-    Router::start(told, 0, 0).map(drop).map_err(refused)
+    Router::start(names, 0, 0).map(drop).map_err(refused)
 }
 
-fn kept(control: &Control) -> Result<Option<Kept>, String> {
+fn read_stored_state(control: &Control) -> Result<Option<Kept>, String> {
     let path = control.keep.display();
     let bytes = found(&control.keep).map_err(|e| format!("expected to read {path}: {e}"))?;
     let Some(bytes) = bytes else { return Ok(None) };
     let kept = Kept::from_bytes(&bytes);
     if kept.is_none() {
         log_always!(
-            "control: {path} is cut or damaged, and not used: this machine starts as one that kept nothing"
+            "control: {path} is truncated or damaged and is ignored: this machine starts without a stored state"
         );
     }
     Ok(kept)
 }
 
 impl Host {
-    /// The error is one line.
+    /// Restores the stored state and binds the sockets. The error is one line.
     pub fn start(control: Control, check: Check) -> Result<Host, String> {
         let clock = Clock::new();
         let (now, me) = (clock.now(), control.name.clone());
-        // Differs from start to start.
+        // The seed differs for each start.
         let seed = (now as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(std::process::id());
-        let kept = kept(&control)?;
+        let kept = read_stored_state(&control)?;
         let machines = control.others.keys().cloned().chain([me.clone()]).collect();
         let keepers = control.keepers.clone();
         let machine = Machine::new(control.plan, me.clone(), machines, keepers, kept, check, now, seed);
         let machine = machine.map_err(|bad| bad.to_string())?;
-        let fixed = control.others.iter().chain(&control.via).map(|(n, a)| (n.clone(), *a)).collect();
-        let carrier = Carrier::bind(&me, (now / 10) as u64, control.address, fixed, now, seed)?;
+        let configured = control.others.iter().chain(&control.via).map(|(n, a)| (n.clone(), *a)).collect();
+        let carrier = Carrier::bind(&me, (now / 10) as u64, control.address, configured, now, seed)?;
         log_always!("control: {me} serves version {} on {}", machine.version(), control.address);
-        Ok(Host { clock, control, carrier, machine, keep_at: None })
+        Ok(Host { clock, control, carrier, machine, write_retry_at: None })
     }
 
     pub fn waker(&self) -> Waker {
         self.carrier.waker()
     }
 
-    /// Until it is told to end.
-    pub fn run(mut self, orders: &Receiver<Order>) -> Result<(), String> {
+    /// Runs until it receives the command to end.
+    pub fn run(mut self, commands: &Receiver<SignalCommand>) -> Result<(), String> {
         loop {
             let now = self.clock.now();
             for came in self.carrier.hear(now) {
@@ -104,47 +105,50 @@
                     Came::Unread(why) => log_always!("control: {why}"),
                 }
             }
-            while let Ok(order) = orders.try_recv() {
-                match order {
-                    Order::Publish => self.publish(now),
-                    Order::Print => self.print(now),
-                    Order::End => return Ok(()),
+            while let Ok(command) = commands.try_recv() {
+                match command {
+                    SignalCommand::Publish => self.publish(now),
+                    SignalCommand::LogCounters => self.log_counters(now),
+                    SignalCommand::End => return Ok(()),
                 }
             }
             self.decide(now);
-            // What the machine decides waits for its disk.
-            let decides_at = self.keep_at.or(self.machine.wake_at());
+            // While the state is not on the disk, decisions wait for the next attempt to write it.
+            let decides_at = self.write_retry_at.or(self.machine.wake_at());
             let due = [decides_at, self.carrier.wake_at()].into_iter().flatten().min();
             let now = self.clock.now();
-            let sleep = due.map_or(LONGEST_SLEEP, |at| at.saturating_sub(now).clamp(0, LONGEST_SLEEP));
+            let sleep = due.map_or(MAX_SLEEP, |at| at.saturating_sub(now).clamp(0, MAX_SLEEP));
             let sleep = Duration::from_micros(sleep as u64 * 100);
             self.carrier.wait(sleep).map_err(|e| format!("cannot wait on its sockets: {e}"))?;
         }
     }
 
-    /// Whether what was taken on is on the disk. Danger: a keeper that promised and forgot. Without its disk it says
-    /// nothing more until it has it back: what it decides waits.
-    fn keep(&mut self, now: Tenths) -> bool {
+    /// Writes the state to the disk; returns true on success. Guards against a keeper that forgets a vote or an
+    /// acknowledgement after a restart: while the disk fails, it sends nothing and its decisions wait.
+    fn write_state(&mut self, now: Tenths) -> bool {
         let path = &self.control.keep;
         let kept = keep(path, &self.machine.kept().to_bytes());
         if let Err(why) = &kept {
-            log_always!("control: cannot write {}, and says nothing until it can: {why}", path.display());
+            log_always!(
+                "control: cannot write {}; no messages are sent until it succeeds: {why}",
+                path.display()
+            );
         }
-        self.keep_at = kept.is_err().then_some(now + KEEP_AGAIN);
-        self.keep_at.is_none()
+        self.write_retry_at = kept.is_err().then_some(now + WRITE_RETRY_DELAY);
+        self.write_retry_at.is_none()
     }
 
     fn decide(&mut self, now: Tenths) {
-        if self.keep_at.is_some_and(|at| now < at || !self.keep(now)) {
+        if self.write_retry_at.is_some_and(|at| now < at || !self.write_state(now)) {
             return;
         }
         while let Some(decision) = self.machine.next_decision(now) {
             match decision {
-                Decision::Keep(_) if !self.keep(now) => return,
+                Decision::Keep(_) if !self.write_state(now) => return,
                 Decision::Keep(_) => {}
                 Decision::Send { to, message } => self.carrier.send(now, &to, &message),
-                Decision::Verdict(verdict) => say_verdict(&verdict),
-                Decision::Tell(event) => say(&event),
+                Decision::Verdict(verdict) => log_verdict(&verdict),
+                Decision::Tell(event) => log_event(&event),
             }
         }
     }
@@ -175,7 +179,7 @@
         }
     }
 
-    fn print(&self, now: Tenths) {
+    fn log_counters(&self, now: Tenths) {
         let (machine, traffic) = (&self.machine, self.carrier.traffic());
         let role = match machine.writes() {
             Some(epoch) => format!("writes epoch={epoch}"),
@@ -200,7 +204,7 @@
     }
 }
 
-fn say_verdict(verdict: &Verdict) {
+fn log_verdict(verdict: &Verdict) {
     let Verdict { version, everywhere, at, behind, refused, silent } = verdict;
     if *everywhere {
         return log_always!("control: verdict: version {version} is in force everywhere: {at} routers");
@@ -215,20 +219,20 @@
     );
 }
 
-fn say(event: &Event) {
+fn log_event(event: &Event) {
     match event {
-        Event::Writing(epoch) => log_always!("control: this machine writes, epoch {epoch}"),
-        Event::Stopped(epoch) => log_always!("control: this machine does not write any more, epoch {epoch}"),
+        Event::Writing(epoch) => log_always!("control: this machine is now the writer, epoch {epoch}"),
+        Event::Stopped(epoch) => log_always!("control: this machine is no longer the writer, epoch {epoch}"),
         Event::Released(version) => log_always!("control: version {version} is released"),
-        Event::Apart(_) => log_always!("control: no writer is heard"),
-        Event::Joined(writer) => log_always!("control: {writer} is heard and writes"),
-        Event::Settled => log_always!("control: this keeper's word counts from now on"),
-        Event::Broken(version, bad) => log_always!("control: {version} does not fit what is held: {bad}"),
+        Event::Apart(_) => log_always!("control: no messages arrive from a writer"),
+        Event::Joined(writer) => log_always!("control: the writer {writer} is reachable again"),
+        Event::Settled => log_always!("control: this keeper's votes count from now on"),
+        Event::Broken(version, bad) => log_always!("control: version {version} cannot be applied: {bad}"),
         Event::Forgotten(count) => {
-            log_always!("control: {count} routers that were long silent are forgotten")
+            log_always!("control: {count} routers are forgotten after long silence")
         }
-        Event::Uncounted(name) => log_always!("control: no room in the ledger for {name}"),
-        Event::Full(name) => log_always!("control: all places are taken: {name} is sent elsewhere"),
+        Event::Uncounted(name) => log_always!("control: no room in the ledger for router {name}"),
+        Event::Full(name) => log_always!("control: all places are taken: router {name} is redirected"),
         Event::Unpublished(edits) => {
             let names: Vec<&str> = edits.iter().map(|e| e.name.as_str()).collect();
             log_always!("control: not published, publish again at the writer: {}", names.join(", "));
