--- a/crates/bounds/src/agree.rs
+++ b/crates/bounds/src/agree.rs
@@ -1,28 +1,30 @@
-//! Which instants enough sources agree on.
+//! Intersection of the sources' intervals, with a bounded number of faulty sources.
 
 use crate::interval::{Interval, SourceId};
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Agreement {
-    /// From the first to the last instant that all but `liars` sources hold possible.
+    /// From the first to the last instant that all but at most `max_faulty` sources consider possible.
     pub interval: Interval,
-    /// Sources that don't meet it. With no more liars than said, each of these lies.
-    pub outside: Vec<SourceId>,
+    /// Sources whose interval does not overlap `interval`. If no more than `max_faulty` sources are faulty, each of
+    /// these is.
+    pub outliers: Vec<SourceId>,
 }
 
-/// The true time lies in the interval of every honest source. With at most `liars` of `told` lying, it therefore lies where
-/// at least `told.len() - liars` intervals overlap; the answer is the hull of all such places. Marzullo's method takes the
-/// smallest place that most sources share, which is tighter, but two liars that agree can move it: here the number of
-/// liars is fixed beforehand and the answer holds whatever they say. None if there are too few sources to outvote the
-/// liars, or no instant has enough of them.
-pub fn agree(told: &[(SourceId, Interval)], liars: usize) -> Option<Agreement> {
-    if told.len() < 2 * liars + 1 {
+/// The true time lies in the interval of every correct source. With at most `max_faulty` of the sources faulty, it
+/// therefore lies where at least `intervals.len() - max_faulty` intervals overlap; the result is the hull of all such
+/// regions. Marzullo's algorithm takes the smallest region shared by most sources, which is tighter, but two faulty
+/// sources that agree can move it. Here the number of faulty sources is fixed in advance, and the result holds whatever
+/// they answer. `None` if there are too few sources to outvote the faulty ones, or if no instant lies in enough
+/// intervals.
+pub fn agree(intervals: &[(SourceId, Interval)], max_faulty: usize) -> Option<Agreement> {
+    if intervals.len() < 2 * max_faulty + 1 {
         return None;
     }
-    let needed = told.len() - liars;
-    // Edges in order; at one instant openings come first, since both ends belong to an interval.
-    let mut edges: Vec<(i64, bool)> = Vec::with_capacity(told.len() * 2);
-    for (_, interval) in told {
+    let needed = intervals.len() - max_faulty;
+    // Edges sorted by instant. At equal instants the lower bounds come first, since both bounds belong to an interval.
+    let mut edges: Vec<(i64, bool)> = Vec::with_capacity(intervals.len() * 2);
+    for (_, interval) in intervals {
         if interval.earliest > interval.latest {
             continue;
         }
@@ -45,6 +47,6 @@
         }
     }
     let interval = Interval { earliest: first?, latest: last? };
-    let outside = told.iter().filter(|(_, i)| !i.meets(&interval)).map(|(id, _)| *id).collect();
-    Some(Agreement { interval, outside })
+    let outliers = intervals.iter().filter(|(_, i)| !i.overlaps(&interval)).map(|(id, _)| *id).collect();
+    Some(Agreement { interval, outliers })
 }
--- a/crates/bounds/src/clock.rs
+++ b/crates/bounds/src/clock.rs
@@ -1,226 +1,231 @@
-//! One host's view of the time.
+//! Bounds of the true time, kept by one host.
 
 use crate::agree::agree;
 use crate::interval::{Interval, Moment, Reading, Sample, SourceId, Tenths, widening};
 use std::collections::BTreeMap;
 
-/// What the operator vouches for. If one of these does not hold, no bound does.
+/// Assumptions that the operator guarantees. If one of them does not hold, no bound holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
-    /// Largest drift of the monotonic clock, parts in a million. Slewing of the wall clock counts into it.
+    /// Maximum drift of the monotonic clock in parts per million, including slewing of the wall clock.
     pub drift_ppm: i64,
-    /// How far two readings of wall and monotonic clock may differ from a third for no cause but their not being taken at
-    /// once. A larger change is a step or a sleep.
+    /// How far the difference between the wall and the monotonic clock may vary merely because the two are not read at
+    /// the same instant. A larger change is a clock step or a sleep.
     pub tolerance: Tenths,
-    /// Sources that may lie at once.
+    /// Maximum number of sources that may be faulty at once.
     pub liars: usize,
-    /// Sources at most; more are refused.
+    /// Maximum number of sources; samples of further ones are rejected.
     pub sources: usize,
-    /// A source not heard for so long is dropped.
+    /// A source without a sample for this long is dropped. Also the longest round trip accepted.
     pub heard_within: Tenths,
-    /// A wider interval than this counts as none.
+    /// An interval wider than this is treated as unbounded.
     pub widest: Tenths,
 }
 
-/// What a host passes on to its log.
+/// Events for the host to log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
-    /// The wall clock ran ahead of the monotonic one: it was set, or the machine slept. Taken as sleep.
-    Ahead { by: Tenths },
+pub enum ClockEvent {
+    /// The wall clock jumped ahead of the monotonic clock: it was set, or the machine slept. Treated as sleep.
+    SteppedForward { by: Tenths },
     /// The wall clock was set back.
-    Back { by: Tenths },
-    /// A monotonic reading went back: the host is wrong. The reading is not used.
-    MonoBack { by: Tenths },
-    /// This source disagrees with all that agree.
-    Liar { source: SourceId },
-    /// This source no longer does.
+    SteppedBack { by: Tenths },
+    /// A monotonic reading was lower than an earlier one, which is a fault of the host. The reading is ignored.
+    MonotonicWentBack { by: Tenths },
+    /// The source's interval does not overlap the interval agreed by the other sources.
+    Disagrees { source: SourceId },
+    /// The source's interval overlaps the agreed interval again.
     Agrees { source: SourceId },
-    /// The time can't be bounded any more: too few sources, or no agreement, or too wide.
-    Lost,
-    /// It can again, to within this width.
-    Found { width: Tenths },
+    /// The time is no longer bounded: too few sources, no agreement, or too wide an interval.
+    Unbounded,
+    /// The time is bounded again, by an interval of this width.
+    Bounded { width: Tenths },
 }
 
+/// Why a sample is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// The answer's ends are the wrong way round, or further from zero than any time of ours.
-    NotAnInterval,
-    /// The question left after now: of another process or made up.
-    AskedLater,
-    /// As many sources as the terms allow are known.
+pub enum SampleError {
+    /// The bounds of the interval are reversed, or further from zero than any valid time.
+    InvalidInterval,
+    /// The request was sent after the present reading: it belongs to another process or is invalid.
+    SentInFuture,
+    /// The maximum number of sources is already known.
     TooManySources,
     /// The round trip took longer than `heard_within`.
     TooOld,
 }
 
-/// No instant that is told lies beyond: leaves room for sums.
-const FURTHEST: Tenths = i64::MAX / 8;
+/// Limit of the instants accepted from sources; leaves room for sums without overflow.
+const MAX_INSTANT: Tenths = i64::MAX / 8;
 
-/// A source's newest useful interval, as of when it was heard.
+/// The best known interval of a source and the readings at which it arrived.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct SourceState {
     mono: Tenths,
     count: Tenths,
     interval: Interval,
-    lies: bool,
+    disagrees: bool,
 }
 
+/// Tracks the true time of one host as an interval.
 #[derive(Clone, Debug)]
 pub struct Clock {
     terms: Terms,
     mono: Tenths,
-    /// How far the wall clock has run ahead of the monotonic one, in all.
-    ahead: Tenths,
-    /// The highest difference of wall and monotonic reading since the wall clock was last set back.
-    high: Tenths,
-    sources: BTreeMap<SourceId, Heard>,
+    /// Sum of all forward jumps of the wall clock against the monotonic clock.
+    forward_jumps: Tenths,
+    /// Maximum difference between the wall and the monotonic reading since the wall clock was last set back.
+    max_offset: Tenths,
+    sources: BTreeMap<SourceId, SourceState>,
     time: Option<Interval>,
-    told: Vec<Told>,
+    events: Vec<ClockEvent>,
 }
 
 impl Clock {
     pub fn new(terms: Terms, reading: Reading) -> Self {
-        let high = reading.wall.saturating_sub(reading.mono);
+        let max_offset = reading.wall.saturating_sub(reading.mono);
         Clock {
             terms,
             mono: reading.mono,
-            ahead: 0,
-            high,
+            forward_jumps: 0,
+            max_offset,
             sources: BTreeMap::new(),
             time: None,
-            told: Vec::new(),
+            events: Vec::new(),
         }
     }
 
-    /// Brings the view up to this reading. To be called before each use: after a sleep the old view is wrong.
+    /// Updates the bounds to this reading. Must be called before each use, since the bounds are wrong after a sleep.
     pub fn read(&mut self, reading: Reading) -> Moment {
         if reading.mono < self.mono {
-            self.tell(Told::MonoBack { by: self.mono - reading.mono });
+            self.record_event(ClockEvent::MonotonicWentBack { by: self.mono - reading.mono });
         } else {
             self.mono = reading.mono;
-            self.compare(reading);
+            self.detect_clock_steps(reading);
         }
-        self.settle();
+        self.recompute();
         self.moment()
     }
 
-    /// Danger: a monotonic clock that stands still while the machine sleeps makes a lease that is over look valid. The wall
-    /// clock, set from a clock that never sleeps, shows it. A wall clock set forward looks the same and is taken for the
-    /// same: it makes the latest possible time later, which closes, and leaves the earliest as it was.
-    fn compare(&mut self, reading: Reading) {
+    /// Detects steps of the wall clock and sleep of the machine. Danger: a monotonic clock that stops while the machine
+    /// sleeps makes an expired lease look valid. The wall clock, which is set from a clock that never sleeps, reveals
+    /// the sleep. A wall clock that is set forward cannot be told apart from sleep and is treated as sleep: this makes
+    /// the latest possible time later, which is the safe side, and leaves the earliest unchanged.
+    fn detect_clock_steps(&mut self, reading: Reading) {
         let offset = reading.wall.saturating_sub(reading.mono);
-        let by = offset.saturating_sub(self.high);
+        let by = offset.saturating_sub(self.max_offset);
         if by > 0 {
-            self.ahead = self.ahead.saturating_add(by).min(FURTHEST);
-            self.high = offset;
+            self.forward_jumps = self.forward_jumps.saturating_add(by).min(MAX_INSTANT);
+            self.max_offset = offset;
             if by > self.terms.tolerance {
-                self.tell(Told::Ahead { by });
+                self.record_event(ClockEvent::SteppedForward { by });
             }
         } else if -by > self.terms.tolerance {
-            // Danger: if the mark stayed up, a sleep as long as the step back would go unseen.
-            self.high = offset;
-            self.tell(Told::Back { by: -by });
+            // Danger: if the maximum were kept, a sleep as long as the step back would go undetected.
+            self.max_offset = offset;
+            self.record_event(ClockEvent::SteppedBack { by: -by });
         }
     }
 
-    /// An answer about the time, heard at the last reading. The source answered at some instant of the round trip, so now
-    /// is not before what it said, and after it by no more than the whole trip.
-    pub fn heard(&mut self, source: SourceId, sample: Sample) -> Result<(), Refused> {
+    /// Adds the answer of a source, received at the last reading. The source answered at some instant within the round
+    /// trip, so the present time is not before its answer and at most the whole round trip after it.
+    pub fn heard(&mut self, source: SourceId, sample: Sample) -> Result<(), SampleError> {
         let theirs = sample.theirs;
-        if theirs.earliest > theirs.latest || theirs.earliest < -FURTHEST || theirs.latest > FURTHEST {
-            return Err(Refused::NotAnInterval);
+        if theirs.earliest > theirs.latest || theirs.earliest < -MAX_INSTANT || theirs.latest > MAX_INSTANT {
+            return Err(SampleError::InvalidInterval);
         }
         let now = self.moment();
-        let trip = now.count - sample.asked_count;
-        if sample.asked_mono > now.mono || trip < 0 {
-            return Err(Refused::AskedLater);
+        let round_trip = now.count - sample.asked_count;
+        if sample.asked_mono > now.mono || round_trip < 0 {
+            return Err(SampleError::SentInFuture);
         }
-        if trip > self.terms.heard_within {
-            return Err(Refused::TooOld);
+        if round_trip > self.terms.heard_within {
+            return Err(SampleError::TooOld);
         }
         if !self.sources.contains_key(&source) && self.sources.len() >= self.terms.sources {
-            return Err(Refused::TooManySources);
+            return Err(SampleError::TooManySources);
         }
-        let latest = theirs.latest + trip + widening(trip, self.terms.drift_ppm) + self.slack();
-        let fresh = Interval { earliest: theirs.earliest, latest };
-        let old = self.sources.get(&source).copied();
-        let lies = old.is_some_and(|o| o.lies);
-        // The tighter of the two stays, unless they contradict: then the source lied or we slept, and the fresh one counts.
-        let aged = old.map(|o| self.aged(&o));
-        if aged.is_none_or(|a| fresh.width() <= a.width() || !a.meets(&fresh)) {
-            let heard = Heard { mono: now.mono, count: now.count, interval: fresh, lies };
-            self.sources.insert(source, heard);
+        let latest = theirs.latest + round_trip + widening(round_trip, self.terms.drift_ppm) + self.slack();
+        let sampled = Interval { earliest: theirs.earliest, latest };
+        let previous = self.sources.get(&source).copied();
+        let disagrees = previous.is_some_and(|o| o.disagrees);
+        // Keep the tighter of the two intervals, unless they contradict each other: then the source was wrong or the
+        // machine slept, and the new one is used.
+        let aged = previous.map(|o| self.extrapolate(&o));
+        if aged.is_none_or(|a| sampled.width() <= a.width() || !a.overlaps(&sampled)) {
+            let state = SourceState { mono: now.mono, count: now.count, interval: sampled, disagrees };
+            self.sources.insert(source, state);
         }
-        self.settle();
+        self.recompute();
         Ok(())
     }
 
-    /// A source that left.
+    /// Removes a source that has left.
     pub fn forget(&mut self, source: SourceId) {
         self.sources.remove(&source);
-        self.settle();
+        self.recompute();
     }
 
     pub fn moment(&self) -> Moment {
-        Moment { mono: self.mono, count: self.mono.saturating_add(self.ahead), time: self.time }
+        Moment { mono: self.mono, count: self.mono.saturating_add(self.forward_jumps), time: self.time }
     }
 
-    /// What is to be logged since the last call, at most [`Clock::TOLD`] entries: the newest are left out beyond.
-    pub fn told(&mut self) -> Vec<Told> {
-        std::mem::take(&mut self.told)
+    /// Returns the events since the last call, at most [`Clock::MAX_EVENTS`]; later ones are dropped.
+    pub fn take_events(&mut self) -> Vec<ClockEvent> {
+        std::mem::take(&mut self.events)
     }
 
-    pub const TOLD: usize = 64;
+    /// Maximum number of events kept between two calls of [`Clock::take_events`].
+    pub const MAX_EVENTS: usize = 64;
 
-    fn tell(&mut self, told: Told) {
-        if self.told.len() < Self::TOLD {
-            self.told.push(told);
+    fn record_event(&mut self, event: ClockEvent) {
+        if self.events.len() < Self::MAX_EVENTS {
+            self.events.push(event);
         }
     }
 
-    /// What a sleep may hide under the tolerance, and a reading's own grain.
+    /// Covers a sleep that stays below the tolerance, and the granularity of a reading.
     fn slack(&self) -> Tenths {
         self.terms.tolerance + 1
     }
 
-    fn aged(&self, heard: &Heard) -> Interval {
-        // A reading is cut down to a tenth: the elapsed time may be one less.
-        let least = (self.mono - heard.mono - 1).max(0);
-        let most = self.mono.saturating_add(self.ahead) - heard.count;
+    fn extrapolate(&self, state: &SourceState) -> Interval {
+        // Readings are truncated to a tenth, so the elapsed time may be shorter by one.
+        let min_elapsed = (self.mono - state.mono - 1).max(0);
+        let max_elapsed = self.mono.saturating_add(self.forward_jumps) - state.count;
         let ppm = self.terms.drift_ppm;
         Interval {
-            earliest: heard.interval.earliest + least - widening(least, ppm),
-            latest: heard.interval.latest.saturating_add(most).saturating_add(widening(most, ppm)),
+            earliest: state.interval.earliest + min_elapsed - widening(min_elapsed, ppm),
+            latest: state.interval.latest.saturating_add(max_elapsed).saturating_add(widening(max_elapsed, ppm)),
         }
     }
 
-    fn settle(&mut self) {
+    fn recompute(&mut self) {
         let (mono, within) = (self.mono, self.terms.heard_within);
-        self.sources.retain(|_, heard| mono - heard.mono <= within);
+        self.sources.retain(|_, state| mono - state.mono <= within);
         let aged: Vec<(SourceId, Interval)> =
-            self.sources.iter().map(|(id, h)| (*id, self.aged(h))).collect();
+            self.sources.iter().map(|(id, h)| (*id, self.extrapolate(h))).collect();
         let agreement = agree(&aged, self.terms.liars);
         let mut changed = Vec::new();
         if let Some(agreement) = &agreement {
-            for (id, heard) in &mut self.sources {
-                let lies = agreement.outside.contains(id);
-                if lies != heard.lies {
-                    heard.lies = lies;
-                    changed.push(if lies {
-                        Told::Liar { source: *id }
+            for (id, state) in &mut self.sources {
+                let disagrees = agreement.outliers.contains(id);
+                if disagrees != state.disagrees {
+                    state.disagrees = disagrees;
+                    changed.push(if disagrees {
+                        ClockEvent::Disagrees { source: *id }
                     } else {
-                        Told::Agrees { source: *id }
+                        ClockEvent::Agrees { source: *id }
                     });
                 }
             }
         }
         let time = agreement.map(|a| a.interval).filter(|i| i.width() <= self.terms.widest);
         match (self.time, time) {
-            (Some(_), None) => changed.push(Told::Lost),
-            (None, Some(found)) => changed.push(Told::Found { width: found.width() }),
+            (Some(_), None) => changed.push(ClockEvent::Unbounded),
+            (None, Some(found)) => changed.push(ClockEvent::Bounded { width: found.width() }),
             _ => {}
         }
         self.time = time;
-        changed.into_iter().for_each(|told| self.tell(told));
+        changed.into_iter().for_each(|event| self.record_event(event));
     }
 }
--- a/crates/bounds/src/interval.rs
+++ b/crates/bounds/src/interval.rs
@@ -1,26 +1,26 @@
-//! The values at the border: readings, intervals, samples.
+//! The values exchanged with the host: clock readings, intervals and samples.
 
 use serde::{Deserialize, Serialize};
 
-/// A tenth of a millisecond. True times count from the Unix epoch.
+/// Tenths of a millisecond. True times are counted from the Unix epoch.
 pub type Tenths = i64;
 
 pub const SECOND: Tenths = 10_000;
 
-/// Who answers questions about the time: a peer, a publisher, the host's own reference.
+/// A source of time: a peer, a publisher or the host's own reference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SourceId(pub u32);
 
-/// Both of a host's clocks, read one right after the other.
+/// Both clocks of a host, read in immediate succession.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reading {
-    /// Never goes back, never stepped; may stand still while the machine sleeps.
+    /// The monotonic clock: never goes back and is never stepped, but may stop while the machine sleeps.
     pub mono: Tenths,
-    /// What the machine takes for the time of day. Used to notice sleep and steps only, never as the time.
+    /// The wall clock. Used only to detect sleep and clock steps, never as the time.
     pub wall: Tenths,
 }
 
-/// The true time lies in here, ends included.
+/// An interval that contains the true time, bounds included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Interval {
     pub earliest: Tenths,
@@ -32,33 +32,36 @@
         self.latest - self.earliest
     }
 
-    /// The given instant has passed, whatever the true time in here is.
+    /// Whether `instant` is in the past for every time in the interval.
     pub fn passed(&self, instant: Tenths) -> bool {
         self.earliest > instant
     }
 
-    /// The given instant may have come: only if this is false is it sure to lie ahead.
+    /// Whether `instant` may have been reached. Only if this is false is `instant` certainly in the future.
     pub fn reached(&self, instant: Tenths) -> bool {
         self.latest >= instant
     }
 
-    pub(crate) fn meets(&self, other: &Interval) -> bool {
+    pub(crate) fn overlaps(&self, other: &Interval) -> bool {
         self.earliest <= other.latest && other.earliest <= self.latest
     }
 }
 
-/// What is known of the time at one instant. Values of `mono` and `count` compare only with others of the same clock.
+/// What is known about the time at one instant. `mono` and `count` are comparable only between moments of the same
+/// clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Moment {
-    /// The monotonic reading: an elapsed time by it may be too short if the machine slept.
+    /// The monotonic reading. Elapsed time measured by it may be too short if the machine slept.
     pub mono: Tenths,
-    /// The monotonic reading and all that the wall clock ran ahead of it: an elapsed time by it may be too long.
+    /// The monotonic reading plus every forward jump of the wall clock against it. Elapsed time measured by it may be
+    /// too long.
     pub count: Tenths,
-    /// None if the true time can't be bounded now.
+    /// `None` if the true time cannot be bounded at this instant.
     pub time: Option<Interval>,
 }
 
-/// A latest possible time once known, carried on by the count: an upper bound that outlives the agreement of sources.
+/// The latest possible time at an earlier moment, carried forward by `count`: an upper bound that remains valid after
+/// the sources stop agreeing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Anchor {
     pub count: Tenths,
@@ -66,12 +69,12 @@
 }
 
 impl Anchor {
-    /// None if the time isn't bounded now.
+    /// `None` if the time is not bounded at `moment`.
     pub fn of(moment: &Moment) -> Option<Anchor> {
         moment.time.map(|time| Anchor { count: moment.count, latest: time.latest })
     }
 
-    /// The true time is not later than this at `moment`, of the same clock, whose drift is at most `ppm`.
+    /// Upper bound of the true time at `moment`, which belongs to the same clock; the clock drifts by at most `ppm`.
     pub fn latest(&self, moment: &Moment, ppm: i64) -> Tenths {
         let elapsed = moment.count - self.count + 1;
         let carried = self.latest.saturating_add(elapsed).saturating_add(widening(elapsed, ppm));
@@ -79,18 +82,18 @@
     }
 }
 
-/// One answered question about the time.
+/// One answer of a source to a time request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sample {
-    /// As [`Moment::mono`] said when the question left.
+    /// [`Moment::mono`] when the request was sent.
     pub asked_mono: Tenths,
-    /// As [`Moment::count`] said when the question left.
+    /// [`Moment::count`] when the request was sent.
     pub asked_count: Tenths,
-    /// What the source held the time to be when it answered.
+    /// The interval that the source gave for the time of its answer.
     pub theirs: Interval,
 }
 
-/// How much a clock that drifts by at most `ppm` parts in a million gains or loses over `elapsed`, rounded up.
+/// The most that a clock with a drift of at most `ppm` parts per million gains or loses over `elapsed`, rounded up.
 pub fn widening(elapsed: Tenths, ppm: i64) -> Tenths {
     let exact = i128::from(elapsed.max(0)) * i128::from(ppm.max(0));
     ((exact + 999_999) / 1_000_000).min(i128::from(i64::MAX / 4)) as Tenths
--- a/crates/bounds/src/tests.rs
+++ b/crates/bounds/src/tests.rs
@@ -1,10 +1,11 @@
-//! The true time stays inside, whatever few lie, sleep or step; and nothing is claimed where nothing is known.
+//! Tests that the interval contains the true time despite faulty sources, sleep and clock steps, and that no interval
+//! is returned when nothing is known.
 
 use super::*;
 use nanorand::{Rng, WyRand};
 use rstest::rstest;
 
-fn told(intervals: &[(i64, i64)]) -> Vec<(SourceId, Interval)> {
+fn intervals_of(intervals: &[(i64, i64)]) -> Vec<(SourceId, Interval)> {
     let interval = |(n, (earliest, latest)): (usize, &(i64, i64))| {
         (SourceId(n as u32), Interval { earliest: *earliest, latest: *latest })
     };
@@ -12,24 +13,24 @@
 }
 
 #[rstest]
-#[case::marzullo_of_the_paper(&[(8, 12), (11, 13), (10, 12)], 0, Some((11, 12)), &[])]
-#[case::one_liar_outvoted(&[(8, 12), (11, 13), (90, 91)], 1, Some((11, 12)), &[2])]
-#[case::the_hull_of_all_places(&[(0, 10), (0, 3), (7, 10)], 1, Some((0, 10)), &[])]
-#[case::too_few_to_outvote(&[(0, 10), (0, 10)], 1, None, &[])]
-#[case::no_place(&[(0, 1), (5, 6), (9, 10)], 1, None, &[])]
-#[case::ends_belong(&[(0, 5), (5, 9)], 0, Some((5, 5)), &[])]
-#[case::the_wrong_way_round(&[(0, 5), (1, 4), (9, 2)], 1, Some((1, 4)), &[2])]
-fn sources_agree(
+#[case::all_sources_overlap(&[(8, 12), (11, 13), (10, 12)], 0, Some((11, 12)), &[])]
+#[case::one_faulty_source_is_outvoted(&[(8, 12), (11, 13), (90, 91)], 1, Some((11, 12)), &[2])]
+#[case::hull_of_disjoint_overlaps(&[(0, 10), (0, 3), (7, 10)], 1, Some((0, 10)), &[])]
+#[case::too_few_sources_to_outvote_a_faulty_one(&[(0, 10), (0, 10)], 1, None, &[])]
+#[case::no_common_instant(&[(0, 1), (5, 6), (9, 10)], 1, None, &[])]
+#[case::bounds_are_inclusive(&[(0, 5), (5, 9)], 0, Some((5, 5)), &[])]
+#[case::reversed_interval_is_ignored(&[(0, 5), (1, 4), (9, 2)], 1, Some((1, 4)), &[2])]
+fn agreed_interval_and_outliers(
     #[case] intervals: &[(i64, i64)],
-    #[case] liars: usize,
+    #[case] max_faulty: usize,
     #[case] expected: Option<(i64, i64)>,
-    #[case] outside: &[u32],
+    #[case] outliers: &[u32],
 ) {
-    let agreement = agree(&told(intervals), liars);
+    let agreement = agree(&intervals_of(intervals), max_faulty);
     let found = agreement.as_ref().map(|a| (a.interval.earliest, a.interval.latest));
     assert_eq!(found, expected);
-    let named: Vec<u32> = agreement.map(|a| a.outside.iter().map(|s| s.0).collect()).unwrap_or_default();
-    assert_eq!(named, outside);
+    let named: Vec<u32> = agreement.map(|a| a.outliers.iter().map(|s| s.0).collect()).unwrap_or_default();
+    assert_eq!(named, outliers);
 }
 
 const TERMS: Terms = Terms {
@@ -41,12 +42,12 @@
     widest: 5 * SECOND,
 };
 
-/// The clock of a machine that drifts as fast as is vouched for, sleeps and is stepped, told by four sources of which one
-/// lies: played against the true time.
+/// Plays the clock of a machine with the maximum assumed drift, with sleep and clock steps, and four sources of which
+/// one is faulty, against the true time. Fails if an interval excludes the true time.
 #[rstest]
-#[case::fast(1.0 + 199e-6)]
-#[case::slow(1.0 - 199e-6)]
-fn the_true_time_stays_inside(#[case] rate: f64) {
+#[case::fast_clock(1.0 + 199e-6)]
+#[case::slow_clock(1.0 - 199e-6)]
+fn interval_excludes_true_time(#[case] rate: f64) {
     let mut known = 0;
     for seed in 0..200 {
         let mut chance = WyRand::new_seed(seed);
@@ -59,7 +60,7 @@
             now += passed;
             wall += passed as f64 * rate;
             match draw(20) {
-                // Asleep: the monotonic clock stands still.
+                // The machine sleeps: the monotonic clock stops.
                 0 => {}
                 1 => {
                     mono += passed as f64 * rate;
@@ -93,11 +94,11 @@
             }
         }
     }
-    assert!(known > 10_000, "{known} bounded: too few to prove anything");
+    assert!(known > 10_000, "{known} bounded moments, too few for the test to be meaningful");
 }
 
-/// A clock told once by three honest sources, at a round trip of 10 ms.
-fn heard_once() -> Clock {
+/// A clock with one sample of each of three correct sources, at a round trip of 10 ms.
+fn clock_with_one_sample_each() -> Clock {
     let mut clock = Clock::new(TERMS, Reading { mono: 0, wall: 0 });
     clock.read(Reading { mono: 100, wall: 100 });
     for source in 0..3 {
@@ -109,40 +110,40 @@
 }
 
 #[rstest]
-#[case::whole_trip_and_slack(100, 100, Some((5_000_000, 5_000_162)))]
-#[case::grows_with_drift(500_100, 500_100, Some((5_499_899, 5_500_262)))]
-#[case::asleep_3_s(100, 30_100, Some((5_000_000, 5_030_168)))]
-#[case::asleep_beyond_the_widest(100, 100_100, None)]
-#[case::heard_nothing_for_too_long(700_000, 700_000, None)]
-fn uncertainty_grows(#[case] mono: i64, #[case] wall: i64, #[case] expected: Option<(i64, i64)>) {
-    let time = heard_once().read(Reading { mono, wall }).time;
+#[case::round_trip_and_slack(100, 100, Some((5_000_000, 5_000_162)))]
+#[case::drift(500_100, 500_100, Some((5_499_899, 5_500_262)))]
+#[case::sleep_of_3_s(100, 30_100, Some((5_000_000, 5_030_168)))]
+#[case::sleep_wider_than_max_width(100, 100_100, None)]
+#[case::samples_expired(700_000, 700_000, None)]
+fn interval_widens_with_elapsed_time(#[case] mono: i64, #[case] wall: i64, #[case] expected: Option<(i64, i64)>) {
+    let time = clock_with_one_sample_each().read(Reading { mono, wall }).time;
     assert_eq!(time.map(|t| (t.earliest, t.latest)), expected);
 }
 
 #[rstest]
-#[case::asleep(Reading { mono: 200, wall: 20_200 }, Told::Ahead { by: 20_000 })]
-#[case::set_back(Reading { mono: 200, wall: -9_800 }, Told::Back { by: 10_000 })]
-#[case::mono_back(Reading { mono: 50, wall: 200 }, Told::MonoBack { by: 50 })]
-#[case::lost(Reading { mono: 700_000, wall: 700_000 }, Told::Lost)]
-fn what_befell_is_told(#[case] reading: Reading, #[case] expected: Told) {
-    let mut clock = heard_once();
-    clock.told();
+#[case::sleep(Reading { mono: 200, wall: 20_200 }, ClockEvent::SteppedForward { by: 20_000 })]
+#[case::wall_clock_set_back(Reading { mono: 200, wall: -9_800 }, ClockEvent::SteppedBack { by: 10_000 })]
+#[case::monotonic_clock_went_back(Reading { mono: 50, wall: 200 }, ClockEvent::MonotonicWentBack { by: 50 })]
+#[case::bound_lost(Reading { mono: 700_000, wall: 700_000 }, ClockEvent::Unbounded)]
+fn clock_fault_is_reported(#[case] reading: Reading, #[case] expected: ClockEvent) {
+    let mut clock = clock_with_one_sample_each();
+    clock.take_events();
     clock.read(reading);
-    assert_eq!(clock.told(), [expected]);
+    assert_eq!(clock.take_events(), [expected]);
 }
 
 #[rstest]
-#[case::wrong_way_round(0, Interval { earliest: 9, latest: 8 }, 0, Refused::NotAnInterval)]
-#[case::out_of_range(0, Interval { earliest: 0, latest: i64::MAX }, 0, Refused::NotAnInterval)]
-#[case::asked_later(0, Interval { earliest: 0, latest: 9 }, 101, Refused::AskedLater)]
-#[case::fifth_source(9, Interval { earliest: 0, latest: 9 }, 0, Refused::TooManySources)]
-fn samples_are_refused(
+#[case::reversed_interval(0, Interval { earliest: 9, latest: 8 }, 0, SampleError::InvalidInterval)]
+#[case::out_of_range(0, Interval { earliest: 0, latest: i64::MAX }, 0, SampleError::InvalidInterval)]
+#[case::request_sent_in_future(0, Interval { earliest: 0, latest: 9 }, 101, SampleError::SentInFuture)]
+#[case::too_many_sources(9, Interval { earliest: 0, latest: 9 }, 0, SampleError::TooManySources)]
+fn invalid_sample_is_rejected(
     #[case] source: u32,
     #[case] theirs: Interval,
     #[case] asked: i64,
-    #[case] expected: Refused,
+    #[case] expected: SampleError,
 ) {
-    let mut clock = heard_once();
+    let mut clock = clock_with_one_sample_each();
     let sample = Sample { asked_mono: asked, asked_count: asked, theirs };
     clock
         .heard(
@@ -154,9 +155,9 @@
 }
 
 #[test]
-fn a_liar_is_named() {
-    let mut clock = heard_once();
+fn disagreeing_source_is_reported() {
+    let mut clock = clock_with_one_sample_each();
     let theirs = Interval { earliest: 9_000_000, latest: 9_000_010 };
     clock.heard(SourceId(3), Sample { asked_mono: 0, asked_count: 0, theirs }).unwrap();
-    assert_eq!(clock.told().last(), Some(&Told::Liar { source: SourceId(3) }));
+    assert_eq!(clock.take_events().last(), Some(&ClockEvent::Disagrees { source: SourceId(3) }));
 }
