--- a/crates/bounds/src/clock.rs
+++ b/crates/bounds/src/clock.rs
@@ -195,7 +195,11 @@
         let ppm = self.terms.drift_ppm;
         Interval {
             earliest: state.interval.earliest + min_elapsed - widening(min_elapsed, ppm),
-            latest: state.interval.latest.saturating_add(max_elapsed).saturating_add(widening(max_elapsed, ppm)),
+            latest: state
+                .interval
+                .latest
+                .saturating_add(max_elapsed)
+                .saturating_add(widening(max_elapsed, ppm)),
         }
     }
 
--- a/crates/bounds/src/tests.rs
+++ b/crates/bounds/src/tests.rs
@@ -20,7 +20,7 @@
 #[case::no_common_instant(&[(0, 1), (5, 6), (9, 10)], 1, None, &[])]
 #[case::bounds_are_inclusive(&[(0, 5), (5, 9)], 0, Some((5, 5)), &[])]
 #[case::reversed_interval_is_ignored(&[(0, 5), (1, 4), (9, 2)], 1, Some((1, 4)), &[2])]
-fn agreed_interval_and_outliers(
+fn agreement_tolerates_faulty_sources(
     #[case] intervals: &[(i64, i64)],
     #[case] max_faulty: usize,
     #[case] expected: Option<(i64, i64)>,
@@ -47,7 +47,7 @@
 #[rstest]
 #[case::fast_clock(1.0 + 199e-6)]
 #[case::slow_clock(1.0 - 199e-6)]
-fn interval_excludes_true_time(#[case] rate: f64) {
+fn interval_contains_true_time_despite_faults(#[case] rate: f64) {
     let mut known = 0;
     for seed in 0..200 {
         let mut chance = WyRand::new_seed(seed);
@@ -115,7 +115,11 @@
 #[case::sleep_of_3_s(100, 30_100, Some((5_000_000, 5_030_168)))]
 #[case::sleep_wider_than_max_width(100, 100_100, None)]
 #[case::samples_expired(700_000, 700_000, None)]
-fn interval_widens_with_elapsed_time(#[case] mono: i64, #[case] wall: i64, #[case] expected: Option<(i64, i64)>) {
+fn interval_widens_with_elapsed_time(
+    #[case] mono: i64,
+    #[case] wall: i64,
+    #[case] expected: Option<(i64, i64)>,
+) {
     let time = clock_with_one_sample_each().read(Reading { mono, wall }).time;
     assert_eq!(time.map(|t| (t.earliest, t.latest)), expected);
 }
@@ -125,7 +129,7 @@
 #[case::wall_clock_set_back(Reading { mono: 200, wall: -9_800 }, ClockEvent::SteppedBack { by: 10_000 })]
 #[case::monotonic_clock_went_back(Reading { mono: 50, wall: 200 }, ClockEvent::MonotonicWentBack { by: 50 })]
 #[case::bound_lost(Reading { mono: 700_000, wall: 700_000 }, ClockEvent::Unbounded)]
-fn clock_fault_is_reported(#[case] reading: Reading, #[case] expected: ClockEvent) {
+fn clock_faults_are_reported(#[case] reading: Reading, #[case] expected: ClockEvent) {
     let mut clock = clock_with_one_sample_each();
     clock.take_events();
     clock.read(reading);
@@ -137,7 +141,7 @@
 #[case::out_of_range(0, Interval { earliest: 0, latest: i64::MAX }, 0, SampleError::InvalidInterval)]
 #[case::request_sent_in_future(0, Interval { earliest: 0, latest: 9 }, 101, SampleError::SentInFuture)]
 #[case::too_many_sources(9, Interval { earliest: 0, latest: 9 }, 0, SampleError::TooManySources)]
-fn invalid_sample_is_rejected(
+fn invalid_samples_are_rejected(
     #[case] source: u32,
     #[case] theirs: Interval,
     #[case] asked: i64,
