--- a/crates/shared/src/budgets.rs
+++ b/crates/shared/src/budgets.rs
@@ -1,13 +1,14 @@
-//! A budget of tokens a second for the whole fleet, by escrow.
+//! A rate limit in tokens per second for the whole fleet, divided by escrow.
 //!
-//! The budget is cut once, in the [`Terms`]: every seat has a floor that is always its own, and some seats (the lenders)
-//! have a home that they lend. A router spends its floor, what it holds on loan until the loan ends, and what its own home
-//! has not lent. Nothing is agreed on and nothing is stored: the sum holds by arithmetic and by time alone.
+//! The budget is divided once, in the [`Terms`]: every router has a floor that is always its own, and some routers (the
+//! lenders) have a lendable rate. A router may spend its floor, its unexpired loans, and what it has not lent of its
+//! own lendable rate. There is no consensus and no stored state: the limit follows from arithmetic and time alone.
 //!
-//! Why it never passes: a lender counts a loan from when it *sent* it, lengthened by the drift of clocks; a borrower
-//! counts it from when it *asked*, shortened by the same. So whoever hears late, twice or out of order stops earlier,
-//! never later. A lender that starts lends and uses nothing of its home for one lengthened loan: what it lent in an earlier
-//! life has ended by then.
+//! Why the budget is never exceeded: a lender counts a loan from when it *sent* the grant and extends it by the clock
+//! drift; a borrower counts it from when it sent the *request* and shortens it by the same. A borrower that receives a
+//! grant late, twice or out of order therefore stops earlier, never later. After a start, a lender neither lends nor
+//! uses its lendable rate for the lender's duration of one loan, by when all loans of its earlier incarnations have
+//! ended.
 
 mod borrower;
 mod bucket;
@@ -18,44 +19,46 @@
 
 pub use borrower::Borrower;
 pub use bucket::Bucket;
-pub use budget::{Budget, Reading};
+pub use budget::{Budget, Usage};
 pub use demand::Demand;
 pub use lender::Lender;
-pub use terms::{BadTerms, Seat, Terms};
+pub use terms::{Allotment, Terms, TermsError};
 
 use serde::{Deserialize, Serialize};
 use vetchkeel_membership::Start;
 
-/// Thousandths of a token a second.
+/// Thousandths of a token per second.
 pub type Rate = i64;
 
-/// A borrower asks for a share, and promises to act under no loan of this lender older than `holding`.
+/// A borrower's request for a loan. The borrower promises not to act under any loan of this lender older than
+/// `holding`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Ask {
-    /// Version of the terms; another one is not answered.
+pub struct LoanRequest {
+    /// Version of the terms; a request with another version is not answered.
     pub terms: u32,
-    /// Grows by one with each ask of one life.
+    /// Sequence number of the request within one incarnation of the borrower.
     pub number: u64,
-    /// What it could use of this lender's home.
+    /// The rate that the borrower could use of this lender.
     pub want: Rate,
-    /// Version of the loan it acts under; 0 is none.
+    /// Version of the loan that the borrower acts under; 0 for none.
     pub holding: u64,
-    /// Life of the lender that gave it.
-    pub holding_of: Start,
+    /// Incarnation of the lender that granted that loan.
+    pub holding_lender: Start,
 }
 
-/// A lender answers one ask.
+/// A lender's answer to one request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Grant {
+pub struct LoanGrant {
     /// Version of the terms.
     pub terms: u32,
-    /// The ask that it answers, and the life of the one who asked.
+    /// Sequence number of the request that this answers.
     pub number: u64,
-    /// Danger: a borrower that restarted counts its asks anew. Without its life in the answer, an answer to the first ask
-    /// of the old life would count from the first ask of the new one, and end too late.
-    pub asked_by: Start,
-    /// Grows with every loan of one life of the lender.
+    /// Incarnation of the borrower that sent the request. Danger: a restarted borrower numbers its requests from the
+    /// beginning. Without its incarnation in the grant, a grant for the first request of the old incarnation would be
+    /// counted from the first request of the new one, and end too late.
+    pub borrower_start: Start,
+    /// Version of the loan; grows with every loan of one incarnation of the lender.
     pub version: u64,
-    /// How much, in place of every older loan of this lender.
+    /// The granted rate. It replaces every older loan of this lender.
     pub rate: Rate,
 }
--- a/crates/shared/src/budgets/borrower.rs
+++ b/crates/shared/src/budgets/borrower.rs
@@ -1,27 +1,27 @@
-//! A borrower's side of one lender: what it holds, until when, and what it may answer for.
+//! The borrower's side of a loan: the rate held from one lender, its end, and the requests that may still be answered.
 
 use std::collections::VecDeque;
 
 use vetchkeel_membership::{Start, Tenths};
 
-use super::{Ask, Grant, Rate, Terms};
+use super::{LoanGrant, LoanRequest, Rate, Terms};
 
-/// Asks that may still be answered; an answer to an older one is refused.
-const MOST_ASKS: usize = 6;
+/// Requests remembered until they are answered; a grant for an older request is rejected.
+const MAX_REQUESTS: usize = 6;
 
-/// A borrower at one lender.
+/// A router as a borrower from one lender.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Borrower {
     start: Start,
     terms: u32,
-    borrowed_for: Tenths,
+    duration: Tenths,
     number: u64,
-    asks: VecDeque<(u64, Tenths)>,
-    held: Option<Held>,
+    requests: VecDeque<(u64, Tenths)>,
+    loan: Option<HeldLoan>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Held {
+struct HeldLoan {
     lender: Start,
     version: u64,
     rate: Rate,
@@ -29,53 +29,54 @@
 }
 
 impl Borrower {
-    /// A borrower that begins its life `start` with nothing.
+    /// A borrower in its incarnation `start`, without a loan.
     pub fn new(terms: &Terms, start: Start) -> Borrower {
-        let borrowed_for = terms.borrowed_for();
-        Borrower { start, terms: terms.version, borrowed_for, number: 0, asks: VecDeque::new(), held: None }
+        let duration = terms.borrower_duration();
+        Borrower { start, terms: terms.version, duration, number: 0, requests: VecDeque::new(), loan: None }
     }
 
-    /// The next ask, sent now.
-    pub fn ask(&mut self, now: Tenths, want: Rate) -> Ask {
+    /// Creates the next request, to be sent at `now`.
+    pub fn request(&mut self, now: Tenths, want: Rate) -> LoanRequest {
         self.number += 1;
-        if self.asks.len() == MOST_ASKS {
-            self.asks.pop_front();
+        if self.requests.len() == MAX_REQUESTS {
+            self.requests.pop_front();
         }
-        self.asks.push_back((self.number, now));
-        let (holding, holding_of) =
-            self.held.as_ref().map_or((0, Start::default()), |held| (held.version, held.lender));
-        Ask { terms: self.terms, number: self.number, want, holding, holding_of }
+        self.requests.push_back((self.number, now));
+        let (holding, holding_lender) =
+            self.loan.as_ref().map_or((0, Start::default()), |loan| (loan.version, loan.lender));
+        LoanRequest { terms: self.terms, number: self.number, want, holding, holding_lender }
     }
 
-    /// Takes an answer of the lender's life `lender`. True if it changed what is held.
-    pub fn granted(&mut self, now: Tenths, lender: Start, grant: &Grant) -> bool {
-        if grant.terms != self.terms || grant.asked_by != self.start {
+    /// Applies a grant from the lender's incarnation `lender`. Returns whether the loan held has changed.
+    pub fn handle_grant(&mut self, now: Tenths, lender: Start, grant: &LoanGrant) -> bool {
+        if grant.terms != self.terms || grant.borrower_start != self.start {
             return false;
         }
-        let Some(&(_, sent)) = self.asks.iter().find(|(number, _)| *number == grant.number) else {
+        let Some(&(_, sent)) = self.requests.iter().find(|(number, _)| *number == grant.number) else {
             return false;
         };
-        // Danger: the answer may have been on its way for long. Counted from when it came, the loan would outlive the
+        // Danger: the grant may have been in flight for long. Counted from its arrival, the loan would outlive the
         // lender's own count of it.
-        let until = sent + self.borrowed_for;
-        // Danger: an older loan that comes late was already promised away by the last ask. Once the newer one has ended
-        // the older has too; a lender whose clock stepped back over a restart is heard again then.
-        let running = self.held.as_ref().filter(|held| now < held.until);
-        let older = running.is_some_and(|held| (lender, grant.version) <= (held.lender, held.version));
+        let until = sent + self.duration;
+        // Danger: the last request has already given up any older loan that arrives late. Once the newer loan has
+        // expired the older one has too, so from then on grants of a lender whose clock stepped back over a restart are
+        // accepted again.
+        let running = self.loan.as_ref().filter(|loan| now < loan.until);
+        let older = running.is_some_and(|loan| (lender, grant.version) <= (loan.lender, loan.version));
         if older || until <= now {
             return false;
         }
-        self.held = Some(Held { lender, version: grant.version, rate: grant.rate.max(0), until });
+        self.loan = Some(HeldLoan { lender, version: grant.version, rate: grant.rate.max(0), until });
         true
     }
 
-    /// What it may spend of this lender's home, now.
+    /// The rate that the borrower may spend on loan from this lender at `now`.
     pub fn rate(&self, now: Tenths) -> Rate {
-        self.held.as_ref().filter(|held| now < held.until).map_or(0, |held| held.rate)
+        self.loan.as_ref().filter(|loan| now < loan.until).map_or(0, |loan| loan.rate)
     }
 
-    /// When what it holds ends, if that is still to come.
+    /// When the loan held expires, if it has not expired yet.
     pub fn until(&self, now: Tenths) -> Option<Tenths> {
-        self.held.as_ref().map(|held| held.until).filter(|until| now < *until)
+        self.loan.as_ref().map(|loan| loan.until).filter(|until| now < *until)
     }
 }
--- a/crates/shared/src/budgets/bucket.rs
+++ b/crates/shared/src/budgets/bucket.rs
@@ -1,70 +1,72 @@
-//! A bucket that fills at the present share. What the share loses, the bucket loses with it.
+//! A token bucket whose rate changes with the router's share. When the share shrinks, the tokens above the smaller
+//! capacity are lost.
 
 use vetchkeel_membership::Tenths;
 
 use super::Rate;
 
-/// One token, in the bucket's unit: a thousandth of a token a second, for a tenth of a millisecond.
+/// One token in the bucket's unit: a thousandth of a token per second over a tenth of a millisecond.
 const TOKEN: i64 = 10_000_000;
 
-/// A bucket, empty at first: a router that keeps restarting gains nothing by it.
+/// A token bucket. It starts empty, so that a router that restarts repeatedly gains no tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Bucket {
     rate: Rate,
     depth: Tenths,
     level: i64,
-    at: Tenths,
+    updated_at: Tenths,
 }
 
 impl Bucket {
-    /// An empty bucket of `depth` times its share.
+    /// An empty bucket that holds the tokens of `depth` at its rate.
     pub fn new(depth: Tenths, now: Tenths) -> Bucket {
-        Bucket { rate: 0, depth, level: 0, at: now }
+        Bucket { rate: 0, depth, level: 0, updated_at: now }
     }
 
-    /// The share is `rate` from `now` on.
+    /// Sets the rate from `now` on.
     ///
-    /// Danger: tokens gathered under a share that has moved on would be spent beside those of its new holder.
-    pub fn set(&mut self, now: Tenths, rate: Rate) {
-        self.fill(now);
+    /// Danger: tokens gathered under a share that has moved to another router would be spent in addition to those of
+    /// the new holder.
+    pub fn set_rate(&mut self, now: Tenths, rate: Rate) {
+        self.refill(now);
         self.rate = rate;
-        self.level = self.level.min(self.most());
+        self.level = self.level.min(self.capacity());
     }
 
-    /// Takes `tokens` if they are there.
+    /// Takes `tokens` if the bucket holds them. Returns whether it did.
     pub fn take(&mut self, now: Tenths, tokens: u32) -> bool {
-        self.fill(now);
-        let price = i64::from(tokens) * TOKEN;
-        let there = price <= self.level;
-        if there {
-            self.level -= price;
+        self.refill(now);
+        let cost = i64::from(tokens) * TOKEN;
+        let available = cost <= self.level;
+        if available {
+            self.level -= cost;
         }
-        there
+        available
     }
 
-    /// When `tokens` will be there if the share stays; none if they never will.
+    /// When `tokens` will be available if the rate stays the same; `None` if the bucket cannot hold that many.
     pub fn ready_at(&self, tokens: u32) -> Option<Tenths> {
-        let price = i64::from(tokens) * TOKEN;
-        if price > self.most() {
+        let cost = i64::from(tokens) * TOKEN;
+        if cost > self.capacity() {
             return None;
         }
-        Some(self.at + ((price - self.level).max(0) + self.rate - 1) / self.rate.max(1))
+        Some(self.updated_at + ((cost - self.level).max(0) + self.rate - 1) / self.rate.max(1))
     }
 
-    /// Up to when it has been filled.
-    pub fn at(&self) -> Tenths {
-        self.at
+    /// The time of the last refill.
+    pub fn updated_at(&self) -> Tenths {
+        self.updated_at
     }
 
-    fn most(&self) -> i64 {
+    fn capacity(&self) -> i64 {
         if self.rate == 0 { 0 } else { (self.rate * self.depth).max(TOKEN) }
     }
 
-    fn fill(&mut self, now: Tenths) {
-        let passed = (now - self.at).max(0);
-        self.at = self.at.max(now);
-        // Past a day the bucket is full at any share that it can have.
-        let gained = self.rate.saturating_mul(passed.min(864_000_000));
-        self.level = self.level.saturating_add(gained).min(self.most());
+    fn refill(&mut self, now: Tenths) {
+        let elapsed = (now - self.updated_at).max(0);
+        self.updated_at = self.updated_at.max(now);
+        // The elapsed time is capped at one day, by when the bucket is full at any permitted rate.
+        let added = self.rate.saturating_mul(elapsed.min(864_000_000));
+        self.level = self.level.saturating_add(added).min(self.capacity());
     }
 }
--- a/crates/shared/src/budgets/demand.rs
+++ b/crates/shared/src/budgets/demand.rs
@@ -1,48 +1,48 @@
-//! How much a router could use: what was asked of it lately, with some room.
+//! Demand of a router: the recent request rate plus headroom.
 
 use vetchkeel_membership::Tenths;
 
 use super::Rate;
 
-/// Tokens asked for, counted over spans of one pace.
+/// Tokens requested, counted over windows of one request interval.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Demand {
-    span: Tenths,
-    since: Tenths,
+    window: Tenths,
+    window_start: Tenths,
     tokens: i64,
-    last: Rate,
+    last_rate: Rate,
 }
 
 impl Demand {
-    /// Nothing asked so far.
-    pub fn new(span: Tenths, now: Tenths) -> Demand {
-        Demand { span: span.max(1), since: now, tokens: 0, last: 0 }
+    /// No demand so far.
+    pub fn new(window: Tenths, now: Tenths) -> Demand {
+        Demand { window: window.max(1), window_start: now, tokens: 0, last_rate: 0 }
     }
 
-    /// `tokens` were asked for, given or not.
+    /// Counts a request for `tokens`, whether granted or not.
     pub fn add(&mut self, now: Tenths, tokens: u32) {
-        self.roll(now);
+        self.roll_window(now);
         self.tokens = self.tokens.saturating_add(i64::from(tokens));
     }
 
-    /// What it could use: a quarter more than the larger of the last whole span and the running one.
-    pub fn want(&mut self, now: Tenths) -> Rate {
-        self.roll(now);
-        // A running span counts as at least half a span: the first command of it is not a flood.
-        let running = Self::rate(self.tokens, (now - self.since).max(self.span / 2));
-        self.last.max(running).saturating_mul(5) / 4
+    /// The demand: the larger of the rates of the last complete window and the current one, plus a quarter.
+    pub fn estimate(&mut self, now: Tenths) -> Rate {
+        self.roll_window(now);
+        // The current window counts as at least half a window, so that its first command is not taken for a burst.
+        let current = Self::rate(self.tokens, (now - self.window_start).max(self.window / 2));
+        self.last_rate.max(current).saturating_mul(5) / 4
     }
 
-    fn roll(&mut self, now: Tenths) {
-        let passed = now - self.since;
-        if passed >= self.span {
-            self.last = Self::rate(self.tokens, passed);
+    fn roll_window(&mut self, now: Tenths) {
+        let elapsed = now - self.window_start;
+        if elapsed >= self.window {
+            self.last_rate = Self::rate(self.tokens, elapsed);
             self.tokens = 0;
-            self.since = now;
+            self.window_start = now;
         }
     }
 
-    fn rate(tokens: i64, passed: Tenths) -> Rate {
-        tokens.saturating_mul(10_000_000) / passed.max(1)
+    fn rate(tokens: i64, elapsed: Tenths) -> Rate {
+        tokens.saturating_mul(10_000_000) / elapsed.max(1)
     }
 }
--- a/crates/shared/src/budgets/lender.rs
+++ b/crates/shared/src/budgets/lender.rs
@@ -1,37 +1,38 @@
-//! A lender: lends its home for a time, and never more than its home at once.
+//! A lender: lends its lendable rate for a limited time, and never more than that rate at once.
 
 use std::collections::BTreeMap;
 
 use vetchkeel_membership::{MOST_INSTANCES, Name, Start, Tenths};
 
-use super::{Ask, Grant, Rate, Terms};
+use super::{LoanGrant, LoanRequest, Rate, Terms};
 
-/// Most borrowers that one lender keeps; further ones get nothing until one has been silent for a loan.
+/// Maximum number of borrowers of one lender. Further ones get nothing until one has sent no request for the duration
+/// of a loan.
 pub const MOST_BORROWERS: usize = MOST_INSTANCES;
-/// Most loans to one borrower that may be running at once; at the bound it gets nothing new until one ends.
-const MOST_LOANS: usize = 6;
+/// Maximum number of unexpired loans to one borrower. At the limit it gets no new loan until one expires.
+const MAX_LOANS: usize = 6;
 
-/// A lender's book.
+/// A lender and its outstanding loans.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lender {
     start: Start,
     terms: u32,
-    home: Rate,
-    lent_for: Tenths,
-    /// Until then it may still be lent by an earlier life.
-    quiet_until: Tenths,
-    own: Rate,
-    own_want: Rate,
+    lendable: Rate,
+    duration: Tenths,
+    /// Until then loans of an earlier incarnation may still be outstanding.
+    lends_from: Tenths,
+    own_use: Rate,
+    own_demand: Rate,
     version: u64,
-    borrowers: BTreeMap<Name, Account>,
+    borrowers: BTreeMap<Name, BorrowerState>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Account {
+struct BorrowerState {
     start: Start,
     number: u64,
     want: Rate,
-    heard: Tenths,
+    last_request: Tenths,
     loans: Vec<Loan>,
 }
 
@@ -43,129 +44,147 @@
     until: Tenths,
 }
 
-impl Account {
-    /// The most that this borrower may be acting under: within a life one loan at a time, the lives together.
+impl BorrowerState {
+    /// The most that this borrower may be acting under: one loan at a time within an incarnation, summed over the
+    /// incarnations that `included` accepts.
     ///
-    /// Danger: a new life does not prove that the old process is gone (it may be stopped and wake up), so its loans
-    /// count until they end.
-    fn owed(&self, lives: impl Fn(Start) -> bool) -> Rate {
-        let mut most = BTreeMap::<Start, Rate>::new();
-        for loan in self.loans.iter().filter(|loan| lives(loan.start)) {
-            let rate = most.entry(loan.start).or_default();
+    /// Danger: a new incarnation does not prove that the old process has ended (it may be suspended and resume), so the
+    /// old incarnation's loans count until they expire.
+    fn outstanding(&self, included: impl Fn(Start) -> bool) -> Rate {
+        let mut largest = BTreeMap::<Start, Rate>::new();
+        for loan in self.loans.iter().filter(|loan| included(loan.start)) {
+            let rate = largest.entry(loan.start).or_default();
             *rate = loan.rate.max(*rate);
         }
-        most.values().sum()
+        largest.values().sum()
     }
 }
 
 impl Lender {
-    /// A lender that begins its life now.
+    /// A lender whose incarnation `start` begins at `now`.
     pub fn new(terms: &Terms, me: &Name, start: Start, now: Tenths) -> Lender {
         Lender {
             start,
             terms: terms.version,
-            home: terms.seat(me).home,
-            lent_for: terms.lent_for(),
-            // Danger: loans of an earlier life are not remembered. Lending before they ended would lend twice.
-            quiet_until: now + terms.lent_for(),
-            own: 0,
-            own_want: 0,
+            lendable: terms.allotment(me).lendable,
+            duration: terms.lender_duration(),
+            // Danger: loans of an earlier incarnation are not remembered. Lending before they expire would lend the
+            // same rate twice.
+            lends_from: now + terms.lender_duration(),
+            own_use: 0,
+            own_demand: 0,
             version: 0,
             borrowers: BTreeMap::new(),
         }
     }
 
-    /// Answers an ask, if it is to be answered.
-    pub fn asked(&mut self, now: Tenths, from: &Name, start: Start, ask: &Ask) -> Option<Grant> {
-        self.forget(now);
-        if now < self.quiet_until || ask.terms != self.terms || self.home == 0 {
+    /// Handles a loan request. Returns `None` if it is not to be answered.
+    pub fn handle_request(
+        &mut self,
+        now: Tenths,
+        from: &Name,
+        start: Start,
+        request: &LoanRequest,
+    ) -> Option<LoanGrant> {
+        self.expire(now);
+        if now < self.lends_from || request.terms != self.terms || self.lendable == 0 {
             return None;
         }
         if !self.borrowers.contains_key(from) && self.borrowers.len() >= MOST_BORROWERS {
             return None;
         }
-        let fresh = Account { start, number: 0, want: 0, heard: now, loans: Vec::new() };
-        let account = self.borrowers.entry(from.clone()).or_insert(fresh);
-        if start > account.start {
-            account.start = start;
-            account.number = 0;
+        let fresh = BorrowerState { start, number: 0, want: 0, last_request: now, loans: Vec::new() };
+        let state = self.borrowers.entry(from.clone()).or_insert(fresh);
+        if start > state.start {
+            state.start = start;
+            state.number = 0;
         }
-        // One that came late or twice says what was wanted then; only the newest speaks.
-        if start < account.start || ask.number <= account.number {
+        // A late or duplicate request carries outdated demand; only the newest one counts.
+        if start < state.start || request.number <= state.number {
             return None;
         }
-        account.number = ask.number;
-        account.want = ask.want.max(0);
-        account.heard = now;
-        if ask.holding_of == self.start {
-            account.loans.retain(|loan| loan.start != start || loan.version >= ask.holding);
+        state.number = request.number;
+        state.want = request.want.max(0);
+        state.last_request = now;
+        if request.holding_lender == self.start {
+            state.loans.retain(|loan| loan.start != start || loan.version >= request.holding);
         }
-        if account.loans.len() >= MOST_LOANS {
+        if state.loans.len() >= MAX_LOANS {
             return None;
         }
-        let free = self.free_beside(from, start) - self.own;
-        let rate = self.fair(Some(from)).min(free).max(0);
+        let free = self.available_to(from, start) - self.own_use;
+        let rate = self.fair_share(Some(from)).min(free).max(0);
         self.version += 1;
-        let loan = Loan { start, version: self.version, rate, until: now + self.lent_for };
+        let loan = Loan { start, version: self.version, rate, until: now + self.duration };
         self.borrowers.get_mut(from)?.loans.push(loan);
-        Some(Grant { terms: self.terms, number: ask.number, asked_by: start, version: self.version, rate })
+        Some(LoanGrant {
+            terms: self.terms,
+            number: request.number,
+            borrower_start: start,
+            version: self.version,
+            rate,
+        })
     }
 
-    /// What the lender itself may use of its home when it wants `want`; holds until it is called again.
-    pub fn own(&mut self, now: Tenths, want: Rate) -> Rate {
-        self.forget(now);
-        self.own_want = want.max(0);
-        let owed: Rate = self.borrowers.values().map(|account| account.owed(|_| true)).sum();
-        let free = if now < self.quiet_until { 0 } else { self.home - owed };
-        self.own = self.fair(None).min(free).max(0);
-        self.own
+    /// Reserves what the lender itself may use of its lendable rate when it wants `want`. The returned rate is valid
+    /// until the next call.
+    pub fn reserve(&mut self, now: Tenths, want: Rate) -> Rate {
+        self.expire(now);
+        self.own_demand = want.max(0);
+        let outstanding: Rate = self.borrowers.values().map(|state| state.outstanding(|_| true)).sum();
+        let free = if now < self.lends_from { 0 } else { self.lendable - outstanding };
+        self.own_use = self.fair_share(None).min(free).max(0);
+        self.own_use
     }
 
-    /// When it may lend for the first time.
-    pub fn quiet_until(&self) -> Tenths {
-        self.quiet_until
+    /// When the lender starts to lend.
+    pub fn lends_from(&self) -> Tenths {
+        self.lends_from
     }
 
-    /// What is lent out at most, now.
+    /// The most that may be on loan now.
     pub fn lent(&self) -> Rate {
-        self.borrowers.values().map(|account| account.owed(|_| true)).sum()
+        self.borrowers.values().map(|state| state.outstanding(|_| true)).sum()
     }
 
-    /// How many borrowers are in the book.
-    pub fn borrowers(&self) -> usize {
+    /// The number of borrowers with an entry.
+    pub fn borrower_count(&self) -> usize {
         self.borrowers.len()
     }
 
-    /// What is left of the home if `name` in its life `start` owed nothing.
-    fn free_beside(&self, name: &Name, start: Start) -> Rate {
-        let owed = |(who, account): (&Name, &Account)| account.owed(|life| who != name || life != start);
-        self.home - self.borrowers.iter().map(owed).sum::<Rate>()
+    /// What would be left of the lendable rate if the incarnation `start` of `name` had no loans.
+    fn available_to(&self, name: &Name, start: Start) -> Rate {
+        let outstanding = |(who, state): (&Name, &BorrowerState)| {
+            state.outstanding(|incarnation| who != name || incarnation != start)
+        };
+        self.lendable - self.borrowers.iter().map(outstanding).sum::<Rate>()
     }
 
-    /// The max-min fair part of `who` (the lender itself if none): nobody gets more than it wants, and what the modest
-    /// leave goes to the others evenly.
-    fn fair(&self, who: Option<&Name>) -> Rate {
-        let asking = self.borrowers.iter().map(|(name, account)| (Some(name), account.want));
-        let mut wants: Vec<_> = asking.chain([(None, self.own_want)]).filter(|(_, want)| *want > 0).collect();
+    /// The max-min fair share of `who` (`None` is the lender itself): no one gets more than it wants, and what those
+    /// with low demand leave is divided evenly among the others.
+    fn fair_share(&self, who: Option<&Name>) -> Rate {
+        let borrowers = self.borrowers.iter().map(|(name, state)| (Some(name), state.want));
+        let mut wants: Vec<_> =
+            borrowers.chain([(None, self.own_demand)]).filter(|(_, want)| *want > 0).collect();
         wants.sort_by_key(|(_, want)| *want);
-        let mut left = self.home;
-        let mut others = wants.len() as i64;
+        let mut remaining = self.lendable;
+        let mut claims = wants.len() as i64;
         for (name, want) in wants {
-            let part = want.min(left / others);
+            let share = want.min(remaining / claims);
             if name == who {
-                return part;
+                return share;
             }
-            left -= part;
-            others -= 1;
+            remaining -= share;
+            claims -= 1;
         }
         0
     }
 
-    fn forget(&mut self, now: Tenths) {
-        let silent = self.lent_for;
-        self.borrowers.retain(|_, account| {
-            account.loans.retain(|loan| now < loan.until);
-            !account.loans.is_empty() || now < account.heard + silent
+    fn expire(&mut self, now: Tenths) {
+        let idle_for = self.duration;
+        self.borrowers.retain(|_, state| {
+            state.loans.retain(|loan| now < loan.until);
+            !state.loans.is_empty() || now < state.last_request + idle_for
         });
     }
 }
--- a/crates/shared/src/budgets/terms.rs
+++ b/crates/shared/src/budgets/terms.rs
@@ -1,4 +1,4 @@
-//! How a budget is cut: the same on every router, checked before use.
+//! How a budget is divided among routers: the same on every router, and validated before use.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,136 +7,144 @@
 
 use super::Rate;
 
-/// Most seats of one budget: one for each instance that a fleet may have.
+/// Maximum number of routers in the terms of one budget: one for each instance that a fleet may have.
 pub const MOST_SEATS: usize = MOST_INSTANCES;
-/// Most millionths by which a clock may run fast or slow.
-pub const MOST_DRIFT: i64 = 100_000;
-/// Highest budget, thousandths of a token a second: products with times stay far within 63 bits.
-pub const HIGHEST: Rate = 1_000_000_000_000;
+/// Maximum clock drift in parts per million.
+pub const MAX_DRIFT_PPM: i64 = 100_000;
+/// Maximum budget in thousandths of a token per second, so that products with times stay far below 63 bits.
+pub const MAX_TOTAL: Rate = 1_000_000_000_000;
 
-/// What one router has by the terms.
+/// What the terms give to one router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Seat {
-    /// Always its own, heard or not.
+pub struct Allotment {
+    /// Always available to the router, without any message.
     pub floor: Rate,
-    /// What it lends; 0 for a router that only borrows.
-    pub home: Rate,
+    /// The rate that it lends; 0 for a router that only borrows.
+    pub lendable: Rate,
 }
 
 /// The terms of one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Terms {
-    /// Routers with other terms neither lend to nor borrow from each other.
+    /// Version of the terms. Routers with different versions do not lend to each other.
     pub version: u32,
     total: Rate,
-    seats: BTreeMap<Name, Seat>,
-    length: Tenths,
-    drift: i64,
+    allotments: BTreeMap<Name, Allotment>,
+    loan_duration: Tenths,
+    drift_ppm: i64,
     depth: Tenths,
 }
 
-/// Why terms can't be used.
+/// Why terms are invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BadTerms {
-    /// Floors and homes come to more than the budget.
-    Over {
-        /// What they come to.
+pub enum TermsError {
+    /// The floors and lendable rates add up to more than the budget.
+    AboveBudget {
+        /// Their sum.
         sum: i128,
         /// The budget.
         total: Rate,
     },
-    /// The budget is not within 0 and [`HIGHEST`], or a floor or home is negative.
+    /// The budget is not within 0 and [`MAX_TOTAL`], or a floor or lendable rate is negative or too high.
     Rate(Rate),
-    /// More than [`MOST_SEATS`].
-    Seats(usize),
-    /// A loan lasts between 100 ms and 1 h.
-    Length(Tenths),
-    /// Drift between 0 and [`MOST_DRIFT`] millionths.
+    /// More routers than [`MOST_SEATS`].
+    Allotments(usize),
+    /// The loan duration is not between 100 ms and 1 h.
+    LoanDuration(Tenths),
+    /// The drift is not between 0 and [`MAX_DRIFT_PPM`] parts per million.
     Drift(i64),
-    /// The depth of a bucket is between 0 and the length of a loan.
+    /// The depth of a bucket is not between 0 and the loan duration.
     Depth(Tenths),
 }
 
-impl fmt::Display for BadTerms {
+impl fmt::Display for TermsError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BadTerms::Over { sum, total } => {
-                write!(out, "floors and homes come to {sum}, the budget is {total}")
+            TermsError::AboveBudget { sum, total } => {
+                write!(out, "floors and lendable rates sum to {sum}, above the budget of {total}")
             }
-            BadTerms::Rate(rate) => write!(out, "a rate of {rate}, expected 0 to {HIGHEST}"),
-            BadTerms::Seats(seats) => write!(out, "{seats} seats, expected at most {MOST_SEATS}"),
-            BadTerms::Length(length) => write!(out, "a loan of {length} tenths, expected 1000 to 36000000"),
-            BadTerms::Drift(drift) => {
-                write!(out, "a drift of {drift} millionths, expected 0 to {MOST_DRIFT}")
+            TermsError::Rate(rate) => write!(out, "rate {rate}, expected 0 to {MAX_TOTAL}"),
+            TermsError::Allotments(allotments) => {
+                write!(out, "{allotments} routers in the terms, expected at most {MOST_SEATS}")
             }
-            BadTerms::Depth(depth) => {
-                write!(out, "a depth of {depth} tenths, expected 0 to the length of a loan")
+            TermsError::LoanDuration(loan_duration) => write!(
+                out,
+                "loan duration of {loan_duration} tenths of a millisecond, expected 1000 to 36000000"
+            ),
+            TermsError::Drift(drift_ppm) => {
+                write!(out, "clock drift of {drift_ppm} ppm, expected 0 to {MAX_DRIFT_PPM}")
+            }
+            TermsError::Depth(depth) => {
+                write!(
+                    out,
+                    "bucket depth of {depth} tenths of a millisecond, expected 0 to the loan duration"
+                )
             }
         }
     }
 }
 
-impl std::error::Error for BadTerms {}
+impl std::error::Error for TermsError {}
 
 impl Terms {
-    /// `total` a second over `seats`; a loan lasts `length`; clocks run at most `drift` millionths fast or slow; a bucket
-    /// holds what `depth` of its share brings, and at least one token.
+    /// Divides `total` per second as given by `allotments`. A loan lasts `loan_duration`, clocks drift by at most
+    /// `drift_ppm` parts per million, and a bucket holds the tokens of `depth` at its rate, but at least one token.
     ///
     /// # Errors
-    /// [`BadTerms`], by name.
+    /// [`TermsError`] names the invalid value.
     pub fn new(
         version: u32,
         total: Rate,
-        seats: BTreeMap<Name, Seat>,
-        length: Tenths,
-        drift: i64,
+        allotments: BTreeMap<Name, Allotment>,
+        loan_duration: Tenths,
+        drift_ppm: i64,
         depth: Tenths,
-    ) -> Result<Terms, BadTerms> {
-        let parts = seats.values().flat_map(|seat| [seat.floor, seat.home]);
-        if let Some(bad) = parts.clone().chain([total]).find(|rate| !(0..=HIGHEST).contains(rate)) {
-            return Err(BadTerms::Rate(bad));
+    ) -> Result<Terms, TermsError> {
+        let rates = allotments.values().flat_map(|allotment| [allotment.floor, allotment.lendable]);
+        if let Some(invalid) = rates.clone().chain([total]).find(|rate| !(0..=MAX_TOTAL).contains(rate)) {
+            return Err(TermsError::Rate(invalid));
         }
-        let sum: i128 = parts.map(i128::from).sum();
+        let sum: i128 = rates.map(i128::from).sum();
         if sum > i128::from(total) {
-            return Err(BadTerms::Over { sum, total });
+            return Err(TermsError::AboveBudget { sum, total });
         }
-        if seats.len() > MOST_SEATS {
-            return Err(BadTerms::Seats(seats.len()));
+        if allotments.len() > MOST_SEATS {
+            return Err(TermsError::Allotments(allotments.len()));
         }
-        if !(1_000..=36_000_000).contains(&length) {
-            return Err(BadTerms::Length(length));
+        if !(1_000..=36_000_000).contains(&loan_duration) {
+            return Err(TermsError::LoanDuration(loan_duration));
         }
-        if !(0..=MOST_DRIFT).contains(&drift) {
-            return Err(BadTerms::Drift(drift));
+        if !(0..=MAX_DRIFT_PPM).contains(&drift_ppm) {
+            return Err(TermsError::Drift(drift_ppm));
         }
-        if !(0..=length).contains(&depth) {
-            return Err(BadTerms::Depth(depth));
+        if !(0..=loan_duration).contains(&depth) {
+            return Err(TermsError::Depth(depth));
         }
-        Ok(Terms { version, total, seats, length, drift, depth })
+        Ok(Terms { version, total, allotments, loan_duration, drift_ppm, depth })
     }
 
-    /// Cuts `total` evenly: `floors` hundredths of it as floors over all `names`, the rest as homes over the first
-    /// `lenders` of them.
+    /// Divides `total` evenly: `floor_percent` hundredths of it as floors over all `names`, the rest as lendable rates
+    /// over the first `lenders` of them.
     ///
     /// # Errors
-    /// [`BadTerms`], by name.
+    /// [`TermsError`] names the invalid value.
     pub fn even(
         version: u32,
         total: Rate,
         names: &[Name],
         lenders: usize,
-        floors: i64,
-        length: Tenths,
-    ) -> Result<Terms, BadTerms> {
-        if !(0..=HIGHEST).contains(&total) || !(0..=100).contains(&floors) {
-            return Err(BadTerms::Rate(total));
+        floor_percent: i64,
+        loan_duration: Tenths,
+    ) -> Result<Terms, TermsError> {
+        if !(0..=MAX_TOTAL).contains(&total) || !(0..=100).contains(&floor_percent) {
+            return Err(TermsError::Rate(total));
         }
         let lenders = lenders.clamp(1, names.len().max(1));
-        let floor = total * floors / 100 / names.len().max(1) as i64;
-        let home = (total - floor * names.len() as i64) / lenders as i64;
-        let seat = |at: usize| Seat { floor, home: if at < lenders { home } else { 0 } };
-        let seats = names.iter().enumerate().map(|(at, name)| (name.clone(), seat(at))).collect();
-        Terms::new(version, total, seats, length, 1_000, 1_000.min(length))
+        let floor = total * floor_percent / 100 / names.len().max(1) as i64;
+        let lendable = (total - floor * names.len() as i64) / lenders as i64;
+        let allotment = |at: usize| Allotment { floor, lendable: if at < lenders { lendable } else { 0 } };
+        let allotments = names.iter().enumerate().map(|(at, name)| (name.clone(), allotment(at))).collect();
+        Terms::new(version, total, allotments, loan_duration, 1_000, 1_000.min(loan_duration))
     }
 
     /// The whole budget.
@@ -144,43 +152,44 @@
         self.total
     }
 
-    /// Every seat by name.
-    pub fn seats(&self) -> &BTreeMap<Name, Seat> {
-        &self.seats
+    /// All allotments by router name.
+    pub fn allotments(&self) -> &BTreeMap<Name, Allotment> {
+        &self.allotments
     }
 
-    /// What `name` has; a router without a seat has nothing and may borrow.
-    pub fn seat(&self, name: &Name) -> Seat {
-        self.seats.get(name).copied().unwrap_or_default()
+    /// The allotment of `name`. A router without one has no rate of its own and may borrow.
+    pub fn allotment(&self, name: &Name) -> Allotment {
+        self.allotments.get(name).copied().unwrap_or_default()
     }
 
-    /// Those with something to lend.
+    /// The routers with a lendable rate.
     pub fn lenders(&self) -> impl Iterator<Item = &Name> {
-        self.seats.iter().filter(|(_, seat)| seat.home > 0).map(|(name, _)| name)
+        self.allotments.iter().filter(|(_, allotment)| allotment.lendable > 0).map(|(name, _)| name)
     }
 
-    /// How long a borrower may count on a loan, from when it asked.
-    pub fn borrowed_for(&self) -> Tenths {
-        self.length - self.margin()
+    /// How long a borrower may use a loan, counted from its request.
+    pub fn borrower_duration(&self) -> Tenths {
+        self.loan_duration - self.drift_margin()
     }
 
-    /// How long a lender counts a loan as lent, from when it sent it; also how long it waits after its start.
-    pub fn lent_for(&self) -> Tenths {
-        self.length + self.margin()
+    /// How long a lender counts a loan as outstanding, from when it sent the grant; also how long it waits after its
+    /// start.
+    pub fn lender_duration(&self) -> Tenths {
+        self.loan_duration + self.drift_margin()
     }
 
-    /// Time between two asks.
-    pub fn pace(&self) -> Tenths {
-        self.length / 3
+    /// Time between two requests.
+    pub fn request_interval(&self) -> Tenths {
+        self.loan_duration / 3
     }
 
-    /// What a bucket holds, as time of its share.
+    /// The capacity of a bucket, as the time that fills it at its rate.
     pub fn depth(&self) -> Tenths {
         self.depth
     }
 
-    /// By how much a clock may be off over a loan, rounded up.
-    fn margin(&self) -> Tenths {
-        (self.length * self.drift + 999_999) / 1_000_000
+    /// The largest error of a clock over the duration of a loan, rounded up.
+    fn drift_margin(&self) -> Tenths {
+        (self.loan_duration * self.drift_ppm + 999_999) / 1_000_000
     }
 }
--- a/crates/shared/src/counts.rs
+++ b/crates/shared/src/counts.rs
@@ -1,9 +1,10 @@
-//! How often something happened lately, over all routers: a counter that merges in any order, halves with time, and says
-//! how old its parts are.
+//! Recent event counts over all routers: a counter that merges in any order, decays exponentially with time and reports
+//! the age of its parts.
 //!
-//! Every life of a router keeps a tally of its own and publishes it under a version; of two tallies of one life the higher
-//! version counts, so doubles and late messages change nothing. A tally fades on its holder's clock from the age that it
-//! came with. The time a message was on its way is not in that age: the age told is the least it can be.
+//! Every incarnation of a router keeps a tally of its own and publishes it with a version. Of two tallies of one
+//! incarnation the one with the higher version counts, so duplicate and late messages change nothing. A received tally
+//! decays by the receiver's clock, starting from the age in the message. That age does not include the time in flight,
+//! so it is a lower bound.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,102 +12,105 @@
 use serde::{Deserialize, Serialize};
 use vetchkeel_membership::{Name, Start, Tenths};
 
-use crate::spread::{Spread, some, times};
+use crate::spread::{GossipQueue, random_peers, transmit_limit};
 use crate::wire::{Body, Decision, LONGEST, Message, length};
 
-/// Most tallies kept. At the bound the one heard longest ago goes, never an own one.
+/// Maximum number of tallies kept. At the limit the tally of another router that was updated longest ago is evicted,
+/// never one of this router.
 pub const MOST: usize = 16_384;
-/// Most topics of one router; a further one is not counted, and [`Counts::add`] says so.
+/// Maximum number of topics of one router. Events of a further topic are not counted, and [`Counts::add`] returns
+/// false.
 pub const MOST_TOPICS: usize = 256;
-/// Told to so many in one round.
+/// Number of peers that receive each update round.
 const FANOUT: usize = 2;
-/// A tally loses half in so many ticks, and 62757 / 65536 = 2^(-1/16) is left after each.
-const TICKS: i64 = 16;
-const LEFT: u64 = 62_757;
-/// After so many halvings nothing is left of a tally.
-const HALVINGS: i64 = 20;
-/// Parts of one event.
-const PARTS: u64 = 1_024;
-
-/// What is counted, by the number that all routers of one build give it.
+/// Decay ticks per half-life; 62757 / 65536 = 2^(-1/16) of the value remains after each tick.
+const TICKS_PER_HALF_LIFE: i64 = 16;
+const DECAY_PER_TICK: u64 = 62_757;
+/// After this many half-lives a tally counts as zero.
+const MAX_HALF_LIVES: i64 = 20;
+/// Fixed-point units of one event.
+const UNITS_PER_EVENT: u64 = 1_024;
+
+/// Identifies what is counted, by a number that all routers of one build share.
 pub type Topic = u32;
 
-/// One life's tally of a topic, as it goes over the link.
+/// The tally of one incarnation for a topic, as sent on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
     topic: Topic,
-    of: Name,
+    router: Name,
     start: Start,
     version: u64,
-    /// In 1024ths of an event, at the time of its age.
+    /// In 1024ths of an event, as of `age` ago.
     value: u64,
     age: Tenths,
 }
 
-/// A count over the fleet.
+/// A count over the fleet, for one topic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reading {
-    /// Events, faded.
+    /// Events of all routers, decayed.
     pub total: u64,
-    /// Of these, counted here.
+    /// The part of them counted by this router.
     pub own: u64,
-    /// Live routers whose tally is in it, this one with them.
+    /// Live routers whose tally is included, this one among them.
     pub heard: usize,
-    /// Live routers.
+    /// Number of live routers.
     pub live: usize,
-    /// Age of the oldest part of a live router: at least that.
+    /// Age of the oldest tally of a live router; a lower bound.
     pub oldest: Tenths,
 }
 
 type Key = (Topic, Name, Start);
 
-struct Held {
+struct StoredTally {
     version: u64,
     value: u64,
-    /// When the value was that, on this router's clock.
+    /// When the value was current, by this router's clock.
     at: Tenths,
 }
 
-/// One router's part in the counts.
+/// One router's part in the shared counts.
 pub struct Counts {
     me: Name,
     start: Start,
     tick: Tenths,
     every: Tenths,
     live: BTreeSet<Name>,
-    held: BTreeMap<Key, Held>,
-    spread: Spread<Key>,
-    dirty: BTreeSet<Topic>,
-    next: Tenths,
-    waiting: Vec<(Name, Message)>,
+    held: BTreeMap<Key, StoredTally>,
+    gossip: GossipQueue<Key>,
+    changed: BTreeSet<Topic>,
+    next_round: Tenths,
+    outbox: Vec<(Name, Message)>,
     chance: WyRand,
 }
 
 impl Counts {
-    /// The part of `me` in its life `start`: a count loses half in `half_life`, news goes out `every` so often.
+    /// The counts of `me` in its incarnation `start`. A count halves every `half_life`, and updates are sent `every` so
+    /// often.
     pub fn new(me: Name, start: Start, half_life: Tenths, every: Tenths, now: Tenths, seed: u64) -> Counts {
         Counts {
             live: BTreeSet::from([me.clone()]),
             me,
             start,
-            tick: (half_life / TICKS).max(1),
+            tick: (half_life / TICKS_PER_HALF_LIFE).max(1),
             every: every.max(1),
             held: BTreeMap::new(),
-            spread: Spread::new(),
-            dirty: BTreeSet::new(),
-            next: now + every.max(1),
-            waiting: Vec::new(),
+            gossip: GossipQueue::new(),
+            changed: BTreeSet::new(),
+            next_round: now + every.max(1),
+            outbox: Vec::new(),
             chance: WyRand::new_seed(seed),
         }
     }
 
-    /// Who is there, by the membership.
+    /// Sets the live routers according to the membership.
     pub fn live(&mut self, mut live: BTreeSet<Name>) {
         live.insert(self.me.clone());
         self.live = live;
     }
 
-    /// It happened `times` times. False if there is no room for a further topic.
+    /// Counts `times` events of `topic`. Returns false if there is no room for a further topic.
     pub fn add(&mut self, now: Tenths, topic: Topic, times: u32) -> bool {
         let key = (topic, self.me.clone(), self.start);
         let topics = self.held.keys().filter(|key| key.1 == self.me && key.2 == self.start).count();
@@ -114,16 +118,16 @@
             return false;
         }
         let tick = self.tick;
-        let held = self.held.entry(key).or_insert(Held { version: 0, value: 0, at: now });
-        // Whole ticks only, so that what is left over fades with the next ones.
-        let passed = (now - held.at).max(0) / tick;
-        held.value = faded(held.value, passed).saturating_add(u64::from(times) * PARTS);
-        held.at += passed * tick;
-        self.dirty.insert(topic);
+        let held = self.held.entry(key).or_insert(StoredTally { version: 0, value: 0, at: now });
+        // Advance by whole ticks only, so that the remainder decays with the next ones.
+        let elapsed = (now - held.at).max(0) / tick;
+        held.value = decayed(held.value, elapsed).saturating_add(u64::from(times) * UNITS_PER_EVENT);
+        held.at += elapsed * tick;
+        self.changed.insert(topic);
         true
     }
 
-    /// A message has come. False if it was not for this part.
+    /// Handles a received message. Returns false if the message is not for this module.
     pub fn heard(&mut self, now: Tenths, message: &Message) -> bool {
         let Body::Counts(tallies) = &message.body else { return false };
         for tally in tallies {
@@ -132,111 +136,112 @@
         true
     }
 
-    /// The count of `topic` as far as it is known here.
+    /// The count of `topic`, from the tallies known to this router.
     pub fn read(&self, now: Tenths, topic: Topic) -> Reading {
         let mut reading = Reading { total: 0, own: 0, heard: 0, live: self.live.len(), oldest: 0 };
         let mut heard = BTreeSet::new();
-        let nobody = (topic, self.me.clone(), self.start);
-        let from = self.held.range(..).filter(|(key, _)| key.0 == nobody.0);
-        for ((_, of, _), held) in from {
-            let value = faded(held.value, (now - held.at).max(0) / self.tick);
+        let own_key = (topic, self.me.clone(), self.start);
+        let from = self.held.range(..).filter(|(key, _)| key.0 == own_key.0);
+        for ((_, router, _), held) in from {
+            let value = decayed(held.value, (now - held.at).max(0) / self.tick);
             reading.total += value;
-            if *of == self.me {
+            if *router == self.me {
                 reading.own += value;
             }
-            if self.live.contains(of) {
-                heard.insert(of);
-                let age = if *of == self.me { 0 } else { now - held.at };
+            if self.live.contains(router) {
+                heard.insert(router);
+                let age = if *router == self.me { 0 } else { now - held.at };
                 reading.oldest = reading.oldest.max(age);
             }
         }
         reading.heard = heard.len();
-        reading.total = (reading.total + PARTS / 2) / PARTS;
-        reading.own = (reading.own + PARTS / 2) / PARTS;
+        reading.total = (reading.total + UNITS_PER_EVENT / 2) / UNITS_PER_EVENT;
+        reading.own = (reading.own + UNITS_PER_EVENT / 2) / UNITS_PER_EVENT;
         reading
     }
 
-    /// The next thing to do, until none is left.
+    /// The next decision; the host calls this until it returns `None`.
     pub fn next_decision(&mut self, now: Tenths) -> Option<Decision> {
-        if now >= self.next {
-            self.next = now + self.every;
+        if now >= self.next_round {
+            self.next_round = now + self.every;
             self.publish(now);
         }
-        self.waiting.pop().map(|(to, message)| Decision::Send { to, message })
+        self.outbox.pop().map(|(to, message)| Decision::Send { to, message })
     }
 
-    /// When to come back if nothing is heard before.
+    /// When to call [`Counts::next_decision`] again if no message arrives before.
     pub fn wake_at(&self) -> Tenths {
-        self.next
+        self.next_round
     }
 
     fn publish(&mut self, now: Tenths) {
-        let (tick, gone) = (self.tick, TICKS * HALVINGS);
-        let (held, spread) = (&mut self.held, &mut self.spread);
+        let (tick, expired_after) = (self.tick, TICKS_PER_HALF_LIFE * MAX_HALF_LIVES);
+        let (held, gossip) = (&mut self.held, &mut self.gossip);
         held.retain(|key, held| {
-            let kept = (now - held.at) / tick < gone;
-            if !kept {
-                spread.drop(key);
+            let keep = (now - held.at) / tick < expired_after;
+            if !keep {
+                gossip.remove(key);
             }
-            kept
+            keep
         });
-        for topic in std::mem::take(&mut self.dirty) {
+        for topic in std::mem::take(&mut self.changed) {
             let key = (topic, self.me.clone(), self.start);
             if let Some(held) = self.held.get_mut(&key) {
                 held.version += 1;
-                self.spread.renew(key);
+                self.gossip.push(key);
             }
         }
-        if self.spread.is_empty() {
+        if self.gossip.is_empty() {
             return;
         }
         let mut message =
             Message { from: self.me.clone(), start: self.start, body: Body::Counts(Vec::new()) };
         let room = (LONGEST - 4).saturating_sub(length(&message));
-        let times = times(self.live.len());
+        let limit = transmit_limit(self.live.len());
         let held = &self.held;
-        let picked =
-            self.spread.pick(room, times, |key| tally(key, held, now).map_or(0, |tally| length(&tally)));
-        message.body = Body::Counts(picked.iter().filter_map(|key| tally(key, held, now)).collect());
-        for to in some(&self.live, &self.me, FANOUT, &mut self.chance) {
-            self.waiting.push((to, message.clone()));
+        let selected =
+            self.gossip.select(room, limit, |key| tally(key, held, now).map_or(0, |tally| length(&tally)));
+        message.body = Body::Counts(selected.iter().filter_map(|key| tally(key, held, now)).collect());
+        for to in random_peers(&self.live, &self.me, FANOUT, &mut self.chance) {
+            self.outbox.push((to, message.clone()));
         }
     }
 
     fn merge(&mut self, now: Tenths, tally: &Tally) {
-        let key = (tally.topic, tally.of.clone(), tally.start);
-        // Danger: an own tally that comes back is never newer than what is counted here.
-        if tally.of == self.me && tally.start == self.start {
+        let key = (tally.topic, tally.router.clone(), tally.start);
+        // Danger: a tally of this incarnation that peers send back is never newer than the local one.
+        if tally.router == self.me && tally.start == self.start {
             return;
         }
         if self.held.get(&key).is_some_and(|held| held.version >= tally.version) {
             return;
         }
-        let at = now - tally.age.clamp(0, self.tick * TICKS * HALVINGS);
+        let at = now - tally.age.clamp(0, self.tick * TICKS_PER_HALF_LIFE * MAX_HALF_LIVES);
         if !self.held.contains_key(&key) && self.held.len() >= MOST {
             let others = self.held.iter().filter(|(key, _)| key.1 != self.me);
             let Some(oldest) = others.min_by_key(|(_, held)| held.at).map(|(key, _)| key.clone()) else {
                 return;
             };
             self.held.remove(&oldest);
-            self.spread.drop(&oldest);
+            self.gossip.remove(&oldest);
         }
-        self.held.insert(key.clone(), Held { version: tally.version, value: tally.value, at });
-        self.spread.renew(key);
+        self.held.insert(key.clone(), StoredTally { version: tally.version, value: tally.value, at });
+        self.gossip.push(key);
     }
 }
 
-fn tally(key: &Key, held: &BTreeMap<Key, Held>, now: Tenths) -> Option<Tally> {
-    let Held { version, value, at } = *held.get(key)?;
-    let (topic, of, start) = key.clone();
-    Some(Tally { topic, of, start, version, value, age: (now - at).max(0) })
+fn tally(key: &Key, held: &BTreeMap<Key, StoredTally>, now: Tenths) -> Option<Tally> {
+    let StoredTally { version, value, at } = *held.get(key)?;
+    let (topic, router, start) = key.clone();
+    Some(Tally { topic, router, start, version, value, age: (now - at).max(0) })
 }
 
-/// What is left of `value` after `ticks`.
-fn faded(value: u64, ticks: i64) -> u64 {
-    if ticks >= TICKS * HALVINGS {
+/// The value that remains of `value` after `ticks`.
+fn decayed(value: u64, ticks: i64) -> u64 {
+    if ticks >= TICKS_PER_HALF_LIFE * MAX_HALF_LIVES {
         return 0;
     }
-    let halved = value >> (ticks / TICKS);
-    (0..ticks % TICKS).fold(halved, |left, _| ((u128::from(left) * u128::from(LEFT)) >> 16) as u64)
+    let halved = value >> (ticks / TICKS_PER_HALF_LIFE);
+    (0..ticks % TICKS_PER_HALF_LIFE)
+        .fold(halved, |remaining, _| ((u128::from(remaining) * u128::from(DECAY_PER_TICK)) >> 16) as u64)
 }
--- a/crates/shared/src/judgements.rs
+++ b/crates/shared/src/judgements.rs
@@ -1,8 +1,9 @@
-//! What routers hold against a database member, and when that counts for all.
+//! Failure evidence of routers against a database member, and when it marks the member down for the whole fleet.
 //!
-//! A judgement is one router's, about one life of a member, and expires. A member is dark for the fleet only while more
-//! than a told part of the electorate holds against its present life: a minority never darkens it for the rest. What was
-//! held against an earlier life dies with it.
+//! A judgement is the evidence of one router about one incarnation of a member, and expires. A member is down for the
+//! fleet only while more than a configured fraction of the electorate has evidence against its present incarnation, so
+//! that a minority never marks it down for the others. Evidence against an earlier incarnation is dropped with that
+//! incarnation.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,37 +11,38 @@
 use serde::{Deserialize, Serialize};
 use vetchkeel_membership::{Name, Start, Tenths};
 
-use crate::spread::{Spread, some, times};
+use crate::spread::{GossipQueue, random_peers, transmit_limit};
 use crate::wire::{Body, Decision, LONGEST, Message, length};
 
-/// Most judgements kept. At the bound one of another router is not taken; an own one always is.
+/// Maximum number of judgements kept. At the limit a new one of another router is rejected; those of this router are
+/// always kept.
 pub const MOST: usize = 65_536;
-/// Most members whose life is remembered, above 4,900; at the bound a further one is not, and its judgements count by
-/// their own start.
+/// Maximum number of members whose incarnation is remembered, chosen above 4,900 members. At the limit a further
+/// member's incarnation is not remembered, and judgements about it count for the incarnation they name.
 pub const MOST_MEMBERS: usize = 8_192;
-/// Told to so many in one round.
+/// Number of peers that receive each update round.
 const FANOUT: usize = 3;
 
-/// One router's judgement, as it goes over the link.
+/// The judgement of one router, as sent on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Judgement {
     /// The member.
     pub member: Name,
-    /// Its life, as it tells itself.
+    /// The member's incarnation, as reported by the member.
     pub member_start: u64,
-    /// Who holds it.
+    /// The router that made the judgement.
     pub observer: Name,
-    /// In which life.
+    /// The observer's incarnation.
     pub observer_start: Start,
-    /// Grows with each judgement of one life of the observer.
+    /// Version of the judgement; grows with each judgement of one incarnation of the observer.
     pub version: u64,
-    /// Against the member; false takes it back.
+    /// Whether the observer considers the member failed; false withdraws an earlier judgement.
     pub against: bool,
-    /// How long it still counts.
-    pub left: Tenths,
+    /// The remaining time to live.
+    pub ttl: Tenths,
 }
 
-/// More than `of` / `in_all` of the electorate must agree.
+/// A quorum: more than `of` / `in_all` of the electorate must agree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
     /// Numerator.
@@ -49,59 +51,59 @@
     pub in_all: usize,
 }
 
-/// The terms of judging.
+/// The rules by which judgements mark a member down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rules {
-    /// The part that must be passed: at least one half.
+    /// The fraction that must be exceeded; at least one half.
     pub part: Part,
-    /// How long a judgement counts unless it is repeated.
+    /// Time to live of a judgement unless it is repeated.
     pub lasts: Tenths,
-    /// How long a router that is gone still belongs to the electorate.
+    /// How long a departed router still counts in the electorate.
     ///
-    /// Danger: a router cut off with a few others sees all the rest die. If the electorate shrank with its view, the few
-    /// would be a majority of themselves at once.
+    /// Danger: a router that is partitioned with a few others sees all the rest as dead. If the electorate shrank with
+    /// its view, this minority would at once be a majority of its own view.
     pub lingers: Tenths,
-    /// Time between two rounds of news.
+    /// Time between two update rounds.
     pub every: Tenths,
 }
 
-/// Rules that can't be used: the part is below one half or not below one, or a time is not above zero.
+/// Invalid rules: the fraction is below one half or not below one, or a time is not above zero.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BadRules;
+pub struct InvalidRules;
 
-impl std::fmt::Display for BadRules {
+impl std::fmt::Display for InvalidRules {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(out, "expected a part of at least one half and below one, and times above zero")
+        write!(out, "expected a quorum fraction of at least one half and below one, and times above zero")
     }
 }
 
-impl std::error::Error for BadRules {}
+impl std::error::Error for InvalidRules {}
 
-/// What is held against a member.
+/// The result of all judgements about one incarnation of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verdict {
-    /// Does it count for all?
+    /// Whether the member is down for the whole fleet.
     pub dark: bool,
-    /// Routers of the electorate that hold against it.
+    /// Number of routers of the electorate with unexpired evidence against it.
     pub against: usize,
-    /// The electorate.
+    /// Size of the electorate.
     pub electorate: usize,
 }
 
-/// Something that changed, or is to be sent.
+/// A message to send or a change of a member's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ruling {
-    /// Send it.
+    /// Send a message.
     Send(Decision),
-    /// The member in this life is dark from now on.
+    /// The incarnation of the member is down from now on.
     Dark(Name, u64),
-    /// It is not any more.
+    /// The incarnation of the member is no longer down.
     Light(Name, u64),
 }
 
 type Key = (Name, Name);
 
-struct Held {
+struct StoredJudgement {
     member_start: u64,
     observer_start: Start,
     version: u64,
@@ -109,37 +111,43 @@
     until: Tenths,
 }
 
-/// One router's part in judging.
+/// One router's part in the shared judgements.
 pub struct Judgements {
     me: Name,
     start: Start,
     rules: Rules,
     version: u64,
-    /// Who belongs to the electorate; those that are gone, since when.
+    /// The electorate, with the time of departure of routers that are no longer live.
     electorate: BTreeMap<Name, Option<Tenths>>,
     live: BTreeSet<Name>,
-    /// By member, then observer.
-    held: BTreeMap<Name, BTreeMap<Name, Held>>,
-    kept: usize,
-    /// Members whose verdict may have changed.
-    unsettled: BTreeSet<Name>,
-    lives: BTreeMap<Name, u64>,
+    /// The judgements by member and then observer.
+    held: BTreeMap<Name, BTreeMap<Name, StoredJudgement>>,
+    count: usize,
+    /// Members whose verdict must be evaluated again.
+    to_evaluate: BTreeSet<Name>,
+    incarnations: BTreeMap<Name, u64>,
     dark: BTreeSet<(Name, u64)>,
-    spread: Spread<Key>,
-    next: Tenths,
-    waiting: Vec<Ruling>,
+    gossip: GossipQueue<Key>,
+    next_round: Tenths,
+    outbox: Vec<Ruling>,
     chance: WyRand,
 }
 
 impl Judgements {
-    /// The part of `me` in its life `start`.
+    /// The judgements of `me` in its incarnation `start`.
     ///
     /// # Errors
-    /// [`BadRules`].
-    pub fn new(me: Name, start: Start, rules: Rules, now: Tenths, seed: u64) -> Result<Judgements, BadRules> {
+    /// [`InvalidRules`] if the rules are invalid.
+    pub fn new(
+        me: Name,
+        start: Start,
+        rules: Rules,
+        now: Tenths,
+        seed: u64,
+    ) -> Result<Judgements, InvalidRules> {
         let Rules { part, lasts, lingers, every } = rules;
         if 2 * part.of < part.in_all || part.of >= part.in_all || lasts <= 0 || lingers <= 0 || every <= 0 {
-            return Err(BadRules);
+            return Err(InvalidRules);
         }
         Ok(Judgements {
             electorate: BTreeMap::from([(me.clone(), None)]),
@@ -149,24 +157,24 @@
             rules,
             version: 0,
             held: BTreeMap::new(),
-            kept: 0,
-            unsettled: BTreeSet::new(),
-            lives: BTreeMap::new(),
+            count: 0,
+            to_evaluate: BTreeSet::new(),
+            incarnations: BTreeMap::new(),
             dark: BTreeSet::new(),
-            spread: Spread::new(),
-            next: now + every,
-            waiting: Vec::new(),
+            gossip: GossipQueue::new(),
+            next_round: now + every,
+            outbox: Vec::new(),
             chance: WyRand::new_seed(seed),
         })
     }
 
-    /// Who is there, by the membership.
+    /// Sets the live routers according to the membership.
     pub fn live(&mut self, now: Tenths, mut live: BTreeSet<Name>) {
         live.insert(self.me.clone());
-        for (name, gone) in &mut self.electorate {
-            match (live.contains(name), &gone) {
-                (true, _) => *gone = None,
-                (false, None) => *gone = Some(now),
+        for (name, departed) in &mut self.electorate {
+            match (live.contains(name), &departed) {
+                (true, _) => *departed = None,
+                (false, None) => *departed = Some(now),
                 (false, Some(_)) => {}
             }
         }
@@ -174,172 +182,183 @@
             self.electorate.entry(name.clone()).or_insert(None);
         }
         self.live = live;
-        self.unsettled.extend(self.held.keys().cloned());
+        self.to_evaluate.extend(self.held.keys().cloned());
     }
 
-    /// One that said that it goes no longer belongs to the electorate.
-    pub fn left(&mut self, name: &Name) {
+    /// Removes a router that has announced its departure from the electorate.
+    pub fn remove_router(&mut self, name: &Name) {
         if *name != self.me {
             self.electorate.remove(name);
-            self.unsettled.extend(self.held.keys().cloned());
+            self.to_evaluate.extend(self.held.keys().cloned());
         }
     }
 
-    /// This router has seen the member in this life itself: what is held against earlier ones is dropped.
+    /// Records that this router has seen this incarnation of the member itself. Judgements about earlier incarnations
+    /// are dropped.
     pub fn seen(&mut self, member: &Name, member_start: u64) {
-        if !self.lives.contains_key(member) && self.lives.len() >= MOST_MEMBERS {
+        if !self.incarnations.contains_key(member) && self.incarnations.len() >= MOST_MEMBERS {
             return;
         }
-        let life = self.lives.entry(member.clone()).or_insert(member_start);
-        *life = member_start.max(*life);
-        let life = *life;
-        self.drop_where(|of, _, held| of == member && held.member_start < life);
+        let incarnation = self.incarnations.entry(member.clone()).or_insert(member_start);
+        *incarnation = member_start.max(*incarnation);
+        let incarnation = *incarnation;
+        self.remove_where(|of, _, held| of == member && held.member_start < incarnation);
     }
 
-    /// This router judges, or takes it back. To keep a judgement it is repeated before it expires.
+    /// Records or withdraws this router's judgement. To stay in effect, it must be repeated before it expires.
     pub fn judge(&mut self, now: Tenths, member: &Name, member_start: u64, against: bool) {
-        if self.lives.get(member).is_some_and(|life| *life > member_start) {
+        if self.incarnations.get(member).is_some_and(|incarnation| *incarnation > member_start) {
             return;
         }
         self.version += 1;
         let key = (member.clone(), self.me.clone());
         let until = now + self.rules.lasts;
         let (observer_start, version) = (self.start, self.version);
-        self.keep(key, Held { member_start, observer_start, version, against, until });
+        self.store(key, StoredJudgement { member_start, observer_start, version, against, until });
     }
 
-    /// A message has come. False if it was not for this part.
+    /// Handles a received message. Returns false if the message is not for this module.
     pub fn heard(&mut self, now: Tenths, message: &Message) -> bool {
         let Body::Judgements(judgements) = &message.body else { return false };
         for judgement in judgements {
-            self.take(now, judgement);
+            self.merge(now, judgement);
         }
         true
     }
 
-    /// What is held against a life of a member.
+    /// The verdict on one incarnation of a member.
     pub fn verdict(&self, now: Tenths, member: &Name, member_start: u64) -> Verdict {
         let electorate = self.electorate.len();
-        let against = self.of_member(member).filter(|(observer, held)| {
+        let against = self.judgements_of(member).filter(|(observer, held)| {
             held.against
                 && now < held.until
                 && held.member_start == member_start
                 && self.electorate.contains_key(*observer)
         });
         let against = against.count();
-        // One alone never decides for a fleet, not even for a fleet of one: it has its own breakers.
+        // A single router never decides for the fleet, not even for a fleet of one router, which has its own circuit
+        // breakers.
         let dark = against >= 2 && against * self.rules.part.in_all > electorate * self.rules.part.of;
         Verdict { dark, against, electorate }
     }
 
-    /// The next thing to do, until none is left.
+    /// The next output; the host calls this until it returns `None`.
     pub fn next_decision(&mut self, now: Tenths) -> Option<Ruling> {
-        if now >= self.next {
-            self.next = now + self.rules.every;
+        if now >= self.next_round {
+            self.next_round = now + self.rules.every;
             self.publish(now);
-            // What expires without a word is found here.
-            self.unsettled.extend(self.dark.iter().map(|(member, _)| member.clone()));
+            // Judgements that expired without a message are found here.
+            self.to_evaluate.extend(self.dark.iter().map(|(member, _)| member.clone()));
             let (before, lingers) = (self.electorate.len(), self.rules.lingers);
-            self.electorate.retain(|_, gone| gone.is_none_or(|since| now < since + lingers));
+            self.electorate.retain(|_, departed| departed.is_none_or(|since| now < since + lingers));
             if before != self.electorate.len() {
-                self.unsettled.extend(self.held.keys().cloned());
+                self.to_evaluate.extend(self.held.keys().cloned());
             }
         }
-        while let Some(member) = self.unsettled.pop_first() {
-            self.rule(now, &member);
+        while let Some(member) = self.to_evaluate.pop_first() {
+            self.evaluate(now, &member);
         }
-        self.waiting.pop()
+        self.outbox.pop()
     }
 
-    /// When to come back if nothing is heard before.
+    /// When to call [`Judgements::next_decision`] again if no message arrives before.
     pub fn wake_at(&self) -> Tenths {
-        self.next
+        self.next_round
     }
 
-    fn of_member<'a>(&'a self, member: &Name) -> impl Iterator<Item = (&'a Name, &'a Held)> {
+    fn judgements_of<'a>(&'a self, member: &Name) -> impl Iterator<Item = (&'a Name, &'a StoredJudgement)> {
         self.held.get(member).into_iter().flatten()
     }
 
-    /// Compares what is dark with what was.
-    fn rule(&mut self, now: Tenths, member: &Name) {
+    /// Emits the changes between the present and the last verdicts on the incarnations of `member`.
+    fn evaluate(&mut self, now: Tenths, member: &Name) {
         let against =
-            self.of_member(member).filter(|(_, held)| held.against).map(|(_, held)| held.member_start);
-        let mut lives: BTreeSet<u64> = against.collect();
-        lives.extend(self.dark.iter().filter(|(of, _)| of == member).map(|(_, life)| *life));
-        for life in lives {
-            let dark = self.verdict(now, member, life).dark;
-            let of = (member.clone(), life);
+            self.judgements_of(member).filter(|(_, held)| held.against).map(|(_, held)| held.member_start);
+        let mut incarnations: BTreeSet<u64> = against.collect();
+        incarnations
+            .extend(self.dark.iter().filter(|(of, _)| of == member).map(|(_, incarnation)| *incarnation));
+        for incarnation in incarnations {
+            let dark = self.verdict(now, member, incarnation).dark;
+            let of = (member.clone(), incarnation);
             if dark && self.dark.insert(of.clone()) {
-                self.waiting.push(Ruling::Dark(of.0, life));
+                self.outbox.push(Ruling::Dark(of.0, incarnation));
             } else if !dark && self.dark.remove(&of) {
-                self.waiting.push(Ruling::Light(of.0, life));
+                self.outbox.push(Ruling::Light(of.0, incarnation));
             }
         }
     }
 
-    fn keep(&mut self, key: Key, held: Held) {
-        self.unsettled.insert(key.0.clone());
-        self.kept +=
+    fn store(&mut self, key: Key, held: StoredJudgement) {
+        self.to_evaluate.insert(key.0.clone());
+        self.count +=
             usize::from(self.held.entry(key.0.clone()).or_default().insert(key.1.clone(), held).is_none());
-        self.spread.renew(key);
+        self.gossip.push(key);
     }
 
-    fn drop_where(&mut self, drops: impl Fn(&Name, &Name, &Held) -> bool) {
-        let (spread, unsettled, kept) = (&mut self.spread, &mut self.unsettled, &mut self.kept);
+    fn remove_where(&mut self, matches: impl Fn(&Name, &Name, &StoredJudgement) -> bool) {
+        let (gossip, to_evaluate, count) = (&mut self.gossip, &mut self.to_evaluate, &mut self.count);
         self.held.retain(|member, by| {
             by.retain(|observer, held| {
-                let dropped = drops(member, observer, held);
-                if dropped {
-                    *kept -= 1;
-                    spread.drop(&(member.clone(), observer.clone()));
-                    unsettled.insert(member.clone());
+                let removed = matches(member, observer, held);
+                if removed {
+                    *count -= 1;
+                    gossip.remove(&(member.clone(), observer.clone()));
+                    to_evaluate.insert(member.clone());
                 }
-                !dropped
+                !removed
             });
             !by.is_empty()
         });
     }
 
     fn publish(&mut self, now: Tenths) {
-        // An expired one is kept for as long again: a late message must not bring it back.
+        // An expired judgement is kept for its time to live once more, so that a late message does not restore it.
         let lasts = self.rules.lasts;
-        self.drop_where(|_, _, held| now >= held.until + lasts);
-        if self.spread.is_empty() {
+        self.remove_where(|_, _, held| now >= held.until + lasts);
+        if self.gossip.is_empty() {
             return;
         }
         let mut message =
             Message { from: self.me.clone(), start: self.start, body: Body::Judgements(Vec::new()) };
         let room = (LONGEST - 4).saturating_sub(length(&message));
         let held = &self.held;
-        let takes = |key: &Key| judgement(key, held, now).map_or(0, |judgement| length(&judgement));
-        let picked = self.spread.pick(room, times(self.live.len()), takes);
-        message.body = Body::Judgements(picked.iter().filter_map(|key| judgement(key, held, now)).collect());
-        for to in some(&self.live, &self.me, FANOUT, &mut self.chance) {
-            self.waiting.push(Ruling::Send(Decision::Send { to, message: message.clone() }));
+        let encoded_len = |key: &Key| judgement(key, held, now).map_or(0, |judgement| length(&judgement));
+        let selected = self.gossip.select(room, transmit_limit(self.live.len()), encoded_len);
+        message.body =
+            Body::Judgements(selected.iter().filter_map(|key| judgement(key, held, now)).collect());
+        for to in random_peers(&self.live, &self.me, FANOUT, &mut self.chance) {
+            self.outbox.push(Ruling::Send(Decision::Send { to, message: message.clone() }));
         }
     }
 
-    fn take(&mut self, now: Tenths, told: &Judgement) {
-        if told.observer == self.me
-            || self.lives.get(&told.member).is_some_and(|life| *life > told.member_start)
+    fn merge(&mut self, now: Tenths, received: &Judgement) {
+        if received.observer == self.me
+            || self
+                .incarnations
+                .get(&received.member)
+                .is_some_and(|incarnation| *incarnation > received.member_start)
         {
             return;
         }
-        let key = (told.member.clone(), told.observer.clone());
-        let age = |held: &Held| (held.observer_start, held.version);
+        let key = (received.member.clone(), received.observer.clone());
+        let age = |held: &StoredJudgement| (held.observer_start, held.version);
         match self.held.get(&key.0).and_then(|by| by.get(&key.1)) {
-            Some(held) if age(held) >= (told.observer_start, told.version) => return,
-            None if self.kept >= MOST => return,
+            Some(held) if age(held) >= (received.observer_start, received.version) => return,
+            None if self.count >= MOST => return,
             _ => {}
         }
-        let until = now + told.left.clamp(0, self.rules.lasts);
-        let Judgement { member_start, observer_start, version, against, .. } = *told;
-        self.keep(key, Held { member_start, observer_start, version, against, until });
+        let until = now + received.ttl.clamp(0, self.rules.lasts);
+        let Judgement { member_start, observer_start, version, against, .. } = *received;
+        self.store(key, StoredJudgement { member_start, observer_start, version, against, until });
     }
 }
 
-fn judgement(key: &Key, held: &BTreeMap<Name, BTreeMap<Name, Held>>, now: Tenths) -> Option<Judgement> {
-    // One that has expired is told to nobody.
+fn judgement(
+    key: &Key,
+    held: &BTreeMap<Name, BTreeMap<Name, StoredJudgement>>,
+    now: Tenths,
+) -> Option<Judgement> {
+    // Expired judgements are not sent.
     let held = held.get(&key.0)?.get(&key.1).filter(|held| now < held.until)?;
     Some(Judgement {
         member: key.0.clone(),
@@ -348,6 +367,6 @@
         observer_start: held.observer_start,
         version: held.version,
         against: held.against,
-        left: (held.until - now).max(0),
+        ttl: (held.until - now).max(0),
     })
 }
--- a/crates/shared/src/lib.rs
+++ b/crates/shared/src/lib.rs
@@ -1,10 +1,11 @@
-//! What the routers of a fleet share over the membership's view. Each part is a state machine of its own without I/O:
-//! times are told, decisions are pulled, and equal events give equal decisions.
+//! Signals shared between the routers of a fleet, on top of the membership view. Each module is a state machine of its
+//! own without I/O: the host passes in the time and messages and polls for decisions, and equal inputs give equal
+//! decisions.
 //!
-//! - [`budgets`]: tokens a second for the whole fleet, never passed.
-//! - [`counts`]: how often something happened lately, over all routers, and how old the answer is.
-//! - [`judgements`]: what routers hold against a database member, and when that counts for all.
-//! - [`turns`]: who does next what only one should do.
+//! - [`budgets`]: a limit in tokens per second for the whole fleet that is never exceeded.
+//! - [`counts`]: recent event counts over all routers, with the age of the data.
+//! - [`judgements`]: failure evidence of routers against a database member, and when a quorum marks it down.
+//! - [`turns`]: which router acts next where only one should, such as for a probe.
 
 pub mod budgets;
 pub mod counts;
--- a/crates/shared/src/spread.rs
+++ b/crates/shared/src/spread.rs
@@ -1,31 +1,33 @@
-//! What goes along with the next message: the least told first, each so many times, and to whom.
+//! Selects the updates to gossip in the next message and the peers to send it to. Updates sent least often go first,
+//! and each is sent a limited number of times.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use nanorand::{Rng, WyRand};
 use vetchkeel_membership::Name;
 
-/// Keys that are still to be told. One entry a key, so bounded by what is kept.
-pub(crate) struct Spread<K> {
-    told: BTreeMap<K, u32>,
+/// Keys of updates that are still to be sent. Holds one entry per key, so its size is bounded by the number of entries
+/// that the owner keeps.
+pub(crate) struct GossipQueue<K> {
+    sent: BTreeMap<K, u32>,
     order: BTreeSet<(u32, K)>,
 }
 
-impl<K: Ord + Clone> Spread<K> {
-    pub(crate) fn new() -> Spread<K> {
-        Spread { told: BTreeMap::new(), order: BTreeSet::new() }
+impl<K: Ord + Clone> GossipQueue<K> {
+    pub(crate) fn new() -> GossipQueue<K> {
+        GossipQueue { sent: BTreeMap::new(), order: BTreeSet::new() }
     }
 
-    /// There is news about `key`.
-    pub(crate) fn renew(&mut self, key: K) {
-        self.drop(&key);
-        self.told.insert(key.clone(), 0);
+    /// Queues the changed entry of `key`, with its send count reset.
+    pub(crate) fn push(&mut self, key: K) {
+        self.remove(&key);
+        self.sent.insert(key.clone(), 0);
         self.order.insert((0, key));
     }
 
-    pub(crate) fn drop(&mut self, key: &K) {
-        if let Some(told) = self.told.remove(key) {
-            self.order.remove(&(told, key.clone()));
+    pub(crate) fn remove(&mut self, key: &K) {
+        if let Some(sent) = self.sent.remove(key) {
+            self.order.remove(&(sent, key.clone()));
         }
     }
 
@@ -33,36 +35,42 @@
         self.order.is_empty()
     }
 
-    /// The least told, as long as `takes` of all leave `room`; each is given up after `times`.
-    pub(crate) fn pick(&mut self, mut room: usize, times: u32, takes: impl Fn(&K) -> usize) -> Vec<K> {
-        let mut picked = Vec::new();
+    /// Selects the keys sent least often whose encoded lengths, given by `encoded_len`, fit into `room` bytes. A key is
+    /// dropped after `limit` transmissions.
+    pub(crate) fn select(
+        &mut self,
+        mut room: usize,
+        limit: u32,
+        encoded_len: impl Fn(&K) -> usize,
+    ) -> Vec<K> {
+        let mut selected = Vec::new();
         for (_, key) in &self.order {
-            let length = takes(key);
+            let length = encoded_len(key);
             if length > room {
                 break;
             }
             room -= length;
-            picked.push(key.clone());
+            selected.push(key.clone());
         }
-        for key in &picked {
-            let Some(told) = self.told.remove(key) else { continue };
-            self.order.remove(&(told, key.clone()));
-            if told + 1 < times {
-                self.told.insert(key.clone(), told + 1);
-                self.order.insert((told + 1, key.clone()));
+        for key in &selected {
+            let Some(sent) = self.sent.remove(key) else { continue };
+            self.order.remove(&(sent, key.clone()));
+            if sent + 1 < limit {
+                self.sent.insert(key.clone(), sent + 1);
+                self.order.insert((sent + 1, key.clone()));
             }
         }
-        picked
+        selected
     }
 }
 
-/// How often something is told by each of `routers` until all know it: three times their binary logarithm.
-pub(crate) fn times(routers: usize) -> u32 {
+/// How often each router sends an update so that it reaches all `routers`: three times their binary logarithm.
+pub(crate) fn transmit_limit(routers: usize) -> u32 {
     3 * (routers as u32 + 1).ilog2().max(1)
 }
 
-/// Up to `count` of `live`, by chance, without `me`.
-pub(crate) fn some(live: &BTreeSet<Name>, me: &Name, count: usize, chance: &mut WyRand) -> Vec<Name> {
+/// Up to `count` random members of `live`, without `me`.
+pub(crate) fn random_peers(live: &BTreeSet<Name>, me: &Name, count: usize, chance: &mut WyRand) -> Vec<Name> {
     let mut others: Vec<_> = live.iter().filter(|name| *name != me).collect();
     let count = count.min(others.len());
     for at in 0..count {
--- a/crates/shared/src/turns.rs
+++ b/crates/shared/src/turns.rs
@@ -1,9 +1,11 @@
-//! Who does next what only one should do: probe a suspect, admit to a cold member, retry a read first.
+//! Coordinates actions that only one router should perform: to probe a suspected member, to send a command to a cold
+//! member, or to be the first to retry a read.
 //!
-//! Every router opens the turn when it learns of its cause, and orders all who are there by rendezvous hashing. The first
-//! acts at once, each further one a step later, unless it has heard that the turn is taken or done. So a turn whose holder
-//! is dead waits one step for each dead one ahead, and none at all once the membership knows; two may act when a message
-//! is lost or views differ. That is why there is no turn for a write: nothing here keeps two from holding one.
+//! Every router opens the turn when it learns of its cause, and ranks all live routers by rendezvous hashing. The first
+//! candidate acts at once and each further one a step later, unless it has learned that the turn is taken or done. A
+//! turn whose holder is dead therefore waits one step for each dead candidate ahead, or not at all once the membership
+//! knows of the failure. Two routers may act if a message is lost or their views differ. For this reason there is no
+//! turn for a write: nothing here prevents two routers from holding the same turn.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,147 +15,154 @@
 
 use crate::wire::{Body, Decision, Message};
 
-/// Most turns open at once; a further one is not opened, and [`Turns::open`] says so.
+/// Maximum number of open turns. At the limit a further one is not opened, and [`Turns::open`] returns false.
 pub const MOST: usize = 4_096;
-/// So many stand by for a turn. If all of them fail it lapses, and the next round of it draws others.
-pub const STAND_BY: usize = 8;
+/// Number of candidates for a turn. If all of them fail, the turn expires, and its next round draws other candidates.
+pub const CANDIDATES: usize = 8;
 
-/// So often the end of a turn is told again.
-const AGAIN: u32 = 2;
+/// Number of times the completion of a turn is sent again.
+const DONE_RESENDS: u32 = 2;
 
-/// What may be done once or twice without harm. There is no kind for a write, see `docs/shared.md`.
+/// Actions that may be performed once or twice without harm. There is no kind for a write, see `docs/shared.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
-    /// Probe a member under suspicion.
+    /// Probe a suspected member.
     Probe,
     /// Send a cold member its next command.
     Admit,
-    /// Retry a read first after a set's trouble.
+    /// Be the first to retry a read after a failure of a database set.
     Retry,
 }
 
-/// One turn.
+/// Identifies one turn.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Turn {
-    /// What is to be done.
+    /// The action.
     pub kind: Kind,
-    /// About which member or set.
-    pub about: Name,
-    /// In which life of it.
-    pub life: u64,
-    /// Grows by one when it is done or has lapsed: the epoch of the turn. Each draws an order of its own.
+    /// The member or database set that the action concerns.
+    pub target: Name,
+    /// The incarnation of the member or database set.
+    pub incarnation: u64,
+    /// The epoch of the turn: grows by one when the turn is done or has expired. Each round has a ranking of its own.
     pub round: u32,
 }
 
-/// How far a turn is.
+/// Progress of a turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Progress {
-    /// Its holder has begun, and has so long.
+    /// The holder has started and may take this long.
     Taken(Tenths),
-    /// It is done.
+    /// The action is done.
     Done,
 }
 
-/// What is to be done.
+/// Action for the host.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
-    /// Send it.
+pub enum Action {
+    /// Send a message.
     Send(Decision),
-    /// It is this router's turn, until then; the host says [`Turns::done`].
-    Act(Turn, Tenths),
-    /// Nobody who stood by has done it in time. The next round may be opened.
-    Lapsed(Turn),
+    /// This router is to act, until the given time; the host then calls [`Turns::complete`].
+    Run(Turn, Tenths),
+    /// No candidate has completed the turn in time. The host may open the next round.
+    Expired(Turn),
 }
 
-struct Open {
-    /// Who stands by, the first first, by the present view.
-    order: Vec<Name>,
-    since: Tenths,
-    /// The first acts then, each further one a step later.
-    from: Tenths,
-    /// Until when a holder that was heard of may take.
-    taken: Option<(Name, Tenths)>,
-    mine: bool,
+struct OpenTurn {
+    /// The candidates by the present view, highest rank first.
+    candidates: Vec<Name>,
+    opened_at: Tenths,
+    /// When the first candidate acts; each further one acts a step later.
+    starts_at: Tenths,
+    /// Another router that holds the turn, and until when.
+    held_by: Option<(Name, Tenths)>,
+    held_here: bool,
 }
 
-/// One router's part in the turns.
+/// One router's part in the shared turns.
 pub struct Turns {
     me: Name,
     start: Start,
-    /// How long each who stands by waits for the one before.
+    /// How long each candidate waits for the one before it.
     step: Tenths,
     /// How long a holder may take.
-    lasts: Tenths,
+    hold_time: Tenths,
     live: BTreeSet<Name>,
-    able: bool,
-    open: BTreeMap<Turn, Open>,
-    /// Closed ones, so that a late message does not open them again, until then.
+    eligible: bool,
+    open: BTreeMap<Turn, OpenTurn>,
+    /// Closed turns and until when they are remembered, so that a late message does not open them again.
     closed: BTreeMap<Turn, Tenths>,
-    /// Own ends that are told again, and how often still.
-    again: BTreeMap<Turn, (Tenths, u32)>,
-    waiting: Vec<Call>,
+    /// Turns completed by this router whose completion is sent again: when, and how many more times.
+    resends: BTreeMap<Turn, (Tenths, u32)>,
+    outbox: Vec<Action>,
 }
 
 impl Turns {
-    /// The part of `me` in its life `start`. A `step` is longer than news takes through the fleet; a holder has `lasts`.
-    pub fn new(me: Name, start: Start, step: Tenths, lasts: Tenths) -> Turns {
+    /// The turns of `me` in its incarnation `start`. `step` must be longer than an update takes to reach the fleet; a
+    /// holder may take `hold_time`.
+    pub fn new(me: Name, start: Start, step: Tenths, hold_time: Tenths) -> Turns {
         let live = BTreeSet::from([me.clone()]);
-        let (open, closed, again) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        let (step, lasts) = (step.max(1), lasts.max(1));
-        Turns { me, start, step, lasts, live, able: true, open, closed, again, waiting: Vec::new() }
+        let (open, closed, resends) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+        let (step, hold_time) = (step.max(1), hold_time.max(1));
+        Turns { me, start, step, hold_time, live, eligible: true, open, closed, resends, outbox: Vec::new() }
     }
 
-    /// The longest that a turn is lost when holders die: then it has lapsed, and all who are there know to open another.
-    pub fn longest(&self) -> Tenths {
-        (self.step + self.lasts) * STAND_BY as Tenths
+    /// The longest time until a turn expires if its holders fail. After that all live routers know that they may open
+    /// another round.
+    pub fn max_duration(&self) -> Tenths {
+        (self.step + self.hold_time) * CANDIDATES as Tenths
     }
 
-    /// Who is there, by the membership; `able`: does this router trust itself to act?
-    pub fn live(&mut self, now: Tenths, mut live: BTreeSet<Name>, able: bool) {
+    /// Sets the live routers according to the membership. `eligible` is whether this router is healthy enough to act.
+    pub fn set_live(&mut self, now: Tenths, mut live: BTreeSet<Name>, eligible: bool) {
         live.insert(self.me.clone());
         self.live = live;
-        self.able = able;
+        self.eligible = eligible;
         for (turn, open) in &mut self.open {
-            open.order = order(&self.live, turn);
+            open.candidates = candidates(&self.live, turn);
         }
-        // What a dead one has taken is free again.
+        // A turn held by a dead router is free again.
         for open in self.open.values_mut() {
-            if open.taken.as_ref().is_some_and(|(by, _)| !self.live.contains(by)) {
-                open.taken = None;
-                // Danger: counted from the beginning, all who stand by would be late and act at once.
-                open.from = now;
+            if open.held_by.as_ref().is_some_and(|(by, _)| !self.live.contains(by)) {
+                open.held_by = None;
+                // Danger: counted from when the turn was opened, all candidates would be overdue and act at once.
+                open.starts_at = now;
             }
         }
     }
 
-    /// The cause of a turn is known here. False if it is closed, or there is no room.
+    /// Opens a turn whose cause this router has learned of. Returns false if the turn is closed or there is no room.
     pub fn open(&mut self, now: Tenths, turn: Turn) -> bool {
         if self.closed.contains_key(&turn) || (!self.open.contains_key(&turn) && self.open.len() >= MOST) {
             return false;
         }
         let live = &self.live;
-        let new =
-            |turn: &Turn| Open { order: order(live, turn), since: now, from: now, taken: None, mine: false };
+        let new = |turn: &Turn| OpenTurn {
+            candidates: candidates(live, turn),
+            opened_at: now,
+            starts_at: now,
+            held_by: None,
+            held_here: false,
+        };
         self.open.entry(turn).or_insert_with_key(new);
         true
     }
 
-    /// This router has done it, or its cause is gone.
-    pub fn done(&mut self, now: Tenths, turn: &Turn) {
+    /// Closes a turn that this router has completed, or whose cause no longer exists.
+    pub fn complete(&mut self, now: Tenths, turn: &Turn) {
         if let Some(open) = self.open.remove(turn) {
             self.close(now, turn.clone());
-            if open.mine {
-                self.tell(turn, Progress::Done);
-                // Danger: of seven who stand by, one misses a message on a link that loses a tenth in half of all turns,
-                // and would do it all over.
-                if self.again.len() < MOST {
-                    self.again.insert(turn.clone(), (now + self.step / 2, AGAIN));
+            if open.held_here {
+                self.broadcast(turn, Progress::Done);
+                // Danger: on a link that loses a tenth of its messages, in half of all turns one of the seven other
+                // candidates misses the message, and would act again.
+                if self.resends.len() < MOST {
+                    self.resends.insert(turn.clone(), (now + self.step / 2, DONE_RESENDS));
                 }
             }
         }
     }
 
-    /// A message has come. False if it was not for this part.
+    /// Handles a received message. Returns false if the message is not for this module.
     pub fn heard(&mut self, now: Tenths, message: &Message) -> bool {
         let Body::Turn(turn, progress) = &message.body else { return false };
         match progress {
@@ -161,68 +170,69 @@
                 self.open.remove(turn);
                 self.close(now, turn.clone());
             }
-            Progress::Taken(lasts) => {
-                let until = now + (*lasts).clamp(0, self.lasts);
+            Progress::Taken(hold_time) => {
+                let until = now + (*hold_time).clamp(0, self.hold_time);
                 if self.open(now, turn.clone())
-                    && let Some(open) = self.open.get_mut(turn).filter(|open| !open.mine)
+                    && let Some(open) = self.open.get_mut(turn).filter(|open| !open.held_here)
                 {
-                    open.taken = Some((message.from.clone(), until));
+                    open.held_by = Some((message.from.clone(), until));
                 }
             }
         }
         true
     }
 
-    /// The next thing to do, until none is left.
-    pub fn next_decision(&mut self, now: Tenths) -> Option<Call> {
+    /// The next action; the host calls this until it returns `None`.
+    pub fn next_decision(&mut self, now: Tenths) -> Option<Action> {
         self.closed.retain(|_, until| now < *until);
-        if let Some(call) = self.waiting.pop() {
-            return Some(call);
+        if let Some(action) = self.outbox.pop() {
+            return Some(action);
         }
-        if let Some((turn, (at, left))) = self.again.iter().find(|(_, (at, _))| *at <= now)
+        if let Some((turn, (at, left))) = self.resends.iter().find(|(_, (at, _))| *at <= now)
             && let (turn, at, left) = (turn.clone(), *at, *left)
         {
             if left > 1 {
-                self.again.insert(turn.clone(), (at + self.step / 2, left - 1));
+                self.resends.insert(turn.clone(), (at + self.step / 2, left - 1));
             } else {
-                self.again.remove(&turn);
+                self.resends.remove(&turn);
             }
-            self.tell(&turn, Progress::Done);
-            return self.waiting.pop();
+            self.broadcast(&turn, Progress::Done);
+            return self.outbox.pop();
         }
-        let lapsed = self.open.iter().find(|(_, open)| now >= open.since + self.longest());
-        if let Some(turn) = lapsed.map(|(turn, _)| turn.clone()) {
+        let expired = self.open.iter().find(|(_, open)| now >= open.opened_at + self.max_duration());
+        if let Some(turn) = expired.map(|(turn, _)| turn.clone()) {
             self.open.remove(&turn);
             self.close(now, turn.clone());
-            return Some(Call::Lapsed(turn));
+            return Some(Action::Expired(turn));
         }
-        let mine = self.open.iter().find(|(_, open)| self.act_at(open).is_some_and(|at| at <= now));
-        let turn = mine.map(|(turn, _)| turn.clone())?;
-        self.tell(&turn, Progress::Taken(self.lasts));
+        let held_here = self.open.iter().find(|(_, open)| self.runs_at(open).is_some_and(|at| at <= now));
+        let turn = held_here.map(|(turn, _)| turn.clone())?;
+        self.broadcast(&turn, Progress::Taken(self.hold_time));
         let open = self.open.get_mut(&turn)?;
-        open.mine = true;
-        Some(Call::Act(turn, now + self.lasts))
+        open.held_here = true;
+        Some(Action::Run(turn, now + self.hold_time))
     }
 
-    /// When to come back if nothing is heard before.
+    /// When to call [`Turns::next_decision`] again if no message arrives before.
     pub fn wake_at(&self) -> Option<Tenths> {
-        let acts = self.open.values().filter_map(|open| self.act_at(open));
-        let again = self.again.values().map(|(at, _)| *at);
-        acts.chain(again).chain(self.open.values().map(|open| open.since + self.longest())).min()
+        let runs = self.open.values().filter_map(|open| self.runs_at(open));
+        let resends = self.resends.values().map(|(at, _)| *at);
+        runs.chain(resends).chain(self.open.values().map(|open| open.opened_at + self.max_duration())).min()
     }
 
-    /// When this router acts, if nothing is heard; none if it does not.
-    fn act_at(&self, open: &Open) -> Option<Tenths> {
-        if open.mine || !self.able {
+    /// When this router acts if no message arrives; `None` if it does not act.
+    fn runs_at(&self, open: &OpenTurn) -> Option<Tenths> {
+        if open.held_here || !self.eligible {
             return None;
         }
-        let order = &open.order;
-        let rank = order.iter().position(|name| *name == self.me)? as Tenths;
-        let Some((by, until)) = &open.taken else { return Some(open.from + rank * self.step) };
-        // Those behind the holder wait for it first, each a step longer than the one before.
-        let holder = order.iter().position(|name| name == by).map_or(-1, |at| at as Tenths);
-        let behind = if rank > holder { rank - holder - 1 } else { rank + order.len() as Tenths };
-        Some(until + behind * self.step)
+        let candidates = &open.candidates;
+        let rank = candidates.iter().position(|name| *name == self.me)? as Tenths;
+        let Some((by, until)) = &open.held_by else { return Some(open.starts_at + rank * self.step) };
+        // Candidates ranked behind the holder act first, each a step later than the one before; those ahead of it act
+        // after them.
+        let holder = candidates.iter().position(|name| name == by).map_or(-1, |at| at as Tenths);
+        let position = if rank > holder { rank - holder - 1 } else { rank + candidates.len() as Tenths };
+        Some(until + position * self.step)
     }
 
     fn close(&mut self, now: Tenths, turn: Turn) {
@@ -232,39 +242,39 @@
         {
             self.closed.remove(&first);
         }
-        self.closed.insert(turn, now + 2 * self.longest());
+        self.closed.insert(turn, now + 2 * self.max_duration());
     }
 
-    /// Those who stand by are all who would act: they alone are told.
-    fn tell(&mut self, turn: &Turn, progress: Progress) {
+    /// Sends `progress` to the candidates only, since no other router would act.
+    fn broadcast(&mut self, turn: &Turn, progress: Progress) {
         let body = Body::Turn(turn.clone(), progress);
         let message = Message { from: self.me.clone(), start: self.start, body };
-        let told = order(&self.live, turn).into_iter().filter(|name| *name != self.me);
-        let send = |to| Call::Send(Decision::Send { to, message: message.clone() });
-        self.waiting.extend(told.map(send));
+        let recipients = candidates(&self.live, turn).into_iter().filter(|name| *name != self.me);
+        let send = |to| Action::Send(Decision::Send { to, message: message.clone() });
+        self.outbox.extend(recipients.map(send));
     }
 }
 
-/// Who stands by for a turn, the first first.
-fn order(live: &BTreeSet<Name>, turn: &Turn) -> Vec<Name> {
-    let mut order: Vec<_> = live.iter().map(|name| (weight(turn, name), name)).collect();
-    let by_weight = |one: &(u64, &Name), other: &(u64, &Name)| other.cmp(one);
-    if order.len() > STAND_BY {
-        order.select_nth_unstable_by(STAND_BY, by_weight);
-        order.truncate(STAND_BY);
+/// The candidates for a turn, highest rank first.
+fn candidates(live: &BTreeSet<Name>, turn: &Turn) -> Vec<Name> {
+    let mut candidates: Vec<_> = live.iter().map(|name| (weight(turn, name), name)).collect();
+    let by_descending_weight = |one: &(u64, &Name), other: &(u64, &Name)| other.cmp(one);
+    if candidates.len() > CANDIDATES {
+        candidates.select_nth_unstable_by(CANDIDATES, by_descending_weight);
+        candidates.truncate(CANDIDATES);
     }
-    order.sort_unstable_by(by_weight);
-    order.into_iter().map(|(_, name)| name.clone()).collect()
+    candidates.sort_unstable_by(by_descending_weight);
+    candidates.into_iter().map(|(_, name)| name.clone()).collect()
 }
 
-/// The same on every router and every build: the highest stands first.
+/// The rendezvous weight, equal on every router and build; the highest ranks first.
 fn weight(turn: &Turn, name: &Name) -> u64 {
     let kind = match turn.kind {
         Kind::Probe => 1,
         Kind::Admit => 2,
         Kind::Retry => 3,
     };
-    let about = xxh3_64_with_seed(turn.about.as_str().as_bytes(), turn.life);
-    let turn = xxh3_64_with_seed(&turn.round.to_le_bytes(), about.wrapping_add(kind));
+    let target = xxh3_64_with_seed(turn.target.as_str().as_bytes(), turn.incarnation);
+    let turn = xxh3_64_with_seed(&turn.round.to_le_bytes(), target.wrapping_add(kind));
     xxh3_64_with_seed(name.as_str().as_bytes(), turn)
 }
--- a/crates/shared/src/wire.rs
+++ b/crates/shared/src/wire.rs
@@ -1,4 +1,4 @@
-//! What routers say to each other of budgets, counts, judgements and turns, in the wire form of the membership.
+//! Messages between routers about budgets, counts, judgements and turns, in the wire format of the membership.
 
 use serde::{Deserialize, Serialize};
 pub use vetchkeel_membership::wire::{LONGEST, Refused, VERSION, decode, encode, length};
@@ -7,37 +7,37 @@
 /// One message between two routers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who sent it.
+    /// The sender.
     pub from: Name,
-    /// In which life.
+    /// The sender's incarnation.
     pub start: Start,
-    /// What is said.
+    /// The payload.
     pub body: Body,
 }
 
-/// What is said. New kinds only go to the end.
+/// The payload of a message. Variants are encoded by position, so new ones may only be appended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// A borrower asks a lender.
-    Ask(crate::budgets::Ask),
-    /// A lender answers.
-    Grant(crate::budgets::Grant),
-    /// Tallies, in any order.
+    /// A borrower's loan request to a lender.
+    LoanRequest(crate::budgets::LoanRequest),
+    /// A lender's answer.
+    LoanGrant(crate::budgets::LoanGrant),
+    /// Tallies in any order.
     Counts(Vec<crate::counts::Tally>),
-    /// Judgements, in any order.
+    /// Judgements in any order.
     Judgements(Vec<crate::judgements::Judgement>),
-    /// How far a turn is.
+    /// Progress of a turn.
     Turn(crate::turns::Turn, crate::turns::Progress),
 }
 
-/// What the host is to do.
+/// Action for the host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it; every part makes good a lost one.
+    /// Send a message. Messages may be lost: each module recovers from the loss.
     Send {
-        /// To whom.
+        /// The recipient.
         to: Name,
-        /// What.
+        /// The message.
         message: Message,
     },
 }
