--- a/crates/link/examples/speed.rs
+++ b/crates/link/examples/speed.rs
@@ -13,14 +13,14 @@
 const STREAM: Way = Way::Stream(1);
 
 fn name(text: &str) -> Name {
-    Name::new(text).unwrap_or_else(|| panic!("{text} is a name"))
+    Name::new(text).unwrap_or_else(|| panic!("{text} is not a valid name"))
 }
 
 fn sockets(me: &str) -> Sockets {
     let me = Sender { name: name(me), incarnation: 1 };
     let any = ([127, 0, 0, 1], 0).into();
     Sockets::bind(me, Kinds::new(&[(1, "note")]), Bounds::default(), any, Parts::Both, 1)
-        .unwrap_or_else(|e| panic!("no sockets on loopback: {e}"))
+        .unwrap_or_else(|e| panic!("cannot bind sockets on loopback: {e}"))
 }
 
 /// Results of a sender.
@@ -78,7 +78,7 @@
                             run.took.push(at.elapsed().as_micros() as u64);
                         }
                     }
-                    other => panic!("told {other:?}"),
+                    other => panic!("unexpected event {other:?}"),
                 }
             }
             let _ = a.wait(Duration::from_micros(rate.map_or(1_000, |r| 1_000_000 / r)));
@@ -136,6 +136,6 @@
     }
     for instances in [10, 100, 300] {
         let (handed, took) = simulated(instances, 10);
-        println!("memory: {instances} instances, 10 s of told time: {handed} handed over in {took:.2?}");
+        println!("memory: {instances} instances, 10 s of simulated time: {handed} delivered in {took:.2?}");
     }
 }
--- a/crates/link/src/contract.rs
+++ b/crates/link/src/contract.rs
@@ -64,17 +64,17 @@
 /// Checks every clause in a new environment. Returns the first violation.
 pub fn check<G: Ground>(make: impl Fn() -> G) -> Result<(), Breach> {
     let clauses: [(&'static str, Clause<G>); 11] = [
-        ("what can't be sent is refused", refusals),
-        ("a datagram arrives as sent or not at all", datagrams),
-        ("what can't be read is told and not handed over", unread),
-        ("streams keep their order and each message comes once", streams),
-        ("what waits is bounded, and nothing of it is lost", bounded),
-        ("a crash tells what was not acknowledged", crash),
-        ("a later start under the same name is reached", restart),
-        ("an unknown kind breaks its stream alone", unknown_kind),
-        ("a peer that is not there breaks the stream", nobody),
-        ("a forgotten peer's streams are handed back", forgotten),
-        ("nothing is handed to another instance than it is meant for", elsewhere),
+        ("a message that cannot be sent is refused", refusals),
+        ("a datagram arrives unchanged or not at all", datagrams),
+        ("unreadable input is reported and not delivered", unread),
+        ("a stream delivers each message once and in order", streams),
+        ("unacknowledged bytes are bounded, and none are lost", bounded),
+        ("a crash returns the unacknowledged messages", crash),
+        ("a restarted peer is reached under its name", restart),
+        ("an unknown message kind breaks only its stream", unknown_kind),
+        ("an absent peer breaks the stream", nobody),
+        ("a removed peer's unacknowledged messages are returned", forgotten),
+        ("a message for another instance is not delivered", elsewhere),
     ];
     for (clause, play) in clauses {
         let mut ground = make();
@@ -98,7 +98,7 @@
 }
 
 fn name(text: &str) -> Name {
-    Name::new(text).unwrap_or_else(|| panic!("{text} is a name"))
+    Name::new(text).unwrap_or_else(|| panic!("{text} is not a valid name"))
 }
 
 fn must(kept: bool, why: impl FnOnce() -> String) -> Kept {
@@ -130,7 +130,7 @@
         let address = self.ground.address(&name(from), &name(to));
         let now = self.ground.now();
         let met = self.of(from).meet(now, &name(to), address);
-        met.map_err(|why| format!("{from} can't meet {to}: {why}"))
+        met.map_err(|why| format!("{from} cannot add peer {to}: {why}"))
     }
 
     /// Starts these instances and adds each as a peer of the others.
@@ -144,7 +144,7 @@
     }
 
     fn of(&mut self, who: &str) -> &mut G::T {
-        self.transports.get_mut(&name(who)).unwrap_or_else(|| panic!("{who} was started"))
+        self.transports.get_mut(&name(who)).unwrap_or_else(|| panic!("{who} was not started"))
     }
 
     fn told(&self, who: &str) -> &[Event] {
@@ -238,7 +238,7 @@
             Some((e, _)) => epoch > &e && number == epoch,
             None => number == epoch,
         };
-        must(follows, || format!("number {number} of epoch {epoch} was handed over after {last:?}"))?;
+        must(follows, || format!("number {number} of epoch {epoch} was delivered after {last:?}"))?;
         last = Some((*epoch, *number));
     }
     Ok(())
@@ -253,7 +253,7 @@
             continue;
         }
         let refused = play.send("a", "nobody", way, NOTE, b"");
-        must(refused == Err(Refused::NotMet(name("nobody"))), || format!("not met: {refused:?}"))?;
+        must(refused == Err(Refused::NotMet(name("nobody"))), || format!("unknown peer: {refused:?}"))?;
         let refused = play.send("a", "b", way, NEWER, b"");
         must(refused == Err(Refused::Kind(NEWER)), || format!("unknown kind: {refused:?}"))?;
         let refused = play.send("a", "b", way, NOTE, &vec![0; bounds().message + 1]);
@@ -266,7 +266,7 @@
 fn datagram_most<G: Ground>(play: &mut Play<G>) -> Result<usize, String> {
     match play.send("a", "b", Way::Datagram, NOTE, &vec![0; bounds().datagram + 1]) {
         Err(Refused::TooLong { bound, .. }) => Ok(bound),
-        other => Err(format!("a datagram over the bound: {other:?}")),
+        other => Err(format!("a datagram over the limit: {other:?}")),
     }
 }
 
@@ -288,13 +288,16 @@
     play.until(&["a", "b"], 80_000, "the arrival of datagrams", |p| p.told("b").len() >= least)?;
     let mut count = BTreeMap::new();
     for event in play.told("b") {
-        let Event::Datagram { from, kind, body } = event else { return Err(format!("told {event:?}")) };
+        let Event::Datagram { from, kind, body } = event else { return Err(format!("got {event:?}")) };
         must(from.name == name("a") && from.incarnation == 1 && *kind == OTHER, || format!("from {from}"))?;
         let which = (0..lengths.len()).find(|i| sent(*i) == *body);
-        let which = which.ok_or_else(|| format!("a datagram of {} bytes that nobody sent", body.len()))?;
+        let which = which
+            .ok_or_else(|| format!("received a datagram of {} bytes that was never sent", body.len()))?;
         *count.entry(which).or_insert(0) += 1;
     }
-    must(faulty || count.values().all(|n| *n == 1), || "a datagram came twice on a whole link".into())
+    must(faulty || count.values().all(|n| *n == 1), || {
+        "a datagram arrived twice on a link without faults".into()
+    })
 }
 
 fn unread<G: Ground>(play: &mut Play<G>) -> Kept {
@@ -320,17 +323,17 @@
     ];
     for (bytes, expected) in cases {
         must(play.ground.inject(&name("b"), &bytes), || {
-            "datagrams are carried and can't be injected".into()
+            "datagrams are supported but cannot be injected".into()
         })?;
         let says = |p: &Play<G>| {
             p.told("b").iter().any(|e| matches!(e, Event::Unread { why, .. } if *why == expected))
         };
-        play.until(&["b"], 60_000, &format!("being told {expected:?}"), says)?;
+        play.until(&["b"], 60_000, &format!("the report {expected:?}"), says)?;
     }
     play.ground.inject(&name("b"), &good);
     let handed = |p: &Play<G>| p.told("b").iter().filter(|e| matches!(e, Event::Datagram { .. })).count();
-    play.until(&["b"], 60_000, "a good one after the bad", |p| handed(p) > 0)?;
-    must(handed(play) == 1, || "more than the good one was handed over".into())
+    play.until(&["b"], 60_000, "a valid datagram after the invalid ones", |p| handed(p) > 0)?;
+    must(handed(play) == 1, || "more than the valid datagram was delivered".into())
 }
 
 fn streams<G: Ground>(play: &mut Play<G>) -> Kept {
@@ -349,7 +352,9 @@
             if next[i] <= EACH {
                 match play.send(from, "c", Way::Stream(*stream), NOTE, &bytes) {
                     Ok(number) => {
-                        must(number == next[i], || format!("message {} got number {number}", next[i]))?;
+                        must(number == next[i], || {
+                            format!("message {} got sequence number {number}", next[i])
+                        })?;
                         next[i] += 1;
                     }
                     Err(Refused::Full { .. }) => play.ground.pass(1),
@@ -358,19 +363,19 @@
             }
         }
         play.poll(&["a", "b", "c"]);
-        must(play.ground.now() < end, || "streams don't get on".into())?;
+        must(play.ground.now() < end, || "the streams make no progress".into())?;
     }
     let all = |p: &Play<G>| ways.iter().all(|(from, stream)| p.acknowledged(from, "c", *stream) == EACH);
-    play.until(&["a", "b", "c"], 100_000, "the acknowledgement of all", all)?;
+    play.until(&["a", "b", "c"], 100_000, "the acknowledgement of all messages", all)?;
     for (from, stream) in &ways {
         let handed = play.handed("c", from, *stream);
         in_order(&handed)?;
-        must(handed.len() as u64 == EACH, || format!("{} of {EACH} were handed over", handed.len()))?;
+        must(handed.len() as u64 == EACH, || format!("{} of {EACH} were delivered", handed.len()))?;
         let as_sent = |(_, n, b): &(u64, u64, &[u8])| *b == body(*n, length(*n));
-        must(handed.iter().all(as_sent), || "a body is not as it was sent".into())?;
+        must(handed.iter().all(as_sent), || "a body differs from the one sent".into())?;
     }
     must(play.broken("a").is_empty() && play.broken("b").is_empty(), || {
-        "a stream broke on a whole link".into()
+        "a stream broke on a link without faults".into()
     })
 }
 
@@ -396,19 +401,19 @@
             }
             Err(why) => return Err(format!("refused: {why}")),
         }
-        must(taken as usize * length <= bound, || format!("{taken} messages taken, none handed over"))?;
+        must(taken as usize * length <= bound, || format!("{taken} messages accepted, none delivered"))?;
         play.poll(&["a"]);
         let early = play.acknowledged("a", "b", 3);
-        must(early == 0, || format!("{early} told as acknowledged that nobody was handed"))?;
+        must(early == 0, || format!("{early} reported as acknowledged before delivery"))?;
     }
-    must(full && taken as usize * length > bound / 2, || format!("only {taken} messages were taken"))?;
+    must(full && taken as usize * length > bound / 2, || format!("only {taken} messages were accepted"))?;
     let all = |p: &Play<G>| p.acknowledged("a", "b", 3) == taken;
-    play.until(&["a", "b"], 100_000, "the acknowledgement of all that was taken", all)?;
+    play.until(&["a", "b"], 100_000, "the acknowledgement of all accepted messages", all)?;
     let handed = play.handed("b", "a", 3);
     in_order(&handed)?;
-    must(handed.len() as u64 == taken, || format!("{} of {taken} were handed over", handed.len()))?;
+    must(handed.len() as u64 == taken, || format!("{} of {taken} were delivered", handed.len()))?;
     let again = play.send("a", "b", Way::Stream(3), NOTE, &body(0, length));
-    must(again == Ok(taken + 1), || format!("no room after all was acknowledged: {again:?}"))
+    must(again == Ok(taken + 1), || format!("send refused after all was acknowledged: {again:?}"))
 }
 
 /// Crashes b after it was handed `some` of the messages from a. The events at a must account for every message.
@@ -426,19 +431,21 @@
             Some(event) => play.told.entry(name("b")).or_default().push(event),
             None => play.ground.pass(5),
         }
-        must(now < end, || "too little is handed over".into())?;
+        must(now < end, || "too few messages are delivered".into())?;
     }
     play.transports.remove(&name("b"));
-    play.until(&["a"], 80_000, "being told of the break", |p| !p.broken("a").is_empty())?;
+    play.until(&["a"], 80_000, "the event for the broken stream", |p| !p.broken("a").is_empty())?;
     let handed = play.handed("b", "a", 5).len() as u64;
     let acknowledged = play.acknowledged("a", "b", 5);
-    must(acknowledged <= handed, || format!("{acknowledged} acknowledged, {handed} handed over"))?;
+    must(acknowledged <= handed, || format!("{acknowledged} acknowledged, {handed} delivered"))?;
     let broken = play.broken("a");
     let back: Vec<u64> = broken.iter().flat_map(|b| b.2).map(|m| m.number).collect();
     let expected: Vec<u64> = (acknowledged + 1..=SENT).collect();
-    must(back == expected, || format!("{acknowledged} of {SENT} acknowledged, {} handed back", back.len()))?;
+    must(back == expected, || format!("{acknowledged} of {SENT} acknowledged, {} returned", back.len()))?;
     let as_sent = |m: &Message| m.body == body(m.number, 20_000 / m.number as usize) && m.kind == NOTE;
-    must(broken.iter().flat_map(|b| b.2).all(as_sent), || "a message came back other than sent".into())
+    must(broken.iter().flat_map(|b| b.2).all(as_sent), || {
+        "a returned message differs from the one sent".into()
+    })
 }
 
 fn crash<G: Ground>(play: &mut Play<G>) -> Kept {
@@ -461,7 +468,7 @@
         for _ in 0..20 {
             play.send("b", "a", Way::Datagram, NOTE, b"again").map_err(|why| why.to_string())?;
         }
-        return play.until(&["a", "b"], 20_000, "a datagram of the later start", says);
+        return play.until(&["a", "b"], 20_000, "a datagram from the later incarnation", says);
     }
     crash_after(play, 10)?;
     let before = play.handed("b", "a", 5).len();
@@ -471,12 +478,12 @@
     play.send("a", "b", Way::Stream(5), NOTE, b"and again").map_err(|why| why.to_string())?;
     play.send("b", "a", Way::Stream(5), NOTE, b"back").map_err(|why| why.to_string())?;
     let both = |p: &Play<G>| p.handed("b", "a", 5).len() >= before + 2 && p.handed("a", "b", 5).len() == 1;
-    play.until(&["a", "b"], 80_000, "talk with the later start", both)?;
+    play.until(&["a", "b"], 80_000, "messages to and from the later incarnation", both)?;
     let later = play.handed("b", "a", 5).split_off(before);
     let expected = [(first, first, &b"again"[..]), (first, first + 1, &b"and again"[..])];
-    must(later == expected, || format!("the later start was handed {later:?}"))?;
+    must(later == expected, || format!("delivered to the later incarnation: {later:?}"))?;
     let two = |e: &Event| matches!(e, Event::Message { from, .. } if from.incarnation == 2);
-    must(play.told("a").iter().any(two), || "the later start has the earlier one's incarnation".into())
+    must(play.told("a").iter().any(two), || "the later start reports the earlier incarnation".into())
 }
 
 fn unknown_kind<G: Ground>(play: &mut Play<G>) -> Kept {
@@ -492,15 +499,15 @@
         play.send("a", "b", Way::Stream(stream), kind, b"x").map_err(|why| why.to_string())?;
     }
     let done = |p: &Play<G>| !p.broken("a").is_empty() && p.acknowledged("a", "b", 2) == 2;
-    play.until(&["a", "b"], 80_000, "the break of one stream and the end of the other", done)?;
+    play.until(&["a", "b"], 80_000, "the break of one stream and the completion of the other", done)?;
     let broken = play.broken("a");
     let [(_, 1, back, Why::Refused(Unread::Kind(NEWER)))] = broken[..] else {
-        return Err(format!("told {broken:?}"));
+        return Err(format!("unexpected events {broken:?}"));
     };
     let kinds: Vec<Kind> = back.iter().filter(|m| m.number > 1).map(|m| m.kind).collect();
-    must(kinds == [NEWER, NOTE], || format!("handed back: {back:?}"))?;
+    must(kinds == [NEWER, NOTE], || format!("returned: {back:?}"))?;
     let says = |e: &Event| matches!(e, Event::Unread { from: Some(a), why: Unread::Kind(NEWER) } if a.as_str() == "a");
-    must(play.told("b").iter().any(says), || "its receiver was not told".into())?;
+    must(play.told("b").iter().any(says), || "the receiver reported nothing".into())?;
     play.send("a", "b", Way::Stream(1), NOTE, b"y").map_err(|why| why.to_string())?;
     let numbers = |p: &Play<G>| p.handed("b", "a", 1).iter().map(|h| h.1).collect::<Vec<_>>();
     play.until(&["a", "b"], 80_000, "the stream's next epoch", |p| numbers(p) == [1, 4])?;
@@ -518,7 +525,7 @@
     }
     let limit = bounds().patience + 40_000;
     let back = |p: &Play<G>| p.broken("a").iter().map(|b| b.2.len()).sum::<usize>();
-    play.until(&["a"], limit, "being told that nobody took them", |p| back(p) == 3)
+    play.until(&["a"], limit, "the return of the undelivered messages", |p| back(p) == 3)
 }
 
 fn forgotten<G: Ground>(play: &mut Play<G>) -> Kept {
@@ -536,12 +543,12 @@
     play.poll(&["a"]);
     let broken = play.broken("a");
     let left = broken.len() == 1 && broken[0].2.len() == 3 && *broken[0].3 == Why::Left;
-    must(left, || format!("told {broken:?}"))?;
+    must(left, || format!("unexpected events {broken:?}"))?;
     let refused = play.send("a", "b", Way::Stream(2), NOTE, b"");
-    must(refused == Err(Refused::NotMet(name("b"))), || format!("a forgotten peer: {refused:?}"))?;
+    must(refused == Err(Refused::NotMet(name("b"))), || format!("a removed peer: {refused:?}"))?;
     let later = play.of("a").wake_at();
     let now = play.ground.now();
-    must(later.is_none_or(|at| at > now), || "nothing is left to do, and it wants to be woken".into())
+    must(later.is_none_or(|at| at > now), || "nothing is left to do, but wake_at is due".into())
 }
 
 fn elsewhere<G: Ground>(play: &mut Play<G>) -> Kept {
@@ -558,21 +565,30 @@
         for _ in 0..20 {
             play.send("a", "b", Way::Datagram, NOTE, b"x").map_err(|why| why.to_string())?;
         }
-        return play.until(&["a", "b", "c"], 20_000, "a refusal by name", |p| p.told("c").iter().any(says));
+        return play.until(&["a", "b", "c"], 20_000, "the report of a datagram for another instance", |p| {
+            p.told("c").iter().any(says)
+        });
     }
     let broken = play.broken("a");
-    must(broken.len() == 1 && *broken[0].3 == Why::Left, || format!("told of the move: {broken:?}"))?;
+    must(broken.len() == 1 && *broken[0].3 == Why::Left, || {
+        format!("events after the address change: {broken:?}")
+    })?;
     play.send("a", "b", Way::Stream(1), NOTE, b"astray").map_err(|why| why.to_string())?;
     let back = |p: &Play<G>| p.broken("a").len() == 2;
-    play.until(&["a", "b", "c"], bounds().patience + 60_000, "the break of what went astray", back)?;
+    play.until(
+        &["a", "b", "c"],
+        bounds().patience + 60_000,
+        "the break after sending to the wrong instance",
+        back,
+    )?;
     let why = play.broken("a")[1].3;
-    must(*why == Why::Refused(Unread::NotMine("b".into())), || format!("broken because {why:?}"))?;
-    must(play.told("c").iter().any(says), || "who got it was not told".into())?;
+    must(*why == Why::Refused(Unread::NotMine("b".into())), || format!("unexpected reason {why:?}"))?;
+    must(play.told("c").iter().any(says), || "the wrong receiver reported nothing".into())?;
     play.meet("a", "b")?;
     let number = play.send("a", "b", Way::Stream(1), NOTE, b"after").map_err(|why| why.to_string())?;
-    must(number == 3, || format!("numbers go on with {number}"))?;
+    must(number == 3, || format!("the numbers continue with {number}"))?;
     let came = |p: &Play<G>| p.handed("b", "a", 1).last().is_some_and(|h| h.2 == b"after");
-    play.until(&["a", "b", "c"], 60_000, "what was sent to the right address", came)?;
+    play.until(&["a", "b", "c"], 60_000, "the message to the right address", came)?;
     let at_c = play.handed("c", "a", 1);
-    must(at_c.is_empty(), || format!("handed to another: {at_c:?}"))
+    must(at_c.is_empty(), || format!("delivered to another instance: {at_c:?}"))
 }
--- a/crates/link/src/message.rs
+++ b/crates/link/src/message.rs
@@ -171,16 +171,18 @@
 impl fmt::Display for Unread {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unread::Foreign => write!(f, "no message between instances"),
-            Unread::Version { theirs, ours } => write!(f, "version {theirs}, version {ours} is spoken here"),
-            Unread::Damaged => write!(f, "its check sum is wrong"),
-            Unread::TooLong { length, bound } => write!(f, "{length} bytes, over the bound of {bound}"),
-            Unread::Malformed => write!(f, "its header can't be read"),
-            Unread::Kind(kind) => write!(f, "kind {kind} is not known here"),
-            Unread::NotMine(name) => write!(f, "meant for {name}"),
-            Unread::Stale => write!(f, "from a connection that was replaced"),
-            Unread::OutOfOrder => write!(f, "out of its order"),
-            Unread::Full => write!(f, "no room for a further one"),
+            Unread::Foreign => write!(f, "not a message between instances"),
+            Unread::Version { theirs, ours } => {
+                write!(f, "protocol version {theirs}, expected version {ours}")
+            }
+            Unread::Damaged => write!(f, "checksum mismatch"),
+            Unread::TooLong { length, bound } => write!(f, "{length} bytes exceed the limit of {bound}"),
+            Unread::Malformed => write!(f, "malformed header"),
+            Unread::Kind(kind) => write!(f, "unknown message kind {kind}"),
+            Unread::NotMine(name) => write!(f, "addressed to {name}"),
+            Unread::Stale => write!(f, "received on a connection that a later one replaced"),
+            Unread::OutOfOrder => write!(f, "out of order"),
+            Unread::Full => write!(f, "limit on connections or streams reached"),
         }
     }
 }
@@ -206,12 +208,14 @@
 impl fmt::Display for Refused {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::NotMet(name) => write!(f, "no address of {name} is known"),
-            Refused::NoSuchWay(way) => write!(f, "{way:?} is not carried here"),
-            Refused::Kind(kind) => write!(f, "kind {kind} is not known here"),
-            Refused::TooLong { length, bound } => write!(f, "{length} bytes, over the bound of {bound}"),
-            Refused::Full { waiting, bound } => write!(f, "{waiting} of {bound} bytes are waiting"),
-            Refused::TooMany { bound } => write!(f, "already {bound} of them"),
+            Refused::NotMet(name) => write!(f, "no known address for {name}"),
+            Refused::NoSuchWay(way) => write!(f, "{way:?} is not supported by this transport"),
+            Refused::Kind(kind) => write!(f, "unknown message kind {kind}"),
+            Refused::TooLong { length, bound } => write!(f, "{length} bytes exceed the limit of {bound}"),
+            Refused::Full { waiting, bound } => {
+                write!(f, "send queue full: {waiting} of {bound} bytes in use")
+            }
+            Refused::TooMany { bound } => write!(f, "limit of {bound} peers or streams reached"),
         }
     }
 }
--- a/crates/link/src/talk.rs
+++ b/crates/link/src/talk.rs
@@ -576,7 +576,7 @@
     }
 }
 
-const _: () = assert!(VERSION == 1, "a new version needs its own words to the old one");
+const _: () = assert!(VERSION == 1, "a new version needs a refusal that the old one can read");
 
 /// Returns the stream's number, or None for datagrams.
 pub(crate) fn stream_of(way: Way) -> Option<StreamId> {
--- a/crates/link/src/tests.rs
+++ b/crates/link/src/tests.rs
@@ -42,12 +42,12 @@
 }
 
 #[rstest]
-#[case(Wrong::LosesInSilence, "a crash tells what was not acknowledged")]
-#[case(Wrong::AcknowledgesEarly, "what waits is bounded, and nothing of it is lost")]
-#[case(Wrong::Swaps, "streams keep their order and each message comes once")]
-#[case(Wrong::Doubles, "streams keep their order and each message comes once")]
-#[case(Wrong::TakesAll, "what waits is bounded, and nothing of it is lost")]
-#[case(Wrong::ForgetsStarts, "a later start under the same name is reached")]
+#[case(Wrong::LosesInSilence, "a crash returns the unacknowledged messages")]
+#[case(Wrong::AcknowledgesEarly, "unacknowledged bytes are bounded, and none are lost")]
+#[case(Wrong::Swaps, "a stream delivers each message once and in order")]
+#[case(Wrong::Doubles, "a stream delivers each message once and in order")]
+#[case(Wrong::TakesAll, "unacknowledged bytes are bounded, and none are lost")]
+#[case(Wrong::ForgetsStarts, "a restarted peer is reached under its name")]
 fn half_broken_transports_fail_the_clause_they_break(#[case] wrong: Wrong, #[case] clause: &str) {
     let breach = contract::check(|| HalfBrokenGround { inner: Simulated::new(7, Fault::default()), wrong });
     assert_eq!(breach.map_err(|b| b.clause), Err(clause));
--- a/crates/link/src/tests/many.rs
+++ b/crates/link/src/tests/many.rs
@@ -40,16 +40,19 @@
             Event::Acknowledged { to, stream, number } => {
                 let of = (me.clone(), to, stream);
                 let back = self.back.get(&of).and_then(|b| b.last()).copied().unwrap_or(0);
-                assert!(number > back, "{of:?}: {number} acknowledged after {back} came back");
+                assert!(number > back, "{of:?}: {number} acknowledged after {back} was returned");
                 self.acknowledged.insert(of, number);
             }
             Event::Broken { to, stream, unacknowledged, .. } => {
                 let of = (me.clone(), to, stream);
                 let acknowledged = self.acknowledged.get(&of).copied().unwrap_or(0);
                 for message in unacknowledged {
-                    assert!(message.number > acknowledged, "{of:?}: {} came back", message.number);
+                    assert!(message.number > acknowledged, "{of:?}: {} was returned", message.number);
                     assert_eq!(self.taken[&of].get(&message.number), Some(&message.body));
-                    assert!(self.back.entry(of.clone()).or_default().insert(message.number), "back twice");
+                    assert!(
+                        self.back.entry(of.clone()).or_default().insert(message.number),
+                        "returned twice"
+                    );
                 }
             }
             Event::Datagram { .. } | Event::Unread { .. } => {}
@@ -65,13 +68,13 @@
             if running.contains(&of.0) {
                 let lost: Vec<&u64> =
                     taken.keys().filter(|n| **n > acknowledged && !back.contains(n)).collect();
-                assert!(lost.is_empty(), "{of:?}: neither acknowledged nor back: {lost:?}");
+                assert!(lost.is_empty(), "{of:?}: neither acknowledged nor returned: {lost:?}");
             }
             let got: BTreeSet<u64> =
                 self.handed.iter().filter(|((o, _), _)| o == of).flat_map(|(_, h)| h).map(|h| h.1).collect();
             let claimed = taken.keys().filter(|n| **n <= acknowledged && !back.contains(n));
             let missing: Vec<&u64> = claimed.filter(|n| !got.contains(n)).collect();
-            assert!(missing.is_empty(), "{of:?}: acknowledged and never handed over: {missing:?}");
+            assert!(missing.is_empty(), "{of:?}: acknowledged and never delivered: {missing:?}");
         }
         for (of, handed) in &self.handed {
             let follows = |w: &[(u64, u64)]| match (w[0], w[1]) {
@@ -168,7 +171,7 @@
         handed += books.handed.values().map(Vec::len).sum::<usize>();
         back += books.back.values().map(BTreeSet::len).sum::<usize>();
     }
-    assert!(handed > 3_000 && back > 150, "{handed} handed over, {back} came back");
+    assert!(handed > 3_000 && back > 150, "{handed} delivered, {back} returned");
 }
 
 #[rstest]
