--- a/crates/link/examples/speed.rs
+++ b/crates/link/examples/speed.rs
@@ -37,8 +37,8 @@
     let over = AtomicBool::new(false);
     let (began, body) = (Instant::now(), vec![7u8; length]);
     let now = || (began.elapsed().as_micros() / 100) as Tenths;
-    let met = a.meet(0, &name("b"), b.address());
-    assert!(met.is_ok(), "{met:?}");
+    let added = a.meet(0, &name("b"), b.address());
+    assert!(added.is_ok(), "{added:?}");
     let waker = b.waker();
     std::thread::scope(|scope| {
         scope.spawn(|| {
@@ -104,7 +104,7 @@
             assert!(memory.meet(0, peer, network.address(peer)).is_ok());
         }
     }
-    let mut handed = 0;
+    let mut delivered = 0;
     for now in (0..seconds * 10_000).step_by(100) {
         for (i, memory) in all.iter_mut().enumerate() {
             if now % 1_000 == 0 {
@@ -113,11 +113,11 @@
                 }
             }
             while let Some(event) = memory.poll(now) {
-                handed += u64::from(matches!(event, Event::Message { .. }));
+                delivered += u64::from(matches!(event, Event::Message { .. }));
             }
         }
     }
-    (handed, began.elapsed())
+    (delivered, began.elapsed())
 }
 
 fn main() {
@@ -135,7 +135,9 @@
         println!("{length} {rate} {a_second} {p50} {p99} {}", run.refused);
     }
     for instances in [10, 100, 300] {
-        let (handed, took) = simulated(instances, 10);
-        println!("memory: {instances} instances, 10 s of simulated time: {handed} delivered in {took:.2?}");
+        let (delivered, took) = simulated(instances, 10);
+        println!(
+            "memory: {instances} instances, 10 s of simulated time: {delivered} delivered in {took:.2?}"
+        );
     }
 }
--- a/crates/link/src/contract.rs
+++ b/crates/link/src/contract.rs
@@ -38,9 +38,10 @@
 
 /// The bounds of the instances under test: the defaults with a shorter acknowledgement timeout and shorter backoff.
 pub fn bounds() -> Bounds {
-    let usual = Bounds::default();
-    let backoff = crate::Backoff { first: 100, most: 1_000, answer: 5_000, steady: 1_000 };
-    Bounds { patience: 15_000, backoff, ..usual }
+    let defaults = Bounds::default();
+    let backoff =
+        crate::Backoff { initial_delay: 100, max_delay: 1_000, connect_timeout: 5_000, stable_after: 1_000 };
+    Bounds { patience: 15_000, backoff, ..defaults }
 }
 
 const NOTE: Kind = 1;
@@ -66,33 +67,33 @@
     let clauses: [(&'static str, Clause<G>); 11] = [
         ("a message that cannot be sent is refused", refusals),
         ("a datagram arrives unchanged or not at all", datagrams),
-        ("unreadable input is reported and not delivered", unread),
-        ("a stream delivers each message once and in order", streams),
-        ("unacknowledged bytes are bounded, and none are lost", bounded),
+        ("unreadable input is reported and not delivered", unreadable),
+        ("a stream delivers each message once and in order", stream_order),
+        ("unacknowledged bytes are bounded, and none are lost", bounded_queue),
         ("a crash returns the unacknowledged messages", crash),
         ("a restarted peer is reached under its name", restart),
         ("an unknown message kind breaks only its stream", unknown_kind),
-        ("an absent peer breaks the stream", nobody),
-        ("a removed peer's unacknowledged messages are returned", forgotten),
-        ("a message for another instance is not delivered", elsewhere),
+        ("an absent peer breaks the stream", absent_peer),
+        ("a removed peer's unacknowledged messages are returned", removed_peer),
+        ("a message for another instance is not delivered", wrong_receiver),
     ];
-    for (clause, play) in clauses {
+    for (clause, check_clause) in clauses {
         let mut ground = make();
         let kinds = Kinds::new(&[(NOTE, "note"), (OTHER, "other")]);
-        let mut party =
-            Play { transports: BTreeMap::new(), told: BTreeMap::new(), kinds, ground: &mut ground };
-        play(&mut party).map_err(|why| Breach { clause, why })?;
+        let mut scenario =
+            Scenario { transports: BTreeMap::new(), events: BTreeMap::new(), kinds, ground: &mut ground };
+        check_clause(&mut scenario).map_err(|why| Breach { clause, why })?;
     }
     Ok(())
 }
 
-type Kept = Result<(), String>;
-type Clause<G> = fn(&mut Play<G>) -> Kept;
+type CheckResult = Result<(), String>;
+type Clause<G> = fn(&mut Scenario<G>) -> CheckResult;
 
 /// Instances in an environment, and the events each one received.
-struct Play<'a, G: Ground> {
+struct Scenario<'a, G: Ground> {
     transports: BTreeMap<Name, G::T>,
-    told: BTreeMap<Name, Vec<Event>>,
+    events: BTreeMap<Name, Vec<Event>>,
     kinds: Kinds,
     ground: &'a mut G,
 }
@@ -101,19 +102,19 @@
     Name::new(text).unwrap_or_else(|| panic!("{text} is not a valid name"))
 }
 
-fn must(kept: bool, why: impl FnOnce() -> String) -> Kept {
-    if kept { Ok(()) } else { Err(why()) }
+fn ensure(holds: bool, why: impl FnOnce() -> String) -> CheckResult {
+    if holds { Ok(()) } else { Err(why()) }
 }
 
 /// A body of this length that encodes the message's number.
-fn body(place: u64, length: usize) -> Vec<u8> {
-    let mut bytes: Vec<u8> = (0..length).map(|i| (i as u64).wrapping_mul(place + 7) as u8).collect();
+fn body(number: u64, length: usize) -> Vec<u8> {
+    let mut bytes: Vec<u8> = (0..length).map(|i| (i as u64).wrapping_mul(number + 7) as u8).collect();
     let start = length.min(8);
-    bytes[..start].copy_from_slice(&place.to_be_bytes()[8 - start..]);
+    bytes[..start].copy_from_slice(&number.to_be_bytes()[8 - start..]);
     bytes
 }
 
-impl<G: Ground> Play<'_, G> {
+impl<G: Ground> Scenario<'_, G> {
     fn start(&mut self, who: &str, incarnation: u64) {
         let kinds = self.kinds.clone();
         self.start_with(who, incarnation, kinds);
@@ -123,18 +124,18 @@
         let me = Sender { name: name(who), incarnation };
         let transport = self.ground.start(me, kinds);
         self.transports.insert(name(who), transport);
-        self.told.entry(name(who)).or_default();
+        self.events.entry(name(who)).or_default();
     }
 
-    fn meet(&mut self, from: &str, to: &str) -> Kept {
+    fn meet(&mut self, from: &str, to: &str) -> CheckResult {
         let address = self.ground.address(&name(from), &name(to));
         let now = self.ground.now();
-        let met = self.of(from).meet(now, &name(to), address);
-        met.map_err(|why| format!("{from} cannot add peer {to}: {why}"))
+        let added = self.transport(from).meet(now, &name(to), address);
+        added.map_err(|why| format!("{from} cannot add peer {to}: {why}"))
     }
 
     /// Starts these instances and adds each as a peer of the others.
-    fn begin(&mut self, names: &[&str]) -> Kept {
+    fn start_all(&mut self, names: &[&str]) -> CheckResult {
         names.iter().for_each(|n| self.start(n, 1));
         for (from, to) in names.iter().flat_map(|f| names.iter().map(move |t| (f, t))).filter(|(f, t)| f != t)
         {
@@ -143,21 +144,21 @@
         Ok(())
     }
 
-    fn of(&mut self, who: &str) -> &mut G::T {
+    fn transport(&mut self, who: &str) -> &mut G::T {
         self.transports.get_mut(&name(who)).unwrap_or_else(|| panic!("{who} was not started"))
     }
 
-    fn told(&self, who: &str) -> &[Event] {
-        self.told.get(&name(who)).map_or(&[], Vec::as_slice)
+    fn events(&self, who: &str) -> &[Event] {
+        self.events.get(&name(who)).map_or(&[], Vec::as_slice)
     }
 
-    fn streams(&mut self, who: &str) -> bool {
-        self.of(who).carries(Way::Stream(0))
+    fn carries_streams(&mut self, who: &str) -> bool {
+        self.transport(who).carries(Way::Stream(0))
     }
 
     fn send(&mut self, from: &str, to: &str, way: Way, kind: Kind, body: &[u8]) -> Result<u64, Refused> {
         let now = self.ground.now();
-        self.of(from).send(now, &name(to), way, kind, body)
+        self.transport(from).send(now, &name(to), way, kind, body)
     }
 
     /// Polls these instances until none has further events.
@@ -165,144 +166,153 @@
         for who in who {
             while let Some(event) = {
                 let now = self.ground.now();
-                self.of(who).poll(now)
+                self.transport(who).poll(now)
             } {
-                self.told.entry(name(who)).or_default().push(event);
+                self.events.entry(name(who)).or_default().push(event);
             }
         }
     }
 
     /// Polls these instances until `done`, for at most `limit`.
-    fn until(&mut self, who: &[&str], limit: Tenths, what: &str, done: impl Fn(&Self) -> bool) -> Kept {
+    fn until(
+        &mut self,
+        who: &[&str],
+        limit: Tenths,
+        what: &str,
+        done: impl Fn(&Self) -> bool,
+    ) -> CheckResult {
         let end = self.ground.now() + limit;
         loop {
             self.poll(who);
             if done(self) {
                 return Ok(());
             }
-            let told =
+            let summaries =
                 || who.iter().map(|w| format!("{w}: {}", self.summary(w))).collect::<Vec<_>>().join("; ");
-            must(self.ground.now() < end, || {
-                format!("{what} did not happen in {limit} tenths ({})", told())
+            ensure(self.ground.now() < end, || {
+                format!("{what} did not happen in {limit} tenths ({})", summaries())
             })?;
             self.ground.pass(10);
         }
     }
 
     fn summary(&self, who: &str) -> String {
-        let last =
-            self.told(who).last().map_or_else(String::new, |e| format!("{e:?}").chars().take(160).collect());
-        format!("{} events, the last {last}", self.told(who).len())
+        let last = self
+            .events(who)
+            .last()
+            .map_or_else(String::new, |e| format!("{e:?}").chars().take(160).collect());
+        format!("{} events, the last {last}", self.events(who).len())
     }
 
     /// The messages of a stream that were delivered to an instance: epoch, number, body.
-    fn handed(&self, who: &str, from: &str, of: StreamId) -> Vec<(u64, u64, &[u8])> {
-        let of = |e| match e {
+    fn delivered(&self, who: &str, from: &str, wanted: StreamId) -> Vec<(u64, u64, &[u8])> {
+        let matching = |e| match e {
             &Event::Message { from: ref s, stream, epoch, number, ref body, .. }
-                if s.name == name(from) && stream == of =>
+                if s.name == name(from) && stream == wanted =>
             {
                 Some((epoch, number, body.as_slice()))
             }
             _ => None,
         };
-        self.told(who).iter().filter_map(of).collect()
+        self.events(who).iter().filter_map(matching).collect()
     }
 
-    fn acknowledged(&self, who: &str, by: &str, of: StreamId) -> u64 {
-        let of = |e| match e {
-            &Event::Acknowledged { ref to, stream, number } if *to == name(by) && stream == of => {
+    fn acknowledged(&self, who: &str, by: &str, wanted: StreamId) -> u64 {
+        let matching = |e| match e {
+            &Event::Acknowledged { ref to, stream, number } if *to == name(by) && stream == wanted => {
                 Some(number)
             }
             _ => None,
         };
-        self.told(who).iter().filter_map(of).max().unwrap_or(0)
+        self.events(who).iter().filter_map(matching).max().unwrap_or(0)
     }
 
     fn broken(&self, who: &str) -> Vec<(&Name, StreamId, &[Message], &Why)> {
-        let of = |e| match e {
+        let matching = |e| match e {
             &Event::Broken { ref to, stream, ref unacknowledged, ref why } => {
                 Some((to, stream, unacknowledged.as_slice(), why))
             }
             _ => None,
         };
-        self.told(who).iter().filter_map(of).collect()
+        self.events(who).iter().filter_map(matching).collect()
     }
 }
 
 /// Checks that numbers are consecutive within an epoch, an epoch begins with its own number, and epochs grow.
-fn in_order(handed: &[(u64, u64, &[u8])]) -> Kept {
+fn in_order(delivered: &[(u64, u64, &[u8])]) -> CheckResult {
     let mut last: Option<(u64, u64)> = None;
-    for (epoch, number, _) in handed {
+    for (epoch, number, _) in delivered {
         let follows = match last {
             Some((e, n)) if e == *epoch => *number == n + 1,
             Some((e, _)) => epoch > &e && number == epoch,
             None => number == epoch,
         };
-        must(follows, || format!("number {number} of epoch {epoch} was delivered after {last:?}"))?;
+        ensure(follows, || format!("number {number} of epoch {epoch} was delivered after {last:?}"))?;
         last = Some((*epoch, *number));
     }
     Ok(())
 }
 
-fn refusals<G: Ground>(play: &mut Play<G>) -> Kept {
-    play.begin(&["a", "b"])?;
+fn refusals<G: Ground>(scenario: &mut Scenario<G>) -> CheckResult {
+    scenario.start_all(&["a", "b"])?;
     for way in [Way::Datagram, Way::Stream(1)] {
-        if !play.of("a").carries(way) {
-            let refused = play.send("a", "b", way, NOTE, b"");
-            must(refused == Err(Refused::NoSuchWay(way)), || format!("{way:?}: {refused:?}"))?;
+        if !scenario.transport("a").carries(way) {
+            let refused = scenario.send("a", "b", way, NOTE, b"");
+            ensure(refused == Err(Refused::NoSuchWay(way)), || format!("{way:?}: {refused:?}"))?;
             continue;
         }
-        let refused = play.send("a", "nobody", way, NOTE, b"");
-        must(refused == Err(Refused::NotMet(name("nobody"))), || format!("unknown peer: {refused:?}"))?;
-        let refused = play.send("a", "b", way, NEWER, b"");
-        must(refused == Err(Refused::Kind(NEWER)), || format!("unknown kind: {refused:?}"))?;
-        let refused = play.send("a", "b", way, NOTE, &vec![0; bounds().message + 1]);
-        must(matches!(refused, Err(Refused::TooLong { .. })), || format!("too long: {refused:?}"))?;
+        let refused = scenario.send("a", "nobody", way, NOTE, b"");
+        ensure(refused == Err(Refused::NotMet(name("nobody"))), || format!("unknown peer: {refused:?}"))?;
+        let refused = scenario.send("a", "b", way, NEWER, b"");
+        ensure(refused == Err(Refused::Kind(NEWER)), || format!("unknown kind: {refused:?}"))?;
+        let refused = scenario.send("a", "b", way, NOTE, &vec![0; bounds().message + 1]);
+        ensure(matches!(refused, Err(Refused::TooLong { .. })), || format!("too long: {refused:?}"))?;
     }
     Ok(())
 }
 
 /// Maximum body of a datagram, as reported by the transport.
-fn datagram_most<G: Ground>(play: &mut Play<G>) -> Result<usize, String> {
-    match play.send("a", "b", Way::Datagram, NOTE, &vec![0; bounds().datagram + 1]) {
+fn max_datagram_body<G: Ground>(scenario: &mut Scenario<G>) -> Result<usize, String> {
+    match scenario.send("a", "b", Way::Datagram, NOTE, &vec![0; bounds().datagram + 1]) {
         Err(Refused::TooLong { bound, .. }) => Ok(bound),
         other => Err(format!("a datagram over the limit: {other:?}")),
     }
 }
 
-fn datagrams<G: Ground>(play: &mut Play<G>) -> Kept {
-    play.begin(&["a", "b"])?;
-    if !play.of("a").carries(Way::Datagram) {
+fn datagrams<G: Ground>(scenario: &mut Scenario<G>) -> CheckResult {
+    scenario.start_all(&["a", "b"])?;
+    if !scenario.transport("a").carries(Way::Datagram) {
         return Ok(());
     }
-    let most = datagram_most(play)?;
-    let lengths: Vec<usize> = (0..40).map(|i| i * most / 39).collect();
-    let faulty = play.ground.is_faulty();
-    let sent = |i: usize| body(i as u64, lengths[i]);
-    for i in 0..lengths.len() {
-        play.send("a", "b", Way::Datagram, OTHER, &sent(i)).map_err(|why| why.to_string())?;
-        play.poll(&["b"]);
-        play.ground.pass(1);
-    }
-    let least = if faulty { lengths.len() / 4 } else { lengths.len() };
-    play.until(&["a", "b"], 80_000, "the arrival of datagrams", |p| p.told("b").len() >= least)?;
+    let max_body = max_datagram_body(scenario)?;
+    let body_lengths: Vec<usize> = (0..40).map(|i| i * max_body / 39).collect();
+    let faulty = scenario.ground.is_faulty();
+    let sent_body = |i: usize| body(i as u64, body_lengths[i]);
+    for i in 0..body_lengths.len() {
+        scenario.send("a", "b", Way::Datagram, OTHER, &sent_body(i)).map_err(|why| why.to_string())?;
+        scenario.poll(&["b"]);
+        scenario.ground.pass(1);
+    }
+    let expected_count = if faulty { body_lengths.len() / 4 } else { body_lengths.len() };
+    scenario
+        .until(&["a", "b"], 80_000, "the arrival of datagrams", |p| p.events("b").len() >= expected_count)?;
     let mut count = BTreeMap::new();
-    for event in play.told("b") {
+    for event in scenario.events("b") {
         let Event::Datagram { from, kind, body } = event else { return Err(format!("got {event:?}")) };
-        must(from.name == name("a") && from.incarnation == 1 && *kind == OTHER, || format!("from {from}"))?;
-        let which = (0..lengths.len()).find(|i| sent(*i) == *body);
-        let which = which
+        ensure(from.name == name("a") && from.incarnation == 1 && *kind == OTHER, || format!("from {from}"))?;
+        let index = (0..body_lengths.len()).find(|i| sent_body(*i) == *body);
+        let index = index
             .ok_or_else(|| format!("received a datagram of {} bytes that was never sent", body.len()))?;
-        *count.entry(which).or_insert(0) += 1;
+        *count.entry(index).or_insert(0) += 1;
     }
-    must(faulty || count.values().all(|n| *n == 1), || {
+    ensure(faulty || count.values().all(|n| *n == 1), || {
         "a datagram arrived twice on a link without faults".into()
     })
 }
 
-fn unread<G: Ground>(play: &mut Play<G>) -> Kept {
-    play.begin(&["a", "b"])?;
-    if !play.of("b").carries(Way::Datagram) {
+fn unreadable<G: Ground>(scenario: &mut Scenario<G>) -> CheckResult {
+    scenario.start_all(&["a", "b"])?;
+    if !scenario.transport("b").carries(Way::Datagram) {
         return Ok(());
     }
     let header =
@@ -322,273 +332,296 @@
         (encode(&header("c", NOTE), b""), Unread::NotMine("c".into())),
     ];
     for (bytes, expected) in cases {
-        must(play.ground.inject(&name("b"), &bytes), || {
+        ensure(scenario.ground.inject(&name("b"), &bytes), || {
             "datagrams are supported but cannot be injected".into()
         })?;
-        let says = |p: &Play<G>| {
-            p.told("b").iter().any(|e| matches!(e, Event::Unread { why, .. } if *why == expected))
+        let reported = |p: &Scenario<G>| {
+            p.events("b").iter().any(|e| matches!(e, Event::Unread { why, .. } if *why == expected))
         };
-        play.until(&["b"], 60_000, &format!("the report {expected:?}"), says)?;
+        scenario.until(&["b"], 60_000, &format!("the report {expected:?}"), reported)?;
     }
-    play.ground.inject(&name("b"), &good);
-    let handed = |p: &Play<G>| p.told("b").iter().filter(|e| matches!(e, Event::Datagram { .. })).count();
-    play.until(&["b"], 60_000, "a valid datagram after the invalid ones", |p| handed(p) > 0)?;
-    must(handed(play) == 1, || "more than the valid datagram was delivered".into())
+    scenario.ground.inject(&name("b"), &good);
+    let delivered =
+        |p: &Scenario<G>| p.events("b").iter().filter(|e| matches!(e, Event::Datagram { .. })).count();
+    scenario.until(&["b"], 60_000, "a valid datagram after the invalid ones", |p| delivered(p) > 0)?;
+    ensure(delivered(scenario) == 1, || "more than the valid datagram was delivered".into())
 }
 
-fn streams<G: Ground>(play: &mut Play<G>) -> Kept {
-    const EACH: u64 = 150;
-    play.begin(&["a", "b", "c"])?;
-    if !play.streams("a") {
+fn stream_order<G: Ground>(scenario: &mut Scenario<G>) -> CheckResult {
+    const MESSAGES_PER_STREAM: u64 = 150;
+    scenario.start_all(&["a", "b", "c"])?;
+    if !scenario.carries_streams("a") {
         return Ok(());
     }
     let length = |i: u64| if i == 70 { bounds().message } else { (i as usize * 37) % 2_000 };
-    let ways: Vec<(&str, StreamId)> = vec![("a", 0), ("a", 1), ("a", 65_535), ("b", 0), ("b", 7)];
-    let mut next: Vec<u64> = vec![1; ways.len()];
-    let end = play.ground.now() + 200_000;
-    while next.iter().any(|n| *n <= EACH) {
-        for (i, (from, stream)) in ways.iter().enumerate() {
+    let streams: Vec<(&str, StreamId)> = vec![("a", 0), ("a", 1), ("a", 65_535), ("b", 0), ("b", 7)];
+    let mut next: Vec<u64> = vec![1; streams.len()];
+    let end = scenario.ground.now() + 200_000;
+    while next.iter().any(|n| *n <= MESSAGES_PER_STREAM) {
+        for (i, (from, stream)) in streams.iter().enumerate() {
             let bytes = body(next[i], length(next[i]));
-            if next[i] <= EACH {
-                match play.send(from, "c", Way::Stream(*stream), NOTE, &bytes) {
+            if next[i] <= MESSAGES_PER_STREAM {
+                match scenario.send(from, "c", Way::Stream(*stream), NOTE, &bytes) {
                     Ok(number) => {
-                        must(number == next[i], || {
+                        ensure(number == next[i], || {
                             format!("message {} got sequence number {number}", next[i])
                         })?;
                         next[i] += 1;
                     }
-                    Err(Refused::Full { .. }) => play.ground.pass(1),
+                    Err(Refused::Full { .. }) => scenario.ground.pass(1),
                     Err(why) => return Err(format!("refused: {why}")),
                 }
             }
         }
-        play.poll(&["a", "b", "c"]);
-        must(play.ground.now() < end, || "the streams make no progress".into())?;
-    }
-    let all = |p: &Play<G>| ways.iter().all(|(from, stream)| p.acknowledged(from, "c", *stream) == EACH);
-    play.until(&["a", "b", "c"], 100_000, "the acknowledgement of all messages", all)?;
-    for (from, stream) in &ways {
-        let handed = play.handed("c", from, *stream);
-        in_order(&handed)?;
-        must(handed.len() as u64 == EACH, || format!("{} of {EACH} were delivered", handed.len()))?;
+        scenario.poll(&["a", "b", "c"]);
+        ensure(scenario.ground.now() < end, || "the streams make no progress".into())?;
+    }
+    let all_acknowledged = |p: &Scenario<G>| {
+        streams.iter().all(|(from, stream)| p.acknowledged(from, "c", *stream) == MESSAGES_PER_STREAM)
+    };
+    scenario.until(&["a", "b", "c"], 100_000, "the acknowledgement of all messages", all_acknowledged)?;
+    for (from, stream) in &streams {
+        let delivered = scenario.delivered("c", from, *stream);
+        in_order(&delivered)?;
+        ensure(delivered.len() as u64 == MESSAGES_PER_STREAM, || {
+            format!("{} of {MESSAGES_PER_STREAM} were delivered", delivered.len())
+        })?;
         let as_sent = |(_, n, b): &(u64, u64, &[u8])| *b == body(*n, length(*n));
-        must(handed.iter().all(as_sent), || "a body differs from the one sent".into())?;
+        ensure(delivered.iter().all(as_sent), || "a body differs from the one sent".into())?;
     }
-    must(play.broken("a").is_empty() && play.broken("b").is_empty(), || {
+    ensure(scenario.broken("a").is_empty() && scenario.broken("b").is_empty(), || {
         "a stream broke on a link without faults".into()
     })
 }
 
-fn bounded<G: Ground>(play: &mut Play<G>) -> Kept {
-    play.begin(&["a", "b"])?;
-    if !play.streams("a") {
+fn bounded_queue<G: Ground>(scenario: &mut Scenario<G>) -> CheckResult {
+    scenario.start_all(&["a", "b"])?;
+    if !scenario.carries_streams("a") {
         return Ok(());
     }
     let (bound, length) = (bounds().stream_bytes, 10_000);
-    let mut taken = 0u64;
-    let mut end = play.ground.now() + 200_000;
+    let mut accepted = 0u64;
+    let mut end = scenario.ground.now() + 200_000;
     let mut full = false;
     // b runs and does not poll.
-    while play.ground.now() < end {
-        match play.send("a", "b", Way::Stream(3), NOTE, &body(taken + 1, length)) {
-            Ok(_) => taken += 1,
+    while scenario.ground.now() < end {
+        match scenario.send("a", "b", Way::Stream(3), NOTE, &body(accepted + 1, length)) {
+            Ok(_) => accepted += 1,
             Err(Refused::Full { .. }) => {
                 // Time for acknowledgements that must not arrive.
                 if !std::mem::replace(&mut full, true) {
-                    end = play.ground.now() + 3_000;
+                    end = scenario.ground.now() + 3_000;
                 }
-                play.ground.pass(50);
+                scenario.ground.pass(50);
             }
             Err(why) => return Err(format!("refused: {why}")),
         }
-        must(taken as usize * length <= bound, || format!("{taken} messages accepted, none delivered"))?;
-        play.poll(&["a"]);
-        let early = play.acknowledged("a", "b", 3);
-        must(early == 0, || format!("{early} reported as acknowledged before delivery"))?;
-    }
-    must(full && taken as usize * length > bound / 2, || format!("only {taken} messages were accepted"))?;
-    let all = |p: &Play<G>| p.acknowledged("a", "b", 3) == taken;
-    play.until(&["a", "b"], 100_000, "the acknowledgement of all accepted messages", all)?;
-    let handed = play.handed("b", "a", 3);
-    in_order(&handed)?;
-    must(handed.len() as u64 == taken, || format!("{} of {taken} were delivered", handed.len()))?;
-    let again = play.send("a", "b", Way::Stream(3), NOTE, &body(0, length));
-    must(again == Ok(taken + 1), || format!("send refused after all was acknowledged: {again:?}"))
+        ensure(accepted as usize * length <= bound, || {
+            format!("{accepted} messages accepted, none delivered")
+        })?;
+        scenario.poll(&["a"]);
+        let premature = scenario.acknowledged("a", "b", 3);
+        ensure(premature == 0, || format!("{premature} reported as acknowledged before delivery"))?;
+    }
+    ensure(full && accepted as usize * length > bound / 2, || {
+        format!("only {accepted} messages were accepted")
+    })?;
+    let all_acknowledged = |p: &Scenario<G>| p.acknowledged("a", "b", 3) == accepted;
+    scenario.until(&["a", "b"], 100_000, "the acknowledgement of all accepted messages", all_acknowledged)?;
+    let delivered = scenario.delivered("b", "a", 3);
+    in_order(&delivered)?;
+    ensure(delivered.len() as u64 == accepted, || {
+        format!("{} of {accepted} were delivered", delivered.len())
+    })?;
+    let after_acknowledgement = scenario.send("a", "b", Way::Stream(3), NOTE, &body(0, length));
+    ensure(after_acknowledgement == Ok(accepted + 1), || {
+        format!("send refused after all was acknowledged: {after_acknowledgement:?}")
+    })
 }
 
-/// Crashes b after it was handed `some` of the messages from a. The events at a must account for every message.
-fn crash_after<G: Ground>(play: &mut Play<G>, some: usize) -> Kept {
-    const SENT: u64 = 60;
-    for i in 1..=SENT {
-        let taken = play.send("a", "b", Way::Stream(5), NOTE, &body(i, 20_000 / i as usize));
-        must(taken == Ok(i), || format!("message {i}: {taken:?}"))?;
-    }
-    let end = play.ground.now() + 50_000;
-    while play.handed("b", "a", 5).len() < some {
-        play.poll(&["a"]);
-        let now = play.ground.now();
-        match play.of("b").poll(now) {
-            Some(event) => play.told.entry(name("b")).or_default().push(event),
-            None => play.ground.pass(5),
+/// Crashes b after `count` messages from a were delivered to it. The events at a must account for every message.
+fn crash_after<G: Ground>(scenario: &mut Scenario<G>, count: usize) -> CheckResult {
+    const MESSAGES: u64 = 60;
+    for i in 1..=MESSAGES {
+        let accepted = scenario.send("a", "b", Way::Stream(5), NOTE, &body(i, 20_000 / i as usize));
+        ensure(accepted == Ok(i), || format!("message {i}: {accepted:?}"))?;
+    }
+    let end = scenario.ground.now() + 50_000;
+    while scenario.delivered("b", "a", 5).len() < count {
+        scenario.poll(&["a"]);
+        let now = scenario.ground.now();
+        match scenario.transport("b").poll(now) {
+            Some(event) => scenario.events.entry(name("b")).or_default().push(event),
+            None => scenario.ground.pass(5),
         }
-        must(now < end, || "too few messages are delivered".into())?;
-    }
-    play.transports.remove(&name("b"));
-    play.until(&["a"], 80_000, "the event for the broken stream", |p| !p.broken("a").is_empty())?;
-    let handed = play.handed("b", "a", 5).len() as u64;
-    let acknowledged = play.acknowledged("a", "b", 5);
-    must(acknowledged <= handed, || format!("{acknowledged} acknowledged, {handed} delivered"))?;
-    let broken = play.broken("a");
-    let back: Vec<u64> = broken.iter().flat_map(|b| b.2).map(|m| m.number).collect();
-    let expected: Vec<u64> = (acknowledged + 1..=SENT).collect();
-    must(back == expected, || format!("{acknowledged} of {SENT} acknowledged, {} returned", back.len()))?;
+        ensure(now < end, || "too few messages are delivered".into())?;
+    }
+    scenario.transports.remove(&name("b"));
+    scenario.until(&["a"], 80_000, "the event for the broken stream", |p| !p.broken("a").is_empty())?;
+    let delivered = scenario.delivered("b", "a", 5).len() as u64;
+    let acknowledged = scenario.acknowledged("a", "b", 5);
+    ensure(acknowledged <= delivered, || format!("{acknowledged} acknowledged, {delivered} delivered"))?;
+    let broken = scenario.broken("a");
+    let returned: Vec<u64> = broken.iter().flat_map(|b| b.2).map(|m| m.number).collect();
+    let expected: Vec<u64> = (acknowledged + 1..=MESSAGES).collect();
+    ensure(returned == expected, || {
+        format!("{acknowledged} of {MESSAGES} acknowledged, {} returned", returned.len())
+    })?;
     let as_sent = |m: &Message| m.body == body(m.number, 20_000 / m.number as usize) && m.kind == NOTE;
-    must(broken.iter().flat_map(|b| b.2).all(as_sent), || {
+    ensure(broken.iter().flat_map(|b| b.2).all(as_sent), || {
         "a returned message differs from the one sent".into()
     })
 }
 
-fn crash<G: Ground>(play: &mut Play<G>) -> Kept {
-    play.begin(&["a", "b"])?;
-    if !play.streams("a") {
+fn crash<G: Ground>(scenario: &mut Scenario<G>) -> CheckResult {
+    scenario.start_all(&["a", "b"])?;
+    if !scenario.carries_streams("a") {
         return Ok(());
     }
-    crash_after(play, 20)
+    crash_after(scenario, 20)
 }
 
-fn restart<G: Ground>(play: &mut Play<G>) -> Kept {
-    play.begin(&["a", "b"])?;
-    if !play.streams("a") {
-        play.transports.remove(&name("b"));
-        play.start("b", 2);
-        play.meet("b", "a")?;
-        let says = |p: &Play<G>| {
-            p.told("a").iter().any(|e| matches!(e, Event::Datagram { from, .. } if from.incarnation == 2))
+fn restart<G: Ground>(scenario: &mut Scenario<G>) -> CheckResult {
+    scenario.start_all(&["a", "b"])?;
+    if !scenario.carries_streams("a") {
+        scenario.transports.remove(&name("b"));
+        scenario.start("b", 2);
+        scenario.meet("b", "a")?;
+        let reported = |p: &Scenario<G>| {
+            p.events("a").iter().any(|e| matches!(e, Event::Datagram { from, .. } if from.incarnation == 2))
         };
         for _ in 0..20 {
-            play.send("b", "a", Way::Datagram, NOTE, b"again").map_err(|why| why.to_string())?;
+            scenario.send("b", "a", Way::Datagram, NOTE, b"again").map_err(|why| why.to_string())?;
         }
-        return play.until(&["a", "b"], 20_000, "a datagram from the later incarnation", says);
-    }
-    crash_after(play, 10)?;
-    let before = play.handed("b", "a", 5).len();
-    play.start("b", 2);
-    play.meet("b", "a")?;
-    let first = play.send("a", "b", Way::Stream(5), NOTE, b"again").map_err(|why| why.to_string())?;
-    play.send("a", "b", Way::Stream(5), NOTE, b"and again").map_err(|why| why.to_string())?;
-    play.send("b", "a", Way::Stream(5), NOTE, b"back").map_err(|why| why.to_string())?;
-    let both = |p: &Play<G>| p.handed("b", "a", 5).len() >= before + 2 && p.handed("a", "b", 5).len() == 1;
-    play.until(&["a", "b"], 80_000, "messages to and from the later incarnation", both)?;
-    let later = play.handed("b", "a", 5).split_off(before);
+        return scenario.until(&["a", "b"], 20_000, "a datagram from the later incarnation", reported);
+    }
+    crash_after(scenario, 10)?;
+    let before = scenario.delivered("b", "a", 5).len();
+    scenario.start("b", 2);
+    scenario.meet("b", "a")?;
+    let first = scenario.send("a", "b", Way::Stream(5), NOTE, b"again").map_err(|why| why.to_string())?;
+    scenario.send("a", "b", Way::Stream(5), NOTE, b"and again").map_err(|why| why.to_string())?;
+    scenario.send("b", "a", Way::Stream(5), NOTE, b"back").map_err(|why| why.to_string())?;
+    let both =
+        |p: &Scenario<G>| p.delivered("b", "a", 5).len() >= before + 2 && p.delivered("a", "b", 5).len() == 1;
+    scenario.until(&["a", "b"], 80_000, "messages to and from the later incarnation", both)?;
+    let delivered_later = scenario.delivered("b", "a", 5).split_off(before);
     let expected = [(first, first, &b"again"[..]), (first, first + 1, &b"and again"[..])];
-    must(later == expected, || format!("delivered to the later incarnation: {later:?}"))?;
-    let two = |e: &Event| matches!(e, Event::Message { from, .. } if from.incarnation == 2);
-    must(play.told("a").iter().any(two), || "the later start reports the earlier incarnation".into())
+    ensure(delivered_later == expected, || {
+        format!("delivered to the later incarnation: {delivered_later:?}")
+    })?;
+    let later_incarnation = |e: &Event| matches!(e, Event::Message { from, .. } if from.incarnation == 2);
+    ensure(scenario.events("a").iter().any(later_incarnation), || {
+        "the later start reports the earlier incarnation".into()
+    })
 }
 
-fn unknown_kind<G: Ground>(play: &mut Play<G>) -> Kept {
+fn unknown_kind<G: Ground>(scenario: &mut Scenario<G>) -> CheckResult {
     let more = Kinds::new(&[(NOTE, "note"), (NEWER, "newer")]);
-    play.start_with("a", 1, more);
-    play.start("b", 1);
-    play.meet("a", "b")?;
-    play.meet("b", "a")?;
-    if !play.streams("a") {
+    scenario.start_with("a", 1, more);
+    scenario.start("b", 1);
+    scenario.meet("a", "b")?;
+    scenario.meet("b", "a")?;
+    if !scenario.carries_streams("a") {
         return Ok(());
     }
     for (stream, kind) in [(1, NOTE), (2, NOTE), (1, NEWER), (1, NOTE), (2, NOTE)] {
-        play.send("a", "b", Way::Stream(stream), kind, b"x").map_err(|why| why.to_string())?;
+        scenario.send("a", "b", Way::Stream(stream), kind, b"x").map_err(|why| why.to_string())?;
     }
-    let done = |p: &Play<G>| !p.broken("a").is_empty() && p.acknowledged("a", "b", 2) == 2;
-    play.until(&["a", "b"], 80_000, "the break of one stream and the completion of the other", done)?;
-    let broken = play.broken("a");
-    let [(_, 1, back, Why::Refused(Unread::Kind(NEWER)))] = broken[..] else {
+    let done = |p: &Scenario<G>| !p.broken("a").is_empty() && p.acknowledged("a", "b", 2) == 2;
+    scenario.until(&["a", "b"], 80_000, "the break of one stream and the completion of the other", done)?;
+    let broken = scenario.broken("a");
+    let [(_, 1, returned, Why::Refused(Unread::Kind(NEWER)))] = broken[..] else {
         return Err(format!("unexpected events {broken:?}"));
     };
-    let kinds: Vec<Kind> = back.iter().filter(|m| m.number > 1).map(|m| m.kind).collect();
-    must(kinds == [NEWER, NOTE], || format!("returned: {back:?}"))?;
-    let says = |e: &Event| matches!(e, Event::Unread { from: Some(a), why: Unread::Kind(NEWER) } if a.as_str() == "a");
-    must(play.told("b").iter().any(says), || "the receiver reported nothing".into())?;
-    play.send("a", "b", Way::Stream(1), NOTE, b"y").map_err(|why| why.to_string())?;
-    let numbers = |p: &Play<G>| p.handed("b", "a", 1).iter().map(|h| h.1).collect::<Vec<_>>();
-    play.until(&["a", "b"], 80_000, "the stream's next epoch", |p| numbers(p) == [1, 4])?;
-    in_order(&play.handed("b", "a", 1))
+    let kinds: Vec<Kind> = returned.iter().filter(|m| m.number > 1).map(|m| m.kind).collect();
+    ensure(kinds == [NEWER, NOTE], || format!("returned: {returned:?}"))?;
+    let reported = |e: &Event| matches!(e, Event::Unread { from: Some(a), why: Unread::Kind(NEWER) } if a.as_str() == "a");
+    ensure(scenario.events("b").iter().any(reported), || "the receiver reported nothing".into())?;
+    scenario.send("a", "b", Way::Stream(1), NOTE, b"y").map_err(|why| why.to_string())?;
+    let numbers = |p: &Scenario<G>| p.delivered("b", "a", 1).iter().map(|h| h.1).collect::<Vec<_>>();
+    scenario.until(&["a", "b"], 80_000, "the stream's next epoch", |p| numbers(p) == [1, 4])?;
+    in_order(&scenario.delivered("b", "a", 1))
 }
 
-fn nobody<G: Ground>(play: &mut Play<G>) -> Kept {
-    play.begin(&["a", "b"])?;
-    if !play.streams("a") {
+fn absent_peer<G: Ground>(scenario: &mut Scenario<G>) -> CheckResult {
+    scenario.start_all(&["a", "b"])?;
+    if !scenario.carries_streams("a") {
         return Ok(());
     }
-    play.transports.remove(&name("b"));
+    scenario.transports.remove(&name("b"));
     for i in 1..=3 {
-        play.send("a", "b", Way::Stream(2), NOTE, &body(i, 10)).map_err(|why| why.to_string())?;
+        scenario.send("a", "b", Way::Stream(2), NOTE, &body(i, 10)).map_err(|why| why.to_string())?;
     }
     let limit = bounds().patience + 40_000;
-    let back = |p: &Play<G>| p.broken("a").iter().map(|b| b.2.len()).sum::<usize>();
-    play.until(&["a"], limit, "the return of the undelivered messages", |p| back(p) == 3)
+    let returned = |p: &Scenario<G>| p.broken("a").iter().map(|b| b.2.len()).sum::<usize>();
+    scenario.until(&["a"], limit, "the return of the undelivered messages", |p| returned(p) == 3)
 }
 
-fn forgotten<G: Ground>(play: &mut Play<G>) -> Kept {
-    play.begin(&["a", "b"])?;
-    if !play.streams("a") {
+fn removed_peer<G: Ground>(scenario: &mut Scenario<G>) -> CheckResult {
+    scenario.start_all(&["a", "b"])?;
+    if !scenario.carries_streams("a") {
         return Ok(());
     }
     // b does not poll, so nothing is acknowledged.
     for i in 1..=3 {
-        play.send("a", "b", Way::Stream(2), NOTE, &body(i, 10)).map_err(|why| why.to_string())?;
-    }
-    play.poll(&["a"]);
-    let now = play.ground.now();
-    play.of("a").forget(now, &name("b"));
-    play.poll(&["a"]);
-    let broken = play.broken("a");
-    let left = broken.len() == 1 && broken[0].2.len() == 3 && *broken[0].3 == Why::Left;
-    must(left, || format!("unexpected events {broken:?}"))?;
-    let refused = play.send("a", "b", Way::Stream(2), NOTE, b"");
-    must(refused == Err(Refused::NotMet(name("b"))), || format!("a removed peer: {refused:?}"))?;
-    let later = play.of("a").wake_at();
-    let now = play.ground.now();
-    must(later.is_none_or(|at| at > now), || "nothing is left to do, but wake_at is due".into())
+        scenario.send("a", "b", Way::Stream(2), NOTE, &body(i, 10)).map_err(|why| why.to_string())?;
+    }
+    scenario.poll(&["a"]);
+    let now = scenario.ground.now();
+    scenario.transport("a").forget(now, &name("b"));
+    scenario.poll(&["a"]);
+    let broken = scenario.broken("a");
+    let removed = broken.len() == 1 && broken[0].2.len() == 3 && *broken[0].3 == Why::Left;
+    ensure(removed, || format!("unexpected events {broken:?}"))?;
+    let refused = scenario.send("a", "b", Way::Stream(2), NOTE, b"");
+    ensure(refused == Err(Refused::NotMet(name("b"))), || format!("a removed peer: {refused:?}"))?;
+    let next_wake = scenario.transport("a").wake_at();
+    let now = scenario.ground.now();
+    ensure(next_wake.is_none_or(|at| at > now), || "nothing is left to do, but wake_at is due".into())
 }
 
-fn elsewhere<G: Ground>(play: &mut Play<G>) -> Kept {
-    play.begin(&["a", "b", "c"])?;
-    let wrong = play.ground.address(&name("a"), &name("c"));
-    let now = play.ground.now();
-    if play.of("a").carries(Way::Stream(1)) {
-        play.send("a", "b", Way::Stream(1), NOTE, b"before").map_err(|why| why.to_string())?;
-    }
-    play.of("a").meet(now, &name("b"), wrong).map_err(|why| why.to_string())?;
-    play.poll(&["a"]);
-    let says = |e: &Event| matches!(e, Event::Unread { why: Unread::NotMine(b), .. } if b == "b");
-    if !play.streams("a") {
+fn wrong_receiver<G: Ground>(scenario: &mut Scenario<G>) -> CheckResult {
+    scenario.start_all(&["a", "b", "c"])?;
+    let wrong_address = scenario.ground.address(&name("a"), &name("c"));
+    let now = scenario.ground.now();
+    if scenario.transport("a").carries(Way::Stream(1)) {
+        scenario.send("a", "b", Way::Stream(1), NOTE, b"before").map_err(|why| why.to_string())?;
+    }
+    scenario.transport("a").meet(now, &name("b"), wrong_address).map_err(|why| why.to_string())?;
+    scenario.poll(&["a"]);
+    let reported = |e: &Event| matches!(e, Event::Unread { why: Unread::NotMine(b), .. } if b == "b");
+    if !scenario.carries_streams("a") {
         for _ in 0..20 {
-            play.send("a", "b", Way::Datagram, NOTE, b"x").map_err(|why| why.to_string())?;
+            scenario.send("a", "b", Way::Datagram, NOTE, b"x").map_err(|why| why.to_string())?;
         }
-        return play.until(&["a", "b", "c"], 20_000, "the report of a datagram for another instance", |p| {
-            p.told("c").iter().any(says)
-        });
-    }
-    let broken = play.broken("a");
-    must(broken.len() == 1 && *broken[0].3 == Why::Left, || {
+        return scenario.until(
+            &["a", "b", "c"],
+            20_000,
+            "the report of a datagram for another instance",
+            |p| p.events("c").iter().any(reported),
+        );
+    }
+    let broken = scenario.broken("a");
+    ensure(broken.len() == 1 && *broken[0].3 == Why::Left, || {
         format!("events after the address change: {broken:?}")
     })?;
-    play.send("a", "b", Way::Stream(1), NOTE, b"astray").map_err(|why| why.to_string())?;
-    let back = |p: &Play<G>| p.broken("a").len() == 2;
-    play.until(
+    scenario.send("a", "b", Way::Stream(1), NOTE, b"astray").map_err(|why| why.to_string())?;
+    let returned = |p: &Scenario<G>| p.broken("a").len() == 2;
+    scenario.until(
         &["a", "b", "c"],
         bounds().patience + 60_000,
         "the break after sending to the wrong instance",
-        back,
+        returned,
     )?;
-    let why = play.broken("a")[1].3;
-    must(*why == Why::Refused(Unread::NotMine("b".into())), || format!("unexpected reason {why:?}"))?;
-    must(play.told("c").iter().any(says), || "the wrong receiver reported nothing".into())?;
-    play.meet("a", "b")?;
-    let number = play.send("a", "b", Way::Stream(1), NOTE, b"after").map_err(|why| why.to_string())?;
-    must(number == 3, || format!("the numbers continue with {number}"))?;
-    let came = |p: &Play<G>| p.handed("b", "a", 1).last().is_some_and(|h| h.2 == b"after");
-    play.until(&["a", "b", "c"], 60_000, "the message to the right address", came)?;
-    let at_c = play.handed("c", "a", 1);
-    must(at_c.is_empty(), || format!("delivered to another instance: {at_c:?}"))
+    let why = scenario.broken("a")[1].3;
+    ensure(*why == Why::Refused(Unread::NotMine("b".into())), || format!("unexpected reason {why:?}"))?;
+    ensure(scenario.events("c").iter().any(reported), || "the wrong receiver reported nothing".into())?;
+    scenario.meet("a", "b")?;
+    let number = scenario.send("a", "b", Way::Stream(1), NOTE, b"after").map_err(|why| why.to_string())?;
+    ensure(number == 3, || format!("the numbers continue with {number}"))?;
+    let arrived = |p: &Scenario<G>| p.delivered("b", "a", 1).last().is_some_and(|h| h.2 == b"after");
+    scenario.until(&["a", "b", "c"], 60_000, "the message to the right address", arrived)?;
+    let delivered_to_c = scenario.delivered("c", "a", 1);
+    ensure(delivered_to_c.is_empty(), || format!("delivered to another instance: {delivered_to_c:?}"))
 }
--- a/crates/link/src/dialling.rs
+++ b/crates/link/src/dialling.rs
@@ -2,9 +2,9 @@
 
 use crate::envelope::{Header, Lane, encode};
 use crate::message::{Event, Kind, Message, Name, Refused, Sender, StreamId, Tenths, Unread, Why};
-use crate::outgoing::Outgoing;
+use crate::outgoing::SendStream;
 use crate::redial::{Dial, Redial};
-use crate::talk::{Bounds, Call, Step};
+use crate::talk::{Action, Bounds, ConnectionId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -12,41 +12,41 @@
     name: Name,
     pub(crate) address: SocketAddr,
     redial: Redial,
-    call: Option<Call>,
-    greeted: bool,
+    conn: Option<ConnectionId>,
+    hello_sent: bool,
     /// Bytes passed to the connection and not yet accepted by its socket.
-    ahead: usize,
-    streams: BTreeMap<StreamId, Outgoing>,
+    unsent_bytes: usize,
+    streams: BTreeMap<StreamId, SendStream>,
     /// First sequence number of a new stream.
-    first: u64,
+    first_number: u64,
     /// The stream that is served next.
-    turn: StreamId,
+    next_stream: StreamId,
     /// When a message was last waiting.
-    used: Tenths,
+    last_used: Tenths,
 }
 
 impl Peer {
-    pub(crate) fn new(name: Name, address: SocketAddr, redial: Redial, first: u64) -> Peer {
+    pub(crate) fn new(name: Name, address: SocketAddr, redial: Redial, first_number: u64) -> Peer {
         Peer {
             name,
             address,
             redial,
-            call: None,
-            greeted: false,
-            ahead: 0,
+            conn: None,
+            hello_sent: false,
+            unsent_bytes: 0,
             streams: BTreeMap::new(),
-            first,
-            turn: 0,
-            used: 0,
+            first_number,
+            next_stream: 0,
+            last_used: 0,
         }
     }
 
-    pub(crate) fn call(&self) -> Option<Call> {
-        self.call
+    pub(crate) fn conn(&self) -> Option<ConnectionId> {
+        self.conn
     }
 
     fn is_waiting(&self) -> bool {
-        self.streams.values().any(Outgoing::is_waiting)
+        self.streams.values().any(SendStream::is_waiting)
     }
 
     pub(crate) fn send(
@@ -60,13 +60,13 @@
         if !self.streams.contains_key(&stream) && self.streams.len() >= bounds.streams {
             return Err(Refused::TooMany { bound: bounds.streams });
         }
-        let all: usize = self.streams.values().map(Outgoing::bytes).sum();
+        let all: usize = self.streams.values().map(SendStream::bytes).sum();
         if all + body.len() > bounds.peer_bytes {
             return Err(Refused::Full { waiting: all, bound: bounds.peer_bytes });
         }
-        self.used = now;
-        let first = self.first;
-        self.streams.entry(stream).or_insert_with(|| Outgoing::new(first)).send(
+        self.last_used = now;
+        let first_number = self.first_number;
+        self.streams.entry(stream).or_insert_with(|| SendStream::new(first_number)).send(
             now,
             kind,
             body,
@@ -75,85 +75,94 @@
     }
 
     /// Returns the next action for this peer; events are appended to `events`.
-    pub(crate) fn next_step(
+    pub(crate) fn next_action(
         &mut self,
         now: Tenths,
         me: &Sender,
         bounds: &Bounds,
-        next_call: &mut u64,
+        next_connection_id: &mut u64,
         events: &mut impl Extend<Event>,
-    ) -> Option<Step> {
-        if let Some(step) = self.end_silence(now, bounds, events) {
-            return Some(step);
+    ) -> Option<Action> {
+        if let Some(action) = self.check_timeouts(now, bounds, events) {
+            return Some(action);
         }
         match self.redial.next_decision(now, self.is_waiting()) {
-            Some(Dial::Begin) => {
-                let call = Call(*next_call);
-                *next_call += 1;
-                self.call = Some(call);
-                (self.greeted, self.ahead) = (false, 0);
-                return Some(Step::Dial { call, address: self.address });
+            Some(Dial::Connect) => {
+                let conn = ConnectionId(*next_connection_id);
+                *next_connection_id += 1;
+                self.conn = Some(conn);
+                (self.hello_sent, self.unsent_bytes) = (false, 0);
+                return Some(Action::Dial { conn, address: self.address });
             }
-            Some(Dial::GiveUp) => {
-                let call = self.call.take();
+            Some(Dial::Abort) => {
+                let conn = self.conn.take();
                 self.connection_lost(Why::Lost, events);
-                return call.map(|call| Step::Close { call });
+                return conn.map(|conn| Action::Close { conn });
             }
             None => {}
         }
-        if !self.redial.is_up() {
+        if !self.redial.is_connected() {
             return None;
         }
-        let call = self.call?;
+        let conn = self.conn?;
         if self.is_waiting() {
-            self.used = now;
-        } else if now - self.used >= bounds.idle {
-            return self.hang_up(now, Why::Lost, events);
+            self.last_used = now;
+        } else if now - self.last_used >= bounds.idle_timeout {
+            return self.close_connection(now, Why::Lost, events);
         }
-        if self.ahead >= bounds.ahead {
+        if self.unsent_bytes >= bounds.unsent_bytes {
             return None;
         }
-        let frame = self.next_frame(me, call)?;
-        self.ahead += frame.len();
-        Some(Step::Write { call, frame })
+        let frame = self.next_frame(me, conn)?;
+        self.unsent_bytes += frame.len();
+        Some(Action::Write { conn, frame })
     }
 
-    fn next_frame(&mut self, me: &Sender, call: Call) -> Option<Vec<u8>> {
+    fn next_frame(&mut self, me: &Sender, conn: ConnectionId) -> Option<Vec<u8>> {
         let (from, to, incarnation) = (me.name.as_str(), self.name.as_str(), me.incarnation);
-        if !self.greeted {
-            self.greeted = true;
-            let lane = Lane::Hello { dial: call.0 };
+        if !self.hello_sent {
+            self.hello_sent = true;
+            let lane = Lane::Hello { dial: conn.0 };
             return Some(encode(&Header { from, incarnation, to, kind: 0, lane }, &[]));
         }
         // Streams are served in turn, one message each: a long queue on one must not delay the others.
-        let ready = |(id, s): (&StreamId, &Outgoing)| s.has_unwritten().then_some(*id);
-        let next = self.streams.range(self.turn..).find_map(ready);
-        let id = next.or_else(|| self.streams.range(..self.turn).find_map(ready))?;
-        self.turn = id.wrapping_add(1);
+        let ready = |(id, s): (&StreamId, &SendStream)| s.has_unwritten().then_some(*id);
+        let next = self.streams.range(self.next_stream..).find_map(ready);
+        let id = next.or_else(|| self.streams.range(..self.next_stream).find_map(ready))?;
+        self.next_stream = id.wrapping_add(1);
         let stream = self.streams.get_mut(&id)?;
         let epoch = stream.epoch();
-        let Message { number, kind, body } = stream.unwritten()?;
+        let Message { number, kind, body } = stream.next_unwritten()?;
         let lane = Lane::Stream { stream: id, epoch, number: *number };
         Some(encode(&Header { from, incarnation, to, kind: *kind, lane }, body))
     }
 
     /// Breaks streams whose acknowledgement timeout has passed, and closes the connection that carried them.
-    fn end_silence(&mut self, now: Tenths, bounds: &Bounds, events: &mut impl Extend<Event>) -> Option<Step> {
-        let mut any = false;
+    fn check_timeouts(
+        &mut self,
+        now: Tenths,
+        bounds: &Bounds,
+        events: &mut impl Extend<Event>,
+    ) -> Option<Action> {
+        let mut timed_out = false;
         for (id, stream) in &mut self.streams {
-            if stream.is_silent(now, bounds.patience) {
-                any = true;
-                events.extend(broken(&self.name, *id, stream.broke(), Why::Silent));
+            if stream.is_timed_out(now, bounds.patience) {
+                timed_out = true;
+                events.extend(broken(&self.name, *id, stream.fail(), Why::Silent));
             }
         }
-        if any && self.redial.is_up() { self.hang_up(now, Why::Lost, events) } else { None }
+        if timed_out && self.redial.is_connected() {
+            self.close_connection(now, Why::Lost, events)
+        } else {
+            None
+        }
     }
 
-    fn hang_up(&mut self, now: Tenths, why: Why, events: &mut impl Extend<Event>) -> Option<Step> {
-        let call = self.call.take();
-        self.redial.ended(now);
+    fn close_connection(&mut self, now: Tenths, why: Why, events: &mut impl Extend<Event>) -> Option<Action> {
+        let conn = self.conn.take();
+        self.redial.disconnected(now);
         self.connection_lost(why, events);
-        call.map(|call| Step::Close { call })
+        conn.map(|conn| Action::Close { conn })
     }
 
     fn connection_lost(&mut self, why: Why, events: &mut impl Extend<Event>) {
@@ -162,18 +171,18 @@
         }
     }
 
-    pub(crate) fn up(&mut self, now: Tenths) {
-        self.redial.up(now);
-        self.used = now;
+    pub(crate) fn connected(&mut self, now: Tenths) {
+        self.redial.connected(now);
+        self.last_used = now;
     }
 
-    pub(crate) fn drained(&mut self) {
-        self.ahead = 0;
+    pub(crate) fn flushed(&mut self) {
+        self.unsent_bytes = 0;
     }
 
     /// The connection ended, or could not be established.
-    pub(crate) fn ended(&mut self, now: Tenths, why: Why, events: &mut impl Extend<Event>) {
-        self.hang_up(now, why, events);
+    pub(crate) fn disconnected(&mut self, now: Tenths, why: Why, events: &mut impl Extend<Event>) {
+        self.close_connection(now, why, events);
     }
 
     pub(crate) fn acknowledged(
@@ -183,38 +192,38 @@
         epoch: u64,
         number: u64,
     ) -> Option<Event> {
-        let news = self.streams.get_mut(&id)?.acknowledged(now, epoch, number);
-        news.then(|| Event::Acknowledged { to: self.name.clone(), stream: id, number })
+        let progress = self.streams.get_mut(&id)?.acknowledged(now, epoch, number);
+        progress.then(|| Event::Acknowledged { to: self.name.clone(), stream: id, number })
     }
 
     /// Handles the peer's refusal of a stream's epoch.
     pub(crate) fn refused(&mut self, id: StreamId, epoch: u64, why: Unread) -> Option<Event> {
         let stream = self.streams.get_mut(&id).filter(|s| s.epoch() == epoch)?;
-        broken(&self.name, id, stream.broke(), Why::Refused(why))
+        broken(&self.name, id, stream.fail(), Why::Refused(why))
     }
 
     /// Returns all unacknowledged messages: the peer was removed, or its address changed.
-    pub(crate) fn left(&mut self, now: Tenths, events: &mut impl Extend<Event>) -> Option<Step> {
+    pub(crate) fn detach(&mut self, now: Tenths, events: &mut impl Extend<Event>) -> Option<Action> {
         for (id, stream) in &mut self.streams {
-            events.extend(broken(&self.name, *id, stream.broke(), Why::Left));
+            events.extend(broken(&self.name, *id, stream.fail(), Why::Left));
         }
-        self.hang_up(now, Why::Left, events)
+        self.close_connection(now, Why::Left, events)
     }
 
     /// Sets a new address. The sequence numbers continue.
-    pub(crate) fn moved(&mut self, address: SocketAddr, redial: Redial) {
+    pub(crate) fn set_address(&mut self, address: SocketAddr, redial: Redial) {
         (self.address, self.redial) = (address, redial);
     }
 
     /// A number that no message of any stream has used yet.
     pub(crate) fn unused_number(&self) -> u64 {
-        self.streams.values().map(Outgoing::next_number).fold(self.first, u64::max)
+        self.streams.values().map(SendStream::next_number).fold(self.first_number, u64::max)
     }
 
     pub(crate) fn wake_at(&self, bounds: &Bounds) -> Option<Tenths> {
-        let silent = self.streams.values().filter_map(|s| s.silent_at(bounds.patience)).min();
-        let idle = self.redial.is_up().then(|| self.used + bounds.idle);
-        [silent, idle, self.redial.wake_at(self.is_waiting())].into_iter().flatten().min()
+        let timeout = self.streams.values().filter_map(|s| s.times_out_at(bounds.patience)).min();
+        let idle_at = self.redial.is_connected().then(|| self.last_used + bounds.idle_timeout);
+        [timeout, idle_at, self.redial.wake_at(self.is_waiting())].into_iter().flatten().min()
     }
 }
 
--- a/crates/link/src/envelope.rs
+++ b/crates/link/src/envelope.rs
@@ -10,16 +10,16 @@
 //! On a connection each message follows its length, 4 bytes, big-endian. The prefix and [`Lane::Refusal`] keep their
 //! encoding in every version, so that instances of different versions can refuse each other with a reason.
 
-use crate::message::{Incarnation, Kind, NAME_MOST, StreamId, Unread};
+use crate::message::{Incarnation, Kind, MAX_NAME_BYTES, StreamId, Unread};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
 pub const VERSION: u8 = 1;
-const MARK: [u8; 2] = *b"VL";
-const START: usize = 7;
+const MAGIC: [u8; 2] = *b"VL";
+const PREFIX_BYTES: usize = 7;
 
 /// Maximum size of prefix and header: two names, four numbers of 10 bytes at most, and a refusal.
-pub const OVERHEAD_MOST: usize = START + 2 * (NAME_MOST + 1) + 70;
+pub const MAX_OVERHEAD: usize = PREFIX_BYTES + 2 * (MAX_NAME_BYTES + 1) + 70;
 
 /// Sender, receiver and type of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -62,30 +62,30 @@
 
 /// Encodes a message.
 pub fn encode(header: &Header<'_>, body: &[u8]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(OVERHEAD_MOST + body.len());
-    out.extend(MARK);
+    let mut out = Vec::with_capacity(MAX_OVERHEAD + body.len());
+    out.extend(MAGIC);
     out.push(VERSION);
     out.extend([0; 4]);
     // Serialization cannot fail: a header has no map and no text of unknown length.
     let mut out = postcard::to_extend(header, out).unwrap_or_default();
     out.extend(body);
-    if let Some((start, rest)) = out.split_at_mut_checked(START) {
-        start[3..].copy_from_slice(&crc32fast::hash(rest).to_be_bytes());
+    if let Some((prefix, rest)) = out.split_at_mut_checked(PREFIX_BYTES) {
+        prefix[3..].copy_from_slice(&crc32fast::hash(rest).to_be_bytes());
     }
     out
 }
 
 /// Decodes a message into header and body.
 pub fn decode(bytes: &[u8]) -> Result<(Header<'_>, &[u8]), Unread> {
-    let (start, rest) = bytes.split_at_checked(START).ok_or(Unread::Foreign)?;
-    if start[..2] != MARK {
+    let (prefix, rest) = bytes.split_at_checked(PREFIX_BYTES).ok_or(Unread::Foreign)?;
+    if prefix[..2] != MAGIC {
         return Err(Unread::Foreign);
     }
-    if crc32fast::hash(rest).to_be_bytes() != start[3..] {
+    if crc32fast::hash(rest).to_be_bytes() != prefix[3..] {
         return Err(Unread::Damaged);
     }
-    if start[2] != VERSION {
-        return Err(Unread::Version { theirs: start[2], ours: VERSION });
+    if prefix[2] != VERSION {
+        return Err(Unread::Version { theirs: prefix[2], ours: VERSION });
     }
     postcard::take_from_bytes(rest).map_err(|_| Unread::Malformed)
 }
--- a/crates/link/src/fault.rs
+++ b/crates/link/src/fault.rs
@@ -28,25 +28,25 @@
 /// Delay after which lost bytes of a connection are retransmitted.
 pub const REPEAT: Tenths = 2_000;
 /// Maximum queueing delay of a datagram on a throttled line.
-pub const LINE_MOST: Tenths = 5_000;
+pub const MAX_QUEUE_DELAY: Tenths = 5_000;
 /// Maximum delay of a reordered datagram beyond `jitter`.
-const OVERTAKEN: Tenths = 50;
+const MAX_REORDER_DELAY: Tenths = 50;
 
 /// One direction of a link: its current fault, its random generator, and when the data sent last has been
 /// transmitted.
 #[derive(Clone, Debug)]
 pub struct Line {
     fault: Fault,
-    chance: WyRand,
+    rng: WyRand,
     free_at: Tenths,
     /// When the last bytes of connections arrive.
-    last_out: Tenths,
+    last_arrival: Tenths,
 }
 
 impl Line {
     pub fn new(seed: u64) -> Line {
-        let (free_at, last_out) = (Tenths::MIN, Tenths::MIN);
-        Line { fault: Fault::default(), chance: WyRand::new_seed(seed), free_at, last_out }
+        let (free_at, last_arrival) = (Tenths::MIN, Tenths::MIN);
+        Line { fault: Fault::default(), rng: WyRand::new_seed(seed), free_at, last_arrival }
     }
 
     pub fn fault(&self) -> &Fault {
@@ -57,21 +57,21 @@
         self.fault = fault;
     }
 
-    fn chance_of(&mut self, part: f64) -> bool {
+    fn random_bool(&mut self, probability: f64) -> bool {
         // Draws a random number only if needed: a line without faults leaves the generator's state unchanged.
-        part > 0.0 && self.part() < part
+        probability > 0.0 && self.random_fraction() < probability
     }
 
-    fn part(&mut self) -> f64 {
-        (self.chance.generate::<u64>() >> 11) as f64 / (1u64 << 53) as f64
+    fn random_fraction(&mut self) -> f64 {
+        (self.rng.generate::<u64>() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn up_to(&mut self, most: Tenths) -> Tenths {
-        if most > 0 { (self.part() * (most + 1) as f64) as Tenths } else { 0 }
+    fn random_up_to(&mut self, max: Tenths) -> Tenths {
+        if max > 0 { (self.random_fraction() * (max + 1) as f64) as Tenths } else { 0 }
     }
 
     /// When `length` bytes sent now would be fully transmitted.
-    fn through(&self, now: Tenths, length: usize) -> Tenths {
+    fn transmitted_at(&self, now: Tenths, length: usize) -> Tenths {
         match self.fault.rate {
             0 => now,
             rate => self.free_at.max(now) + (length as u64 * 10_000).div_ceil(rate) as Tenths,
@@ -81,17 +81,21 @@
     /// Arrival time of each copy of a datagram; empty if it is lost.
     pub fn datagram(&mut self, now: Tenths, length: usize) -> Vec<Tenths> {
         let Fault { drop, duplicate, reorder, delay, jitter, .. } = self.fault;
-        let through = self.through(now, length);
-        if self.fault.cut || self.chance_of(drop) || through - now > LINE_MOST {
+        let transmitted_at = self.transmitted_at(now, length);
+        if self.fault.cut || self.random_bool(drop) || transmitted_at - now > MAX_QUEUE_DELAY {
             return Vec::new();
         }
-        self.free_at = through;
-        let copies = if self.chance_of(duplicate) { 2 } else { 1 };
-        let late = |line: &mut Line| {
-            let overtaken = if line.chance_of(reorder) { 1 + line.up_to(jitter + OVERTAKEN - 1) } else { 0 };
-            through + delay + line.up_to(jitter) + overtaken
+        self.free_at = transmitted_at;
+        let copies = if self.random_bool(duplicate) { 2 } else { 1 };
+        let arrival = |line: &mut Line| {
+            let reordered = if line.random_bool(reorder) {
+                1 + line.random_up_to(jitter + MAX_REORDER_DELAY - 1)
+            } else {
+                0
+            };
+            transmitted_at + delay + line.random_up_to(jitter) + reordered
         };
-        (0..copies).map(|_| late(self)).collect()
+        (0..copies).map(|_| arrival(self)).collect()
     }
 
     /// Arrival time of bytes of a connection, never before that of earlier bytes. None: the line is cut; ask
@@ -101,10 +105,11 @@
             return None;
         }
         let Fault { drop, delay, jitter, .. } = self.fault;
-        let through = self.through(now, length);
-        self.free_at = through;
-        let repeated = if self.chance_of(drop) { REPEAT } else { 0 };
-        self.last_out = self.last_out.max(through + delay + self.up_to(jitter) + repeated);
-        Some(self.last_out)
+        let transmitted_at = self.transmitted_at(now, length);
+        self.free_at = transmitted_at;
+        let retransmission = if self.random_bool(drop) { REPEAT } else { 0 };
+        self.last_arrival =
+            self.last_arrival.max(transmitted_at + delay + self.random_up_to(jitter) + retransmission);
+        Some(self.last_arrival)
     }
 }
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -20,7 +20,7 @@
 mod transport;
 mod udp;
 
-pub use envelope::{Header, Lane, OVERHEAD_MOST, VERSION, decode, encode, pack, unpack};
+pub use envelope::{Header, Lane, MAX_OVERHEAD, VERSION, decode, encode, pack, unpack};
 pub use memory::{Memory, Network};
 pub use message::{
     Event, Incarnation, Kind, Kinds, Message, Name, Refused, Sender, StreamId, Tenths, Unread, Way, Why,
--- a/crates/link/src/listening.rs
+++ b/crates/link/src/listening.rs
@@ -6,35 +6,35 @@
 
 /// Receiving side of a stream.
 #[derive(Debug)]
-struct Incoming {
+struct ReceiveStream {
     epoch: u64,
     /// The next expected number; None once a message of this epoch was refused.
     next: Option<u64>,
-    handed: u64,
+    delivered: u64,
     acknowledged: u64,
 }
 
 /// The peer on a connection as given in its handshake, and the number of the connection.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Speaker {
+pub(crate) struct PeerIdentity {
     pub(crate) name: Name,
     pub(crate) incarnation: Incarnation,
     pub(crate) dial: u64,
 }
 
-pub(crate) struct Listening {
-    pub(crate) speaker: Option<Speaker>,
-    streams: BTreeMap<StreamId, Incoming>,
+pub(crate) struct InboundConnection {
+    pub(crate) identity: Option<PeerIdentity>,
+    streams: BTreeMap<StreamId, ReceiveStream>,
     /// The whole connection was refused: further frames are ignored.
     pub(crate) refused: bool,
-    pub(crate) heard: Tenths,
-    pub(crate) ahead: usize,
+    pub(crate) last_received: Tenths,
+    pub(crate) unsent_bytes: usize,
 }
 
 /// Result of a received frame.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Heard {
-    Greeting(Speaker),
+pub(crate) enum FrameResult {
+    Handshake(PeerIdentity),
     Message {
         stream: StreamId,
         epoch: u64,
@@ -47,77 +47,99 @@
         why: Unread,
     },
     /// The connection is refused.
-    RefuseAll(Unread),
-    Nothing,
+    RefuseConnection(Unread),
+    Ignored,
 }
 
-impl Listening {
-    pub(crate) fn new(now: Tenths) -> Listening {
-        Listening { speaker: None, streams: BTreeMap::new(), refused: false, heard: now, ahead: 0 }
+impl InboundConnection {
+    pub(crate) fn new(now: Tenths) -> InboundConnection {
+        InboundConnection {
+            identity: None,
+            streams: BTreeMap::new(),
+            refused: false,
+            last_received: now,
+            unsent_bytes: 0,
+        }
     }
 
-    pub(crate) fn hear(&mut self, now: Tenths, header: &Header<'_>, kinds: &Kinds, most: usize) -> Heard {
+    pub(crate) fn receive(
+        &mut self,
+        now: Tenths,
+        header: &Header<'_>,
+        kinds: &Kinds,
+        max_streams: usize,
+    ) -> FrameResult {
         if self.refused {
-            return Heard::Nothing;
+            return FrameResult::Ignored;
         }
-        self.heard = now;
-        match (&self.speaker, &header.lane) {
+        self.last_received = now;
+        match (&self.identity, &header.lane) {
             (None, Lane::Hello { dial }) => match Name::new(header.from) {
-                Some(name) => Heard::Greeting(Speaker { name, incarnation: header.incarnation, dial: *dial }),
-                None => Heard::RefuseAll(Unread::Malformed),
+                Some(name) => FrameResult::Handshake(PeerIdentity {
+                    name,
+                    incarnation: header.incarnation,
+                    dial: *dial,
+                }),
+                None => FrameResult::RefuseConnection(Unread::Malformed),
             },
-            (Some(speaker), Lane::Stream { stream, epoch, number }) => {
-                if speaker.name.as_str() != header.from || speaker.incarnation != header.incarnation {
-                    return Heard::RefuseAll(Unread::OutOfOrder);
+            (Some(identity), Lane::Stream { stream, epoch, number }) => {
+                if identity.name.as_str() != header.from || identity.incarnation != header.incarnation {
+                    return FrameResult::RefuseConnection(Unread::OutOfOrder);
                 }
                 let known = kinds.name(header.kind).is_some();
-                self.message((*stream, *epoch, *number), known.then_some(()).ok_or(header.kind), most)
+                self.message((*stream, *epoch, *number), known.then_some(()).ok_or(header.kind), max_streams)
             }
-            _ => Heard::RefuseAll(Unread::OutOfOrder),
+            _ => FrameResult::RefuseConnection(Unread::OutOfOrder),
         }
     }
 
-    fn message(&mut self, place: (StreamId, u64, u64), known: Result<(), u16>, most: usize) -> Heard {
-        let (stream, epoch, number) = place;
-        if !self.streams.contains_key(&stream) && self.streams.len() >= most {
-            return Heard::RefuseStream { stream, epoch, why: Unread::Full };
+    fn message(
+        &mut self,
+        position: (StreamId, u64, u64),
+        known: Result<(), u16>,
+        max_streams: usize,
+    ) -> FrameResult {
+        let (stream, epoch, number) = position;
+        if !self.streams.contains_key(&stream) && self.streams.len() >= max_streams {
+            return FrameResult::RefuseStream { stream, epoch, why: Unread::Full };
         }
-        let fresh = || Incoming { epoch, next: Some(epoch), handed: epoch - 1, acknowledged: epoch - 1 };
+        let new_stream =
+            || ReceiveStream { epoch, next: Some(epoch), delivered: epoch - 1, acknowledged: epoch - 1 };
         if epoch == 0 {
-            return Heard::RefuseAll(Unread::OutOfOrder);
+            return FrameResult::RefuseConnection(Unread::OutOfOrder);
         }
-        let incoming = self.streams.entry(stream).or_insert_with(fresh);
+        let incoming = self.streams.entry(stream).or_insert_with(new_stream);
         if epoch > incoming.epoch {
-            *incoming = fresh();
+            *incoming = new_stream();
         }
         if epoch == incoming.epoch && incoming.next.is_none() {
-            return Heard::Nothing;
+            return FrameResult::Ignored;
         }
         // Danger: accepting a message out of order would hide the loss of the one before it.
         if epoch < incoming.epoch || incoming.next != Some(number) {
-            return Heard::RefuseAll(Unread::OutOfOrder);
+            return FrameResult::RefuseConnection(Unread::OutOfOrder);
         }
         if let Err(kind) = known {
             incoming.next = None;
-            return Heard::RefuseStream { stream, epoch, why: Unread::Kind(kind) };
+            return FrameResult::RefuseStream { stream, epoch, why: Unread::Kind(kind) };
         }
         incoming.next = Some(number + 1);
-        Heard::Message { stream, epoch, number }
+        FrameResult::Message { stream, epoch, number }
     }
 
     /// Records the delivery of a message to the program. Returns whether it needs an acknowledgement.
-    pub(crate) fn handed(&mut self, stream: StreamId, epoch: u64, number: u64) -> bool {
+    pub(crate) fn delivered(&mut self, stream: StreamId, epoch: u64, number: u64) -> bool {
         let Some(incoming) = self.streams.get_mut(&stream).filter(|s| s.epoch == epoch) else {
             return false;
         };
-        incoming.handed = number;
+        incoming.delivered = number;
         true
     }
 
     /// Returns the next acknowledgement to send: stream, epoch, number.
-    pub(crate) fn owed(&mut self) -> Option<(StreamId, u64, u64)> {
-        let (id, incoming) = self.streams.iter_mut().find(|(_, s)| s.handed > s.acknowledged)?;
-        incoming.acknowledged = incoming.handed;
-        Some((*id, incoming.epoch, incoming.handed))
+    pub(crate) fn pending_ack(&mut self) -> Option<(StreamId, u64, u64)> {
+        let (id, incoming) = self.streams.iter_mut().find(|(_, s)| s.delivered > s.acknowledged)?;
+        incoming.acknowledged = incoming.delivered;
+        Some((*id, incoming.epoch, incoming.delivered))
     }
 }
--- a/crates/link/src/memory.rs
+++ b/crates/link/src/memory.rs
@@ -3,66 +3,66 @@
 
 use crate::fault::{Fault, Line};
 use crate::message::{Event, Kind, Kinds, Name, Refused, Sender, Tenths, Way};
-use crate::talk::{Bounds, Call, Step, Talk, stream_of};
+use crate::talk::{Action, Bounds, ConnectionId, Endpoint, stream_of};
 use crate::transport::Transport;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// Maximum number of datagrams in flight to one instance; further ones are lost, as when a socket's buffer is full.
-const DATAGRAMS_MOST: usize = 4_096;
+const MAX_DATAGRAMS_IN_FLIGHT: usize = 4_096;
 
 /// One end of a connection: an instance's incarnation, and its identifier for the connection.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct End {
+struct ConnectionEnd {
     sender: Sender,
-    call: Call,
+    conn: ConnectionId,
 }
 
 /// What arrives at an instance.
 enum Arrival {
     Datagram(Vec<u8>),
     /// A connection request, with the dialling end.
-    Dialled(End),
+    ConnectRequest(ConnectionEnd),
     /// The reply to a connection request, with the accepting end; None if it was refused.
-    Answered {
-        call: Call,
-        other: Option<End>,
+    ConnectReply {
+        conn: ConnectionId,
+        remote: Option<ConnectionEnd>,
     },
     Frame {
-        call: Call,
+        conn: ConnectionId,
         frame: Vec<u8>,
     },
-    Ended(Call),
+    Closed(ConnectionId),
 }
 
 /// One direction of a connection, with the frames that are held back by a cut.
 #[derive(Default)]
 struct Pipe {
-    other: Option<End>,
-    held: VecDeque<Vec<u8>>,
+    remote: Option<ConnectionEnd>,
+    held_back: VecDeque<Vec<u8>>,
 }
 
-struct Wire {
+struct NetworkState {
     seed: u64,
     /// The running incarnation of each name.
     running: BTreeMap<Name, Sender>,
     addresses: BTreeMap<SocketAddr, Name>,
     lines: BTreeMap<(Name, Name), Line>,
-    pipes: BTreeMap<End, Pipe>,
+    pipes: BTreeMap<ConnectionEnd, Pipe>,
     /// Connection requests held back by a cut, with the name that is dialled.
-    dials: Vec<(End, Name)>,
+    dials: Vec<(ConnectionEnd, Name)>,
     arrivals: BTreeMap<Sender, BTreeMap<(Tenths, u64), Arrival>>,
     serial: u64,
 }
 
 /// A simulated network of instances. Clones share the same network.
 #[derive(Clone)]
-pub struct Network(Arc<Mutex<Wire>>);
+pub struct Network(Arc<Mutex<NetworkState>>);
 
 impl Network {
     pub fn new(seed: u64) -> Network {
-        Network(Arc::new(Mutex::new(Wire {
+        Network(Arc::new(Mutex::new(NetworkState {
             seed,
             running: BTreeMap::new(),
             addresses: BTreeMap::new(),
@@ -74,7 +74,7 @@
         })))
     }
 
-    fn wire(&self) -> MutexGuard<'_, Wire> {
+    fn state(&self) -> MutexGuard<'_, NetworkState> {
         // The state is consistent after a panic elsewhere: no call unwinds in the middle of a change.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -82,42 +82,42 @@
     /// Starts an instance. A running one of the same name ends first, as in a crash.
     pub fn start(&self, now: Tenths, me: Sender, kinds: Kinds, bounds: Bounds) -> Memory {
         self.crash(now, &me.name);
-        let mut wire = self.wire();
-        wire.running.insert(me.name.clone(), me.clone());
-        wire.arrivals.insert(me.clone(), BTreeMap::new());
-        let seed = wire.seed ^ seed_of(&[me.name.as_str(), &me.incarnation.to_string()]);
-        drop(wire);
-        Memory { talk: Talk::new(me, kinds, bounds, seed), network: self.clone(), told: now }
+        let mut state = self.state();
+        state.running.insert(me.name.clone(), me.clone());
+        state.arrivals.insert(me.clone(), BTreeMap::new());
+        let seed = state.seed ^ seed_of(&[me.name.as_str(), &me.incarnation.to_string()]);
+        drop(state);
+        Memory { endpoint: Endpoint::new(me, kinds, bounds, seed), network: self.clone(), last_now: now }
     }
 
     /// Crashes the instance of this name: its connections end and nothing reaches it. Its transport reports no
     /// further events.
     pub fn crash(&self, now: Tenths, name: &Name) {
-        self.wire().crash(now, name);
+        self.state().crash(now, name);
     }
 
     /// The address of the instance of this name, for all of its incarnations.
     pub fn address(&self, name: &Name) -> SocketAddr {
-        let mut wire = self.wire();
-        if let Some((address, _)) = wire.addresses.iter().find(|(_, n)| *n == name) {
+        let mut state = self.state();
+        if let Some((address, _)) = state.addresses.iter().find(|(_, n)| *n == name) {
             return *address;
         }
-        let number = wire.addresses.len() as u32 + 1;
+        let number = state.addresses.len() as u32 + 1;
         let address = SocketAddr::from(([10, (number >> 16) as u8, (number >> 8) as u8, number as u8], 1));
-        wire.addresses.insert(address, name.clone());
+        state.addresses.insert(address, name.clone());
         address
     }
 
     /// Sets the fault on the link from one instance to another.
     pub fn set(&self, now: Tenths, from: &Name, to: &Name, fault: Fault) {
-        self.wire().set(now, from, to, fault);
+        self.state().set(now, from, to, fault);
     }
 
     /// Sends a datagram that no instance sent.
     pub fn inject(&self, now: Tenths, to: &Name, datagram: Vec<u8>) {
-        let mut wire = self.wire();
-        if let Some(running) = wire.running.get(to).cloned() {
-            wire.arrive(&running, now, Arrival::Datagram(datagram));
+        let mut state = self.state();
+        if let Some(running) = state.running.get(to).cloned() {
+            state.schedule_arrival(&running, now, Arrival::Datagram(datagram));
         }
     }
 }
@@ -128,13 +128,13 @@
     words.iter().flat_map(|w| w.bytes().chain([0])).fold(0xcbf2_9ce4_8422_2325, mix)
 }
 
-impl Wire {
+impl NetworkState {
     fn line(&mut self, from: &Name, to: &Name) -> &mut Line {
         let seed = self.seed ^ seed_of(&["line", from.as_str(), to.as_str()]);
         self.lines.entry((from.clone(), to.clone())).or_insert_with(|| Line::new(seed))
     }
 
-    fn arrive(&mut self, to: &Sender, at: Tenths, arrival: Arrival) {
+    fn schedule_arrival(&mut self, to: &Sender, at: Tenths, arrival: Arrival) {
         self.serial += 1;
         if let Some(arrivals) = self.arrivals.get_mut(to) {
             arrivals.insert((at, self.serial), arrival);
@@ -145,41 +145,41 @@
         let Some(gone) = self.running.remove(name) else { return };
         self.arrivals.remove(&gone);
         self.dials.retain(|(end, _)| end.sender != gone);
-        let ends: Vec<End> = self.pipes.keys().filter(|e| e.sender == gone).cloned().collect();
-        ends.iter().for_each(|end| self.hang_up(now, end));
+        let ends: Vec<ConnectionEnd> = self.pipes.keys().filter(|e| e.sender == gone).cloned().collect();
+        ends.iter().for_each(|end| self.close_connection(now, end));
     }
 
     /// Closes a connection from one side. Data sent before still arrives, followed by the close, unless the link
     /// is cut.
-    fn hang_up(&mut self, now: Tenths, end: &End) {
+    fn close_connection(&mut self, now: Tenths, end: &ConnectionEnd) {
         self.dials.retain(|(e, _)| e != end);
         let Some(pipe) = self.pipes.remove(end) else { return };
-        let Some(other) = pipe.other else { return };
+        let Some(remote) = pipe.remote else { return };
         // Danger: neither held bytes nor the close may pass a cut. The other side detects the loss by its
         // acknowledgement timeout.
-        let line = self.line(&end.sender.name, &other.sender.name);
+        let line = self.line(&end.sender.name, &remote.sender.name);
         if let Some(at) = line.bytes(now, 0) {
-            self.arrive(&other.sender, at, Arrival::Ended(other.call));
+            self.schedule_arrival(&remote.sender, at, Arrival::Closed(remote.conn));
         }
     }
 
     fn set(&mut self, now: Tenths, from: &Name, to: &Name, fault: Fault) {
         self.line(from, to).set(fault);
-        let between = |end: &End, pipe: &Pipe| {
-            end.sender.name == *from && pipe.other.as_ref().is_some_and(|o| o.sender.name == *to)
+        let between = |end: &ConnectionEnd, pipe: &Pipe| {
+            end.sender.name == *from && pipe.remote.as_ref().is_some_and(|o| o.sender.name == *to)
         };
-        let ends: Vec<End> =
+        let ends: Vec<ConnectionEnd> =
             self.pipes.iter().filter(|(e, p)| between(e, p)).map(|(e, _)| e.clone()).collect();
         for end in ends {
             if fault.reset {
-                let other = self.pipes.get(&end).and_then(|p| p.other.clone());
-                for end in [Some(end), other].into_iter().flatten() {
+                let remote = self.pipes.get(&end).and_then(|p| p.remote.clone());
+                for end in [Some(end), remote].into_iter().flatten() {
                     self.pipes.remove(&end);
-                    self.arrive(&end.sender.clone(), now, Arrival::Ended(end.call));
+                    self.schedule_arrival(&end.sender.clone(), now, Arrival::Closed(end.conn));
                 }
             } else if !fault.cut {
-                let held = self.pipes.get_mut(&end).map(|p| std::mem::take(&mut p.held));
-                held.into_iter().flatten().for_each(|frame| self.write(now, &end, frame));
+                let held_back = self.pipes.get_mut(&end).map(|p| std::mem::take(&mut p.held_back));
+                held_back.into_iter().flatten().for_each(|frame| self.write(now, &end, frame));
             }
         }
         if !fault.cut {
@@ -193,7 +193,7 @@
         }
     }
 
-    fn dial(&mut self, now: Tenths, end: End, to: &Name) {
+    fn dial(&mut self, now: Tenths, end: ConnectionEnd, to: &Name) {
         let line = self.line(&end.sender.name, to);
         let reset = line.fault().reset;
         let Some(at) = line.bytes(now, 64) else {
@@ -201,44 +201,47 @@
             return;
         };
         match self.running.get(to).cloned().filter(|_| !reset) {
-            Some(there) => self.arrive(&there, at, Arrival::Dialled(end)),
-            None => self.arrive(&end.sender.clone(), at, Arrival::Ended(end.call)),
+            Some(receiver) => self.schedule_arrival(&receiver, at, Arrival::ConnectRequest(end)),
+            None => self.schedule_arrival(&end.sender.clone(), at, Arrival::Closed(end.conn)),
         }
     }
 
     /// Sends the reply to a connection request: accepted or refused.
-    fn answer(&mut self, now: Tenths, from: &Sender, dialler: End, call: Option<Call>) {
+    fn reply(&mut self, now: Tenths, from: &Sender, dialler: ConnectionEnd, conn: Option<ConnectionId>) {
         let Some(at) = self.line(&from.name, &dialler.sender.name).bytes(now, 64) else { return };
         let alive = self.running.get(&dialler.sender.name) == Some(&dialler.sender);
-        if let Some(call) = call.filter(|_| !alive) {
-            return self.arrive(from, now, Arrival::Ended(call));
+        if let Some(conn) = conn.filter(|_| !alive) {
+            return self.schedule_arrival(from, now, Arrival::Closed(conn));
         }
-        let other = call.map(|call| End { sender: from.clone(), call });
-        if let Some(end) = &other {
-            self.pipes.insert(end.clone(), Pipe { other: Some(dialler.clone()), held: VecDeque::new() });
-            self.pipes.insert(dialler.clone(), Pipe { other: other.clone(), held: VecDeque::new() });
+        let remote = conn.map(|conn| ConnectionEnd { sender: from.clone(), conn });
+        if let Some(end) = &remote {
+            self.pipes
+                .insert(end.clone(), Pipe { remote: Some(dialler.clone()), held_back: VecDeque::new() });
+            self.pipes.insert(dialler.clone(), Pipe { remote: remote.clone(), held_back: VecDeque::new() });
         }
-        self.arrive(&dialler.sender, at, Arrival::Answered { call: dialler.call, other });
+        self.schedule_arrival(&dialler.sender, at, Arrival::ConnectReply { conn: dialler.conn, remote });
     }
 
-    fn write(&mut self, now: Tenths, end: &End, frame: Vec<u8>) {
+    fn write(&mut self, now: Tenths, end: &ConnectionEnd, frame: Vec<u8>) {
         let Some(pipe) = self.pipes.get_mut(end) else { return };
-        let Some(other) = pipe.other.clone() else { return };
-        match self.line(&end.sender.name, &other.sender.name).bytes(now, frame.len()) {
-            Some(at) => self.arrive(&other.sender, at, Arrival::Frame { call: other.call, frame }),
+        let Some(remote) = pipe.remote.clone() else { return };
+        match self.line(&end.sender.name, &remote.sender.name).bytes(now, frame.len()) {
+            Some(at) => {
+                self.schedule_arrival(&remote.sender, at, Arrival::Frame { conn: remote.conn, frame })
+            }
             None => {
                 if let Some(pipe) = self.pipes.get_mut(end) {
-                    pipe.held.push_back(frame);
+                    pipe.held_back.push_back(frame);
                 }
             }
         }
     }
 
     fn datagram(&mut self, now: Tenths, from: &Name, to: &Name, bytes: &[u8]) {
-        let Some(there) = self.running.get(to).cloned() else { return };
+        let Some(receiver) = self.running.get(to).cloned() else { return };
         for at in self.line(from, to).datagram(now, bytes.len()) {
-            if self.arrivals.get(&there).is_some_and(|a| a.len() < DATAGRAMS_MOST) {
-                self.arrive(&there, at, Arrival::Datagram(bytes.to_vec()));
+            if self.arrivals.get(&receiver).is_some_and(|a| a.len() < MAX_DATAGRAMS_IN_FLIGHT) {
+                self.schedule_arrival(&receiver, at, Arrival::Datagram(bytes.to_vec()));
             }
         }
     }
@@ -246,60 +249,63 @@
 
 /// One instance on a [`Network`]. Dropping it is a crash.
 pub struct Memory {
-    talk: Talk,
+    endpoint: Endpoint,
     network: Network,
     /// The time passed to the last call.
-    told: Tenths,
+    last_now: Tenths,
 }
 
 impl Memory {
-    fn runs(&self, wire: &Wire) -> bool {
-        wire.running.get(&self.talk.me().name) == Some(self.talk.me())
+    fn is_running(&self, state: &NetworkState) -> bool {
+        state.running.get(&self.endpoint.me().name) == Some(self.endpoint.me())
     }
 
-    fn carry_out(&mut self, now: Tenths, step: Step) {
+    fn carry_out(&mut self, now: Tenths, action: Action) {
         let network = self.network.clone();
-        let mut wire = network.wire();
-        let end = |call: Call| End { sender: self.talk.me().clone(), call };
-        match step {
-            Step::Dial { call, address } => match wire.addresses.get(&address).cloned() {
-                Some(to) => wire.dial(now, end(call), &to),
-                None => wire.arrive(self.talk.me(), now, Arrival::Ended(call)),
+        let mut state = network.state();
+        let end_of = |conn: ConnectionId| ConnectionEnd { sender: self.endpoint.me().clone(), conn };
+        match action {
+            Action::Dial { conn, address } => match state.addresses.get(&address).cloned() {
+                Some(to) => state.dial(now, end_of(conn), &to),
+                None => state.schedule_arrival(self.endpoint.me(), now, Arrival::Closed(conn)),
             },
-            Step::Write { call, frame } => {
-                wire.write(now, &end(call), frame);
-                self.talk.drained(call);
+            Action::Write { conn, frame } => {
+                state.write(now, &end_of(conn), frame);
+                self.endpoint.flushed(conn);
             }
-            Step::Close { call } => wire.hang_up(now, &end(call)),
+            Action::Close { conn } => state.close_connection(now, &end_of(conn)),
         }
     }
 
-    fn take(&mut self, now: Tenths, arrival: Arrival) {
+    fn handle_arrival(&mut self, now: Tenths, arrival: Arrival) {
         match arrival {
-            Arrival::Datagram(bytes) => self.talk.heard_datagram(&bytes),
-            Arrival::Dialled(dialler) => {
-                let call = self.talk.accepted(now);
-                let me = self.talk.me().clone();
-                self.network.wire().answer(now, &me, dialler, call);
+            Arrival::Datagram(bytes) => self.endpoint.datagram_received(&bytes),
+            Arrival::ConnectRequest(dialler) => {
+                let conn = self.endpoint.accepted(now);
+                let me = self.endpoint.me().clone();
+                self.network.state().reply(now, &me, dialler, conn);
             }
-            Arrival::Answered { call, other: Some(_) } => {
+            Arrival::ConnectReply { conn, remote: Some(_) } => {
                 // The attempt was aborted in the meantime.
-                if !self.talk.up(now, call) {
-                    self.carry_out(now, Step::Close { call });
+                if !self.endpoint.connected(now, conn) {
+                    self.carry_out(now, Action::Close { conn });
                 }
             }
-            Arrival::Answered { call, other: None } | Arrival::Ended(call) => {
-                self.network.wire().pipes.remove(&End { sender: self.talk.me().clone(), call });
-                self.talk.ended(now, call);
+            Arrival::ConnectReply { conn, remote: None } | Arrival::Closed(conn) => {
+                self.network
+                    .state()
+                    .pipes
+                    .remove(&ConnectionEnd { sender: self.endpoint.me().clone(), conn });
+                self.endpoint.disconnected(now, conn);
             }
-            Arrival::Frame { call, frame } => self.talk.heard(now, call, &frame),
+            Arrival::Frame { conn, frame } => self.endpoint.frame_received(now, conn, &frame),
         }
     }
 }
 
 impl Transport for Memory {
     fn me(&self) -> &Sender {
-        self.talk.me()
+        self.endpoint.me()
     }
 
     fn carries(&self, _: Way) -> bool {
@@ -307,70 +313,70 @@
     }
 
     fn meet(&mut self, now: Tenths, peer: &Name, address: SocketAddr) -> Result<(), Refused> {
-        self.talk.meet(now, peer, address)
+        self.endpoint.meet(now, peer, address)
     }
 
     fn forget(&mut self, now: Tenths, peer: &Name) {
-        self.talk.forget(now, peer);
+        self.endpoint.forget(now, peer);
     }
 
     fn send(&mut self, now: Tenths, to: &Name, way: Way, kind: Kind, body: &[u8]) -> Result<u64, Refused> {
         if let Some(stream) = stream_of(way) {
-            return self.talk.send(now, to, stream, kind, body);
+            return self.endpoint.send(now, to, stream, kind, body);
         }
-        let bytes = self.talk.datagram(to, kind, body)?;
-        let mut wire = self.network.wire();
-        let address = self.talk.address(to);
-        if let Some(there) = address.and_then(|a| wire.addresses.get(&a).cloned())
-            && self.runs(&wire)
+        let bytes = self.endpoint.datagram(to, kind, body)?;
+        let mut state = self.network.state();
+        let address = self.endpoint.address(to);
+        if let Some(receiver) = address.and_then(|a| state.addresses.get(&a).cloned())
+            && self.is_running(&state)
         {
-            wire.datagram(now, &self.talk.me().name, &there, &bytes);
+            state.datagram(now, &self.endpoint.me().name, &receiver, &bytes);
         }
         Ok(0)
     }
 
     fn poll(&mut self, now: Tenths) -> Option<Event> {
-        self.told = now;
+        self.last_now = now;
         loop {
             let network = self.network.clone();
-            if !self.runs(&network.wire()) {
+            if !self.is_running(&network.state()) {
                 return None;
             }
-            if let Some(event) = self.talk.next_event() {
+            if let Some(event) = self.endpoint.next_event() {
                 return Some(event);
             }
-            if let Some(step) = self.talk.next_step(now) {
-                self.carry_out(now, step);
+            if let Some(action) = self.endpoint.next_action(now) {
+                self.carry_out(now, action);
                 continue;
             }
-            if self.talk.has_events() {
+            if self.endpoint.has_events() {
                 continue;
             }
-            let mut wire = network.wire();
-            let arrivals = wire.arrivals.get_mut(self.talk.me())?;
+            let mut state = network.state();
+            let arrivals = state.arrivals.get_mut(self.endpoint.me())?;
             let first = arrivals.first_entry().filter(|e| e.key().0 <= now)?.remove();
-            drop(wire);
-            self.take(now, first);
+            drop(state);
+            self.handle_arrival(now, first);
         }
     }
 
     fn wake_at(&self) -> Option<Tenths> {
-        let wire = self.network.wire();
-        if !self.runs(&wire) {
+        let state = self.network.state();
+        if !self.is_running(&state) {
             return None;
         }
-        let arrivals = wire.arrivals.get(self.talk.me());
+        let arrivals = state.arrivals.get(self.endpoint.me());
         let arrival = arrivals.and_then(|a| a.first_key_value()).map(|(key, _)| key.0);
-        [arrival, self.talk.wake_at()].into_iter().flatten().min()
+        [arrival, self.endpoint.wake_at()].into_iter().flatten().min()
     }
 }
 
 impl Drop for Memory {
     fn drop(&mut self) {
-        let mut wire = self.network.wire();
-        if self.runs(&wire) {
-            let name = self.talk.me().name.clone();
-            wire.crash(self.told, &name);
+        let mut state = self.network.state();
+        if self.is_running(&state) {
+            let name = self.endpoint.me().name.clone();
+            state.crash(self.last_now, &name);
         }
     }
 }
--- a/crates/link/src/message.rs
+++ b/crates/link/src/message.rs
@@ -18,7 +18,7 @@
 pub type Kind = u16;
 
 /// Maximum length of an instance's name, in bytes.
-pub const NAME_MOST: usize = 48;
+pub const MAX_NAME_BYTES: usize = 48;
 
 /// The name of an instance: 1 to 48 bytes of letters, digits, `-`, `_` and `.`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -27,7 +27,7 @@
 impl Name {
     /// Returns None if the name is empty, too long, or has other characters.
     pub fn new(text: &str) -> Option<Name> {
-        let fits = (1..=NAME_MOST).contains(&text.len());
+        let fits = (1..=MAX_NAME_BYTES).contains(&text.len());
         let plain = text.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b));
         (fits && plain).then(|| Name(Arc::from(text)))
     }
--- a/crates/link/src/outgoing.rs
+++ b/crates/link/src/outgoing.rs
@@ -4,13 +4,13 @@
 use std::collections::VecDeque;
 
 /// Bytes counted for a message beside its body, so that the number of empty messages is bounded too.
-const BESIDE_BODY: usize = 64;
+const MESSAGE_OVERHEAD: usize = 64;
 
 /// How long acknowledgements are still read after the timeout, in tenths of a millisecond.
-const LAST_LOOK: Tenths = 1_000;
+const FINAL_CHECK_DELAY: Tenths = 1_000;
 
 #[derive(Debug)]
-pub(crate) struct Outgoing {
+pub(crate) struct SendStream {
     /// The number of the next message.
     next: u64,
     /// The first number after the last break.
@@ -21,16 +21,24 @@
     /// The last number written to the current connection.
     written: u64,
     /// Since when the first message has been waiting without progress.
-    since: Tenths,
+    waiting_since: Tenths,
     /// Set once the timeout has passed: the stream breaks at this time, unless an acknowledgement arrives before.
-    last_look: Option<Tenths>,
+    final_check_at: Option<Tenths>,
 }
 
-impl Outgoing {
+impl SendStream {
     /// Creates a stream whose first message gets the number `first`, which is 1 or more.
-    pub(crate) fn new(first: u64) -> Outgoing {
+    pub(crate) fn new(first: u64) -> SendStream {
         let (waiting, written) = (VecDeque::new(), first - 1);
-        Outgoing { next: first, epoch: first, waiting, bytes: 0, written, since: 0, last_look: None }
+        SendStream {
+            next: first,
+            epoch: first,
+            waiting,
+            bytes: 0,
+            written,
+            waiting_since: 0,
+            final_check_at: None,
+        }
     }
 
     pub(crate) fn next_number(&self) -> u64 {
@@ -50,7 +58,7 @@
     }
 
     fn cost(body: &[u8]) -> usize {
-        body.len() + BESIDE_BODY
+        body.len() + MESSAGE_OVERHEAD
     }
 
     pub(crate) fn send(
@@ -60,14 +68,14 @@
         body: &[u8],
         bound: usize,
     ) -> Result<u64, Refused> {
-        let cost = Outgoing::cost(body);
+        let cost = SendStream::cost(body);
         // Danger: without this bound, messages to a peer that accepts nothing would fill this instance's
         // memory.
         if self.bytes + cost > bound {
             return Err(Refused::Full { waiting: self.bytes, bound });
         }
         if self.waiting.is_empty() {
-            (self.since, self.last_look) = (now, None);
+            (self.waiting_since, self.final_check_at) = (now, None);
         }
         let number = self.next;
         self.next += 1;
@@ -77,10 +85,10 @@
     }
 
     /// Returns the next message not yet written to the current connection.
-    pub(crate) fn unwritten(&mut self) -> Option<&Message> {
+    pub(crate) fn next_unwritten(&mut self) -> Option<&Message> {
         let first = self.waiting.front()?.number;
-        let place = (self.written + 1).saturating_sub(first);
-        let message = self.waiting.get(usize::try_from(place).ok()?)?;
+        let index = (self.written + 1).saturating_sub(first);
+        let message = self.waiting.get(usize::try_from(index).ok()?)?;
         self.written = message.number;
         Some(message)
     }
@@ -97,30 +105,30 @@
         }
         let before = self.waiting.len();
         while let Some(message) = self.waiting.pop_front_if(|m| m.number <= number) {
-            self.bytes -= Outgoing::cost(&message.body);
+            self.bytes -= SendStream::cost(&message.body);
         }
-        let news = self.waiting.len() < before;
-        if news {
-            (self.since, self.last_look) = (now, None);
+        let progress = self.waiting.len() < before;
+        if progress {
+            (self.waiting_since, self.final_check_at) = (now, None);
         }
-        news
+        progress
     }
 
     /// When the timeout has to be checked next.
-    pub(crate) fn silent_at(&self, patience: Tenths) -> Option<Tenths> {
-        self.is_waiting().then(|| self.last_look.unwrap_or(self.since + patience))
+    pub(crate) fn times_out_at(&self, patience: Tenths) -> Option<Tenths> {
+        self.is_waiting().then(|| self.final_check_at.unwrap_or(self.waiting_since + patience))
     }
 
     /// Whether the acknowledgement timeout has passed.
-    pub(crate) fn is_silent(&mut self, now: Tenths, patience: Tenths) -> bool {
-        if self.silent_at(patience).is_none_or(|at| now < at) {
+    pub(crate) fn is_timed_out(&mut self, now: Tenths, patience: Tenths) -> bool {
+        if self.times_out_at(patience).is_none_or(|at| now < at) {
             return false;
         }
         // Danger: an instance that was itself paused must not time out its peers while their acknowledgements
         // are unread in its sockets, so the timeout counts only at a second check.
-        let looked = self.last_look.is_some();
-        self.last_look.get_or_insert(now + LAST_LOOK);
-        looked
+        let final_check = self.final_check_at.is_some();
+        self.final_check_at.get_or_insert(now + FINAL_CHECK_DELAY);
+        final_check
     }
 
     /// Handles the end of the connection. Messages that were written and not acknowledged may be lost: in that
@@ -129,14 +137,14 @@
     pub(crate) fn connection_ended(&mut self) -> Vec<Message> {
         let lost = self.waiting.front().is_some_and(|m| m.number <= self.written);
         if lost {
-            return self.broke();
+            return self.fail();
         }
         self.epoch = self.waiting.front().map_or(self.next, |m| m.number);
         Vec::new()
     }
 
     /// Breaks the stream: returns all unacknowledged messages; the next message begins an epoch.
-    pub(crate) fn broke(&mut self) -> Vec<Message> {
+    pub(crate) fn fail(&mut self) -> Vec<Message> {
         self.epoch = self.next;
         self.written = self.next - 1;
         self.bytes = 0;
--- a/crates/link/src/sockets.rs
+++ b/crates/link/src/sockets.rs
@@ -1,9 +1,9 @@
 //! Transport over sockets: datagrams over UDP, streams over TCP, both at one address. No decisions are made here:
-//! socket events are passed to [`Talk`], and its actions are carried out.
+//! socket events are passed to [`Endpoint`], and its actions are carried out.
 
 use crate::message::{Event, Kind, Kinds, Name, Refused, Sender, Tenths, Way};
-use crate::talk::{Bounds, Call, Step, Talk, stream_of};
-use crate::tcp::{Connections, FIRST, More, call_of, token};
+use crate::talk::{Action, Bounds, ConnectionId, Endpoint, stream_of};
+use crate::tcp::{Connections, FIRST_CONNECTION_TOKEN, Readiness, connection_id_of, token};
 use crate::transport::Transport;
 use crate::udp::Datagrams;
 use mio::net::{TcpListener, UdpSocket};
@@ -18,9 +18,9 @@
 const UDP: Token = Token(1);
 const LISTENER: Token = Token(2);
 /// Readiness events taken from the operating system at once; further ones are taken on the next call.
-const EVENTS: usize = 256;
+const MAX_EVENTS: usize = 256;
 /// Number of attempts to find a port that is free for both protocols.
-const PORTS: usize = 20;
+const MAX_PORT_ATTEMPTS: usize = 20;
 
 /// Which sockets an instance has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
 }
 
 pub struct Sockets {
-    talk: Talk,
+    endpoint: Endpoint,
     poll: Poll,
     events: Events,
     waker: Waker,
@@ -50,9 +50,9 @@
     /// Sockets that may have something to read.
     ready: BTreeSet<Token>,
     /// The socket read last, for round-robin reading.
-    turn: Token,
+    last_read: Token,
     /// Connections whose output has to be flushed.
-    given: BTreeSet<Call>,
+    to_flush: BTreeSet<ConnectionId>,
     address: SocketAddr,
 }
 
@@ -79,17 +79,17 @@
             poll.registry().register(listener, LISTENER, Interest::READABLE)?;
             at = listener.local_addr()?;
         }
-        let most = bounds.datagram;
+        let max_datagram = bounds.datagram;
         Ok(Sockets {
-            talk: Talk::new(me, kinds, bounds, seed),
+            endpoint: Endpoint::new(me, kinds, bounds, seed),
             poll,
-            events: Events::with_capacity(EVENTS),
+            events: Events::with_capacity(MAX_EVENTS),
             waker,
-            udp: udp.map(|socket| Datagrams::new(socket, most)),
+            udp: udp.map(|socket| Datagrams::new(socket, max_datagram)),
             tcp: tcp.map(Connections::new),
             ready: BTreeSet::from([UDP, LISTENER]),
-            turn: WAKER,
-            given: BTreeSet::new(),
+            last_read: WAKER,
+            to_flush: BTreeSet::new(),
             address: at,
         })
     }
@@ -105,14 +105,14 @@
 
     /// Blocks until a socket is ready, [`Waker::wake`] is called, or the timeout passes. Poll until None before
     /// calling this.
-    pub fn wait(&mut self, longest: Duration) -> io::Result<()> {
-        let longest = if self.ready.is_empty() { longest } else { Duration::ZERO };
-        self.look(longest).map(|_| ())
+    pub fn wait(&mut self, timeout: Duration) -> io::Result<()> {
+        let timeout = if self.ready.is_empty() { timeout } else { Duration::ZERO };
+        self.collect_readiness(timeout).map(|_| ())
     }
 
     /// Collects readiness events from the operating system. True if there were any.
-    fn look(&mut self, longest: Duration) -> io::Result<bool> {
-        match self.poll.poll(&mut self.events, Some(longest)) {
+    fn collect_readiness(&mut self, timeout: Duration) -> io::Result<bool> {
+        match self.poll.poll(&mut self.events, Some(timeout)) {
             Err(e) if e.kind() == ErrorKind::Interrupted => return Ok(false),
             other => other?,
         }
@@ -120,8 +120,8 @@
         for event in &self.events {
             any = true;
             let token = event.token();
-            if token.0 >= FIRST && event.is_writable() {
-                self.given.insert(call_of(token));
+            if token.0 >= FIRST_CONNECTION_TOKEN && event.is_writable() {
+                self.to_flush.insert(connection_id_of(token));
             }
             if token != WAKER {
                 self.ready.insert(token);
@@ -130,42 +130,44 @@
         Ok(any)
     }
 
-    fn carry_out(&mut self, now: Tenths, step: Step) {
+    fn carry_out(&mut self, now: Tenths, action: Action) {
         let Some(tcp) = &mut self.tcp else { return };
-        match step {
-            Step::Dial { call, address } => {
-                tcp.dial(now, call, address, self.poll.registry(), &mut self.talk)
+        match action {
+            Action::Dial { conn, address } => {
+                tcp.dial(now, conn, address, self.poll.registry(), &mut self.endpoint)
             }
-            Step::Write { call, frame } => {
-                tcp.write(now, call, &frame, &mut self.talk);
-                self.given.insert(call);
+            Action::Write { conn, frame } => {
+                tcp.write(now, conn, &frame, &mut self.endpoint);
+                self.to_flush.insert(conn);
             }
-            Step::Close { call } => {
-                tcp.close(call);
-                self.given.remove(&call);
-                self.ready.remove(&token(call));
+            Action::Close { conn } => {
+                tcp.close(conn);
+                self.to_flush.remove(&conn);
+                self.ready.remove(&token(conn));
             }
         }
     }
 
     /// Reads once from the next ready socket, in turn. False if none is ready.
     fn read(&mut self, now: Tenths) -> bool {
-        let next = self.ready.range(Token(self.turn.0 + 1)..).next().or_else(|| self.ready.first());
+        let next = self.ready.range(Token(self.last_read.0 + 1)..).next().or_else(|| self.ready.first());
         let Some(token) = next.copied() else { return false };
-        self.turn = token;
+        self.last_read = token;
         let more = match (token, &mut self.udp, &mut self.tcp) {
             (UDP, Some(udp), _) => match udp.read() {
                 Some(bytes) => {
-                    self.talk.heard_datagram(bytes);
-                    More::Perhaps
+                    self.endpoint.datagram_received(bytes);
+                    Readiness::MaybeReady
                 }
-                None => More::No,
+                None => Readiness::NotReady,
             },
-            (LISTENER, _, Some(tcp)) => tcp.accept(now, self.poll.registry(), &mut self.talk),
-            (token, _, Some(tcp)) if token.0 >= FIRST => tcp.read(now, call_of(token), &mut self.talk),
-            _ => More::No,
+            (LISTENER, _, Some(tcp)) => tcp.accept(now, self.poll.registry(), &mut self.endpoint),
+            (token, _, Some(tcp)) if token.0 >= FIRST_CONNECTION_TOKEN => {
+                tcp.read(now, connection_id_of(token), &mut self.endpoint)
+            }
+            _ => Readiness::NotReady,
         };
-        if more == More::No {
+        if more == Readiness::NotReady {
             self.ready.remove(&token);
         }
         true
@@ -173,8 +175,8 @@
 }
 
 fn bind_parts(address: SocketAddr, parts: Parts) -> io::Result<(Option<UdpSocket>, Option<TcpListener>)> {
-    let mut failed = io::Error::from(ErrorKind::AddrInUse);
-    for _ in 0..PORTS {
+    let mut last_error = io::Error::from(ErrorKind::AddrInUse);
+    for _ in 0..MAX_PORT_ATTEMPTS {
         let tcp = if parts == Parts::Udp { None } else { Some(TcpListener::bind(address)?) };
         let at = tcp.as_ref().map_or(Ok(address), TcpListener::local_addr)?;
         if parts == Parts::Tcp {
@@ -183,16 +185,16 @@
         match UdpSocket::bind(at) {
             Ok(udp) => return Ok((Some(udp), tcp)),
             // The port is free for TCP and in use for UDP.
-            Err(e) if e.kind() == ErrorKind::AddrInUse && address.port() == 0 => failed = e,
+            Err(e) if e.kind() == ErrorKind::AddrInUse && address.port() == 0 => last_error = e,
             Err(e) => return Err(e),
         }
     }
-    Err(failed)
+    Err(last_error)
 }
 
 impl Transport for Sockets {
     fn me(&self) -> &Sender {
-        self.talk.me()
+        self.endpoint.me()
     }
 
     fn carries(&self, way: Way) -> bool {
@@ -203,11 +205,11 @@
     }
 
     fn meet(&mut self, now: Tenths, peer: &Name, address: SocketAddr) -> Result<(), Refused> {
-        self.talk.meet(now, peer, address)
+        self.endpoint.meet(now, peer, address)
     }
 
     fn forget(&mut self, now: Tenths, peer: &Name) {
-        self.talk.forget(now, peer);
+        self.endpoint.forget(now, peer);
     }
 
     fn send(&mut self, now: Tenths, to: &Name, way: Way, kind: Kind, body: &[u8]) -> Result<u64, Refused> {
@@ -215,50 +217,50 @@
             return Err(Refused::NoSuchWay(way));
         }
         if let Some(stream) = stream_of(way) {
-            return self.talk.send(now, to, stream, kind, body);
+            return self.endpoint.send(now, to, stream, kind, body);
         }
-        let bytes = self.talk.datagram(to, kind, body)?;
-        if let (Some(udp), Some(address)) = (&self.udp, self.talk.address(to)) {
+        let bytes = self.endpoint.datagram(to, kind, body)?;
+        if let (Some(udp), Some(address)) = (&self.udp, self.endpoint.address(to)) {
             udp.send(&bytes, address)?;
         }
         Ok(0)
     }
 
     fn poll(&mut self, now: Tenths) -> Option<Event> {
-        let mut looked = false;
+        let mut collected = false;
         loop {
-            if let Some(event) = self.talk.next_event() {
+            if let Some(event) = self.endpoint.next_event() {
                 return Some(event);
             }
-            if let Some(step) = self.talk.next_step(now) {
-                self.carry_out(now, step);
+            if let Some(action) = self.endpoint.next_action(now) {
+                self.carry_out(now, action);
                 continue;
             }
             if let Some(tcp) = &mut self.tcp {
-                if tcp.again_at.is_some_and(|at| now >= at) {
+                if tcp.accept_retry_at.is_some_and(|at| now >= at) {
                     self.ready.insert(LISTENER);
                 }
-                let given = std::mem::take(&mut self.given);
-                if !given.is_empty() {
-                    given.into_iter().for_each(|call| tcp.writable(now, call, &mut self.talk));
+                let to_flush = std::mem::take(&mut self.to_flush);
+                if !to_flush.is_empty() {
+                    to_flush.into_iter().for_each(|conn| tcp.writable(now, conn, &mut self.endpoint));
                     continue;
                 }
             }
-            if self.talk.has_events() || self.read(now) {
+            if self.endpoint.has_events() || self.read(now) {
                 continue;
             }
             // Readiness is collected once a call: a caller that polls until None has seen everything that
             // was there at the start.
-            if looked || !self.look(Duration::ZERO).unwrap_or(false) {
+            if collected || !self.collect_readiness(Duration::ZERO).unwrap_or(false) {
                 return None;
             }
-            looked = true;
+            collected = true;
         }
     }
 
     fn wake_at(&self) -> Option<Tenths> {
-        let again = self.tcp.as_ref().and_then(|t| t.again_at);
-        let ready = (!self.ready.is_empty() || !self.given.is_empty()).then_some(Tenths::MIN);
-        [again, ready, self.talk.wake_at()].into_iter().flatten().min()
+        let accept_retry = self.tcp.as_ref().and_then(|t| t.accept_retry_at);
+        let ready = (!self.ready.is_empty() || !self.to_flush.is_empty()).then_some(Tenths::MIN);
+        [accept_retry, ready, self.endpoint.wake_at()].into_iter().flatten().min()
     }
 }
--- a/crates/link/src/talk.rs
+++ b/crates/link/src/talk.rs
@@ -5,8 +5,8 @@
 //! other side, so the two directions between two instances fail independently.
 
 use crate::dialling::Peer;
-use crate::envelope::{Header, Lane, OVERHEAD_MOST, VERSION, decode, encode};
-use crate::listening::{Heard, Listening, Speaker};
+use crate::envelope::{Header, Lane, MAX_OVERHEAD, VERSION, decode, encode};
+use crate::listening::{FrameResult, InboundConnection, PeerIdentity};
 use crate::message::{Event, Kind, Kinds, Name, Refused, Sender, StreamId, Tenths, Unread, Way, Why};
 use crate::redial::{Backoff, Redial};
 use nanorand::{Rng, WyRand};
@@ -25,7 +25,7 @@
     /// The same limit over all streams to one peer.
     pub peer_bytes: usize,
     /// Bytes that may be passed to a connection before its socket has accepted all of the earlier ones.
-    pub ahead: usize,
+    pub unsent_bytes: usize,
     pub streams: usize,
     /// Maximum number of peers added, and of names that have connected to this instance.
     pub peers: usize,
@@ -35,7 +35,7 @@
     pub patience: Tenths,
     /// Idle timeout: a connection without messages is closed by its dialling side after this long, by the other
     /// side after twice this.
-    pub idle: Tenths,
+    pub idle_timeout: Tenths,
     pub backoff: Backoff,
 }
 
@@ -46,12 +46,12 @@
             message: 256 * 1_024,
             stream_bytes: 1_024 * 1_024,
             peer_bytes: 4 * 1_024 * 1_024,
-            ahead: 256 * 1_024,
+            unsent_bytes: 256 * 1_024,
             streams: 64,
             peers: 8_192,
             calls: 2_048,
             patience: 50_000,
-            idle: 300_000,
+            idle_timeout: 300_000,
             backoff: Backoff::default(),
         }
     }
@@ -62,68 +62,68 @@
 
 /// Identifies one connection, inbound or outbound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Call(pub(crate) u64);
+pub(crate) struct ConnectionId(pub(crate) u64);
 
 /// What the host has to carry out.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Step {
-    Dial { call: Call, address: SocketAddr },
-    Write { call: Call, frame: Vec<u8> },
-    Close { call: Call },
+pub(crate) enum Action {
+    Dial { conn: ConnectionId, address: SocketAddr },
+    Write { conn: ConnectionId, frame: Vec<u8> },
+    Close { conn: ConnectionId },
 }
 
 /// A peer or a connection that may have an action to carry out.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Duty {
+enum WorkItem {
     Peer(Name),
-    Call(Call),
+    Connection(ConnectionId),
 }
 
-enum Side {
-    Dialled(Name),
-    Listened(Box<Listening>),
+enum Connection {
+    Outbound(Name),
+    Inbound(Box<InboundConnection>),
 }
 
-pub(crate) struct Talk {
+pub(crate) struct Endpoint {
     me: Sender,
     kinds: Kinds,
     bounds: Bounds,
     peers: BTreeMap<Name, Peer>,
-    calls: BTreeMap<Call, Side>,
-    listened: usize,
-    next_call: u64,
+    connections: BTreeMap<ConnectionId, Connection>,
+    inbound_count: usize,
+    next_connection_id: u64,
     /// First sequence number of new streams.
     first_number: u64,
     /// Per peer that connected to this instance: its latest handshake, and that connection if it is still open.
-    speakers: BTreeMap<Name, (Speaker, Option<Call>)>,
-    busy: BTreeSet<Duty>,
-    timers: BTreeSet<(Tenths, Duty)>,
-    wakes: BTreeMap<Duty, Tenths>,
+    inbound_peers: BTreeMap<Name, (PeerIdentity, Option<ConnectionId>)>,
+    runnable: BTreeSet<WorkItem>,
+    timers: BTreeSet<(Tenths, WorkItem)>,
+    deadlines: BTreeMap<WorkItem, Tenths>,
     /// Actions not yet pulled: for each connection its close, and replies within the bound on bytes passed to it.
-    steps: VecDeque<Step>,
+    actions: VecDeque<Action>,
     /// Events not yet returned; for a message also the connection on which it arrived.
-    events: VecDeque<(Option<Call>, Event)>,
-    chance: WyRand,
+    events: VecDeque<(Option<ConnectionId>, Event)>,
+    rng: WyRand,
 }
 
-impl Talk {
-    pub(crate) fn new(me: Sender, kinds: Kinds, bounds: Bounds, seed: u64) -> Talk {
-        Talk {
+impl Endpoint {
+    pub(crate) fn new(me: Sender, kinds: Kinds, bounds: Bounds, seed: u64) -> Endpoint {
+        Endpoint {
             me,
             kinds,
             bounds,
             peers: BTreeMap::new(),
-            calls: BTreeMap::new(),
-            listened: 0,
-            next_call: 0,
+            connections: BTreeMap::new(),
+            inbound_count: 0,
+            next_connection_id: 0,
             first_number: 1,
-            speakers: BTreeMap::new(),
-            busy: BTreeSet::new(),
+            inbound_peers: BTreeMap::new(),
+            runnable: BTreeSet::new(),
             timers: BTreeSet::new(),
-            wakes: BTreeMap::new(),
-            steps: VecDeque::new(),
+            deadlines: BTreeMap::new(),
+            actions: VecDeque::new(),
             events: VecDeque::new(),
-            chance: WyRand::new_seed(seed),
+            rng: WyRand::new_seed(seed),
         }
     }
 
@@ -147,12 +147,12 @@
         if !self.peers.contains_key(name) && self.peers.len() >= self.bounds.peers {
             return Err(Refused::TooMany { bound: self.bounds.peers });
         }
-        self.part(now, name);
-        let redial = Redial::new(self.bounds.backoff, self.chance.generate());
+        self.disconnect(now, name);
+        let redial = Redial::new(self.bounds.backoff, self.rng.generate());
         match self.peers.get_mut(name) {
             // Danger: without continuing the sequence numbers, the peer's next epoch would look older
             // than its last one.
-            Some(peer) => peer.moved(address, redial),
+            Some(peer) => peer.set_address(address, redial),
             None => {
                 self.peers.insert(name.clone(), Peer::new(name.clone(), address, redial, self.first_number));
             }
@@ -161,32 +161,32 @@
     }
 
     pub(crate) fn forget(&mut self, now: Tenths, name: &Name) {
-        self.part(now, name);
-        // Danger: without this, a peer that is added again would mistake the first messages for earlier ones.
+        self.disconnect(now, name);
+        // Danger: without this, a peer that is added again would take the first messages for ones sent before.
         let unused = self.peers.remove(name).map_or(0, |p| p.unused_number());
         self.first_number = self.first_number.max(unused);
-        self.rest(&Duty::Peer(name.clone()));
+        self.unschedule(&WorkItem::Peer(name.clone()));
     }
 
-    fn part(&mut self, now: Tenths, name: &Name) {
+    fn disconnect(&mut self, now: Tenths, name: &Name) {
         let Some(peer) = self.peers.get_mut(name) else { return };
-        let mut told = Vec::new();
-        let call = peer.call();
-        let step = peer.left(now, &mut told);
-        self.events.extend(told.into_iter().map(|e| (None, e)));
-        self.steps.extend(step);
-        if let Some(call) = call {
-            self.calls.remove(&call);
+        let mut new_events = Vec::new();
+        let conn = peer.conn();
+        let action = peer.detach(now, &mut new_events);
+        self.events.extend(new_events.into_iter().map(|e| (None, e)));
+        self.actions.extend(action);
+        if let Some(conn) = conn {
+            self.connections.remove(&conn);
         }
     }
 
     /// Encodes a datagram.
     pub(crate) fn datagram(&self, to: &Name, kind: Kind, body: &[u8]) -> Result<Vec<u8>, Refused> {
-        self.sendable(to, kind, body, self.bounds.datagram.saturating_sub(DATAGRAM_OVERHEAD))?;
+        self.check_sendable(to, kind, body, self.bounds.datagram.saturating_sub(DATAGRAM_OVERHEAD))?;
         Ok(encode(&self.header(to.as_str(), kind, Lane::Datagram), body))
     }
 
-    fn sendable(&self, to: &Name, kind: Kind, body: &[u8], bound: usize) -> Result<(), Refused> {
+    fn check_sendable(&self, to: &Name, kind: Kind, body: &[u8], bound: usize) -> Result<(), Refused> {
         if !self.peers.contains_key(to) {
             return Err(Refused::NotMet(to.clone()));
         }
@@ -211,104 +211,104 @@
         kind: Kind,
         body: &[u8],
     ) -> Result<u64, Refused> {
-        self.sendable(to, kind, body, self.bounds.message)?;
+        self.check_sendable(to, kind, body, self.bounds.message)?;
         let peer = self.peers.get_mut(to).ok_or_else(|| Refused::NotMet(to.clone()))?;
         let number = peer.send(now, stream, kind, body, &self.bounds)?;
-        self.busy.insert(Duty::Peer(to.clone()));
+        self.runnable.insert(WorkItem::Peer(to.clone()));
         Ok(number)
     }
 
     /// Maximum size of a frame on a connection, in bytes.
-    pub(crate) fn frame_most(&self) -> usize {
-        self.bounds.message + OVERHEAD_MOST
+    pub(crate) fn max_frame_bytes(&self) -> usize {
+        self.bounds.message + MAX_OVERHEAD
     }
 
     /// Registers an inbound connection. None at the bound: the host closes the connection.
-    pub(crate) fn accepted(&mut self, now: Tenths) -> Option<Call> {
-        if self.listened >= self.bounds.calls {
-            self.tell(Event::Unread { from: None, why: Unread::Full });
+    pub(crate) fn accepted(&mut self, now: Tenths) -> Option<ConnectionId> {
+        if self.inbound_count >= self.bounds.calls {
+            self.push_event(Event::Unread { from: None, why: Unread::Full });
             return None;
         }
-        let call = Call(self.next_call);
-        self.next_call += 1;
-        self.listened += 1;
-        self.calls.insert(call, Side::Listened(Box::new(Listening::new(now))));
-        self.busy.insert(Duty::Call(call));
-        Some(call)
+        let conn = ConnectionId(self.next_connection_id);
+        self.next_connection_id += 1;
+        self.inbound_count += 1;
+        self.connections.insert(conn, Connection::Inbound(Box::new(InboundConnection::new(now))));
+        self.runnable.insert(WorkItem::Connection(conn));
+        Some(conn)
     }
 
     /// An outbound connection was established. False: it is no longer needed.
-    pub(crate) fn up(&mut self, now: Tenths, call: Call) -> bool {
-        let Some(Side::Dialled(name)) = self.calls.get(&call) else { return false };
+    pub(crate) fn connected(&mut self, now: Tenths, conn: ConnectionId) -> bool {
+        let Some(Connection::Outbound(name)) = self.connections.get(&conn) else { return false };
         let Some(peer) = self.peers.get_mut(name) else { return false };
-        peer.up(now);
-        self.busy.insert(Duty::Peer(name.clone()));
+        peer.connected(now);
+        self.runnable.insert(WorkItem::Peer(name.clone()));
         true
     }
 
     /// The connection's socket has accepted all bytes passed to it.
-    pub(crate) fn drained(&mut self, call: Call) {
-        match self.calls.get_mut(&call) {
-            Some(Side::Dialled(name)) => {
+    pub(crate) fn flushed(&mut self, conn: ConnectionId) {
+        match self.connections.get_mut(&conn) {
+            Some(Connection::Outbound(name)) => {
                 if let Some(peer) = self.peers.get_mut(name) {
-                    peer.drained();
-                    self.busy.insert(Duty::Peer(name.clone()));
+                    peer.flushed();
+                    self.runnable.insert(WorkItem::Peer(name.clone()));
                 }
             }
-            Some(Side::Listened(listening)) => {
-                listening.ahead = 0;
-                self.busy.insert(Duty::Call(call));
+            Some(Connection::Inbound(inbound)) => {
+                inbound.unsent_bytes = 0;
+                self.runnable.insert(WorkItem::Connection(conn));
             }
             None => {}
         }
     }
 
     /// The connection ended, or could not be established.
-    pub(crate) fn ended(&mut self, now: Tenths, call: Call) {
-        self.ended_because(now, call, Why::Lost);
+    pub(crate) fn disconnected(&mut self, now: Tenths, conn: ConnectionId) {
+        self.disconnected_because(now, conn, Why::Lost);
     }
 
-    fn ended_because(&mut self, now: Tenths, call: Call, why: Why) {
-        match self.calls.remove(&call) {
-            Some(Side::Dialled(name)) => {
-                let mut told = Vec::new();
+    fn disconnected_because(&mut self, now: Tenths, conn: ConnectionId, why: Why) {
+        match self.connections.remove(&conn) {
+            Some(Connection::Outbound(name)) => {
+                let mut new_events = Vec::new();
                 if let Some(peer) = self.peers.get_mut(&name) {
-                    peer.ended(now, why, &mut told);
+                    peer.disconnected(now, why, &mut new_events);
                 }
-                self.events.extend(told.into_iter().map(|e| (None, e)));
-                self.busy.insert(Duty::Peer(name));
+                self.events.extend(new_events.into_iter().map(|e| (None, e)));
+                self.runnable.insert(WorkItem::Peer(name));
             }
-            Some(Side::Listened(listening)) => self.forget_listening(call, &listening),
+            Some(Connection::Inbound(inbound)) => self.remove_inbound(conn, &inbound),
             None => {}
         }
     }
 
-    fn forget_listening(&mut self, call: Call, listening: &Listening) {
-        self.listened -= 1;
-        self.rest(&Duty::Call(call));
-        if let Some(speaker) = &listening.speaker
-            && let Some((_, latest)) = self.speakers.get_mut(&speaker.name)
-            && *latest == Some(call)
+    fn remove_inbound(&mut self, conn: ConnectionId, inbound: &InboundConnection) {
+        self.inbound_count -= 1;
+        self.unschedule(&WorkItem::Connection(conn));
+        if let Some(identity) = &inbound.identity
+            && let Some((_, latest)) = self.inbound_peers.get_mut(&identity.name)
+            && *latest == Some(conn)
         {
             *latest = None;
         }
     }
 
-    fn rest(&mut self, duty: &Duty) {
-        self.busy.remove(duty);
-        if let Some(at) = self.wakes.remove(duty) {
-            self.timers.remove(&(at, duty.clone()));
+    fn unschedule(&mut self, work_item: &WorkItem) {
+        self.runnable.remove(work_item);
+        if let Some(at) = self.deadlines.remove(work_item) {
+            self.timers.remove(&(at, work_item.clone()));
         }
     }
 
-    fn tell(&mut self, event: Event) {
+    fn push_event(&mut self, event: Event) {
         self.events.push_back((None, event));
     }
 
     /// Handles a received datagram.
-    pub(crate) fn heard_datagram(&mut self, bytes: &[u8]) {
+    pub(crate) fn datagram_received(&mut self, bytes: &[u8]) {
         let event = self.read_datagram(bytes).unwrap_or_else(|(from, why)| Event::Unread { from, why });
-        self.tell(event);
+        self.push_event(event);
     }
 
     fn read_datagram(&self, bytes: &[u8]) -> Result<Event, (Option<Name>, Unread)> {
@@ -333,49 +333,49 @@
     }
 
     /// Handles a frame received on a connection.
-    pub(crate) fn heard(&mut self, now: Tenths, call: Call, frame: &[u8]) {
+    pub(crate) fn frame_received(&mut self, now: Tenths, conn: ConnectionId, frame: &[u8]) {
         // A peer that refuses bytes it cannot read does not know the sender's name, so its refusal names no
         // receiver.
-        let unnamed = |h: &Header<'_>| h.to.is_empty() && matches!(h.lane, Lane::Refusal { .. });
+        let without_receiver = |h: &Header<'_>| h.to.is_empty() && matches!(h.lane, Lane::Refusal { .. });
         let read = decode(frame).and_then(|(header, body)| {
-            match header.to == self.me.name.as_str() || unnamed(&header) {
+            match header.to == self.me.name.as_str() || without_receiver(&header) {
                 true => Ok((header, body)),
                 false => Err(Unread::NotMine(header.to.to_owned())),
             }
         });
-        match (self.calls.get_mut(&call), read) {
-            (Some(Side::Dialled(name)), Ok((header, _))) => {
+        match (self.connections.get_mut(&conn), read) {
+            (Some(Connection::Outbound(name)), Ok((header, _))) => {
                 let name = name.clone();
-                self.heard_back(now, call, name, header.lane);
+                self.reply_received(now, conn, name, header.lane);
             }
-            (Some(Side::Dialled(name)), Err(why)) => {
+            (Some(Connection::Outbound(name)), Err(why)) => {
                 let from = Some(name.clone());
-                self.tell(Event::Unread { from, why });
-                self.close(now, call, Why::Lost);
+                self.push_event(Event::Unread { from, why });
+                self.close(now, conn, Why::Lost);
             }
-            (Some(Side::Listened(listening)), Ok((header, body))) => {
-                let heard = listening.hear(now, &header, &self.kinds, self.bounds.streams);
-                let from = listening.speaker.as_ref().map(|s| s.name.clone());
-                match heard {
-                    Heard::Greeting(speaker) => self.greeted(now, call, speaker),
-                    Heard::Message { stream, epoch, number } => {
+            (Some(Connection::Inbound(inbound)), Ok((header, body))) => {
+                let result = inbound.receive(now, &header, &self.kinds, self.bounds.streams);
+                let from = inbound.identity.as_ref().map(|s| s.name.clone());
+                match result {
+                    FrameResult::Handshake(identity) => self.handshake_received(now, conn, identity),
+                    FrameResult::Message { stream, epoch, number } => {
                         let Some(name) = from else { return };
                         let from = Sender { name, incarnation: header.incarnation };
                         let (kind, body) = (header.kind, body.to_vec());
                         let event = Event::Message { from, stream, epoch, number, kind, body };
-                        self.events.push_back((Some(call), event));
+                        self.events.push_back((Some(conn), event));
                     }
-                    Heard::RefuseStream { stream, epoch, why } => {
-                        self.refuse(now, call, from, Some((stream, epoch)), why);
+                    FrameResult::RefuseStream { stream, epoch, why } => {
+                        self.refuse(now, conn, from, Some((stream, epoch)), why);
                     }
-                    Heard::RefuseAll(why) => self.refuse_all(now, call, from, why),
-                    Heard::Nothing => {}
+                    FrameResult::RefuseConnection(why) => self.refuse_connection(now, conn, from, why),
+                    FrameResult::Ignored => {}
                 }
             }
-            (Some(Side::Listened(listening)), Err(why)) => {
-                if !listening.refused {
-                    let from = listening.speaker.as_ref().map(|s| s.name.clone());
-                    self.refuse_all(now, call, from, why);
+            (Some(Connection::Inbound(inbound)), Err(why)) => {
+                if !inbound.refused {
+                    let from = inbound.identity.as_ref().map(|s| s.name.clone());
+                    self.refuse_connection(now, conn, from, why);
                 }
             }
             (None, _) => {}
@@ -383,65 +383,66 @@
     }
 
     /// Handles a frame whose announced length is over the bound.
-    pub(crate) fn heard_too_long(&mut self, now: Tenths, call: Call, length: u64) {
-        let why = Unread::TooLong { length, bound: self.frame_most() as u64 };
-        match self.calls.get(&call) {
-            Some(Side::Listened(listening)) if !listening.refused => {
-                let from = listening.speaker.as_ref().map(|s| s.name.clone());
-                self.refuse_all(now, call, from, why);
+    pub(crate) fn oversized_frame_received(&mut self, now: Tenths, conn: ConnectionId, length: u64) {
+        let why = Unread::TooLong { length, bound: self.max_frame_bytes() as u64 };
+        match self.connections.get(&conn) {
+            Some(Connection::Inbound(inbound)) if !inbound.refused => {
+                let from = inbound.identity.as_ref().map(|s| s.name.clone());
+                self.refuse_connection(now, conn, from, why);
             }
-            Some(Side::Dialled(name)) => {
+            Some(Connection::Outbound(name)) => {
                 let from = Some(name.clone());
-                self.tell(Event::Unread { from, why });
-                self.close(now, call, Why::Lost);
+                self.push_event(Event::Unread { from, why });
+                self.close(now, conn, Why::Lost);
             }
             _ => {}
         }
     }
 
-    fn heard_back(&mut self, now: Tenths, call: Call, name: Name, lane: Lane) {
-        let Some(peer) = self.peers.get_mut(&name).filter(|p| p.call() == Some(call)) else { return };
+    fn reply_received(&mut self, now: Tenths, conn: ConnectionId, name: Name, lane: Lane) {
+        let Some(peer) = self.peers.get_mut(&name).filter(|p| p.conn() == Some(conn)) else { return };
         match lane {
             Lane::Acknowledged { stream, epoch, number } => {
                 if let Some(event) = peer.acknowledged(now, stream, epoch, number) {
-                    self.tell(event);
+                    self.push_event(event);
                 }
-                self.busy.insert(Duty::Peer(name));
+                self.runnable.insert(WorkItem::Peer(name));
             }
             Lane::Refusal { stream: Some((stream, epoch)), why } => {
                 if let Some(event) = peer.refused(stream, epoch, why) {
-                    self.tell(event);
+                    self.push_event(event);
                 }
-                self.busy.insert(Duty::Peer(name));
+                self.runnable.insert(WorkItem::Peer(name));
             }
-            Lane::Refusal { stream: None, why } => self.close(now, call, Why::Refused(why)),
+            Lane::Refusal { stream: None, why } => self.close(now, conn, Why::Refused(why)),
             Lane::Datagram | Lane::Hello { .. } | Lane::Stream { .. } => {
-                self.tell(Event::Unread { from: Some(name), why: Unread::OutOfOrder });
-                self.close(now, call, Why::Lost);
+                self.push_event(Event::Unread { from: Some(name), why: Unread::OutOfOrder });
+                self.close(now, conn, Why::Lost);
             }
         }
     }
 
-    fn close(&mut self, now: Tenths, call: Call, why: Why) {
-        self.ended_because(now, call, why);
-        self.steps.push_back(Step::Close { call });
+    fn close(&mut self, now: Tenths, conn: ConnectionId, why: Why) {
+        self.disconnected_because(now, conn, why);
+        self.actions.push_back(Action::Close { conn });
     }
 
     /// Handles a handshake: the peer's earlier connections are closed.
-    fn greeted(&mut self, now: Tenths, call: Call, speaker: Speaker) {
-        let name = speaker.name.clone();
-        let order = |s: &Speaker| (s.incarnation, s.dial);
-        let before = self.speakers.get(&name).map(|(s, latest)| (order(s), *latest));
-        if before.is_some_and(|(last, _)| last >= order(&speaker)) {
-            return self.refuse_all(now, call, Some(name), Unread::Stale);
-        }
-        if before.is_none() && self.speakers.len() >= self.bounds.peers {
+    fn handshake_received(&mut self, now: Tenths, conn: ConnectionId, identity: PeerIdentity) {
+        let name = identity.name.clone();
+        let order = |s: &PeerIdentity| (s.incarnation, s.dial);
+        let before = self.inbound_peers.get(&name).map(|(s, latest)| (order(s), *latest));
+        if before.is_some_and(|(last, _)| last >= order(&identity)) {
+            return self.refuse_connection(now, conn, Some(name), Unread::Stale);
+        }
+        if before.is_none() && self.inbound_peers.len() >= self.bounds.peers {
             // Danger: a client can invent any number of names, so only a name without an open connection
             // is evicted to make room.
-            let gone = self.speakers.iter().find(|(_, (_, latest))| latest.is_none()).map(|(n, _)| n.clone());
-            match gone {
-                Some(gone) => self.speakers.remove(&gone),
-                None => return self.refuse_all(now, call, Some(name), Unread::Full),
+            let evicted =
+                self.inbound_peers.iter().find(|(_, (_, latest))| latest.is_none()).map(|(n, _)| n.clone());
+            match evicted {
+                Some(evicted) => self.inbound_peers.remove(&evicted),
+                None => return self.refuse_connection(now, conn, Some(name), Unread::Full),
             };
         }
         // Danger: without this, messages still in flight on the older connection would arrive after those
@@ -449,127 +450,129 @@
         if let Some((_, Some(older))) = before {
             self.close(now, older, Why::Lost);
         }
-        if let Some(Side::Listened(listening)) = self.calls.get_mut(&call) {
-            listening.speaker = Some(speaker.clone());
+        if let Some(Connection::Inbound(inbound)) = self.connections.get_mut(&conn) {
+            inbound.identity = Some(identity.clone());
         }
-        self.speakers.insert(name, (speaker, Some(call)));
+        self.inbound_peers.insert(name, (identity, Some(conn)));
     }
 
-    fn refuse_all(&mut self, now: Tenths, call: Call, from: Option<Name>, why: Unread) {
-        if let Some(Side::Listened(listening)) = self.calls.get_mut(&call) {
-            listening.refused = true;
+    fn refuse_connection(&mut self, now: Tenths, conn: ConnectionId, from: Option<Name>, why: Unread) {
+        if let Some(Connection::Inbound(inbound)) = self.connections.get_mut(&conn) {
+            inbound.refused = true;
         }
-        self.refuse(now, call, from, None, why);
+        self.refuse(now, conn, from, None, why);
     }
 
     fn refuse(
         &mut self,
         now: Tenths,
-        call: Call,
+        conn: ConnectionId,
         from: Option<Name>,
         stream: Option<(StreamId, u64)>,
         why: Unread,
     ) {
         let to = from.as_ref().map_or("", Name::as_str);
         let frame = encode(&self.header(to, 0, Lane::Refusal { stream, why: why.clone() }), &[]);
-        if let Some(Side::Listened(listening)) = self.calls.get_mut(&call) {
-            listening.ahead += frame.len();
+        if let Some(Connection::Inbound(inbound)) = self.connections.get_mut(&conn) {
+            inbound.unsent_bytes += frame.len();
             // Danger: without this bound, replies to a peer that provokes refusals and never reads them
             // would accumulate here.
-            match listening.ahead > self.bounds.ahead {
-                true => self.close(now, call, Why::Lost),
-                false => self.steps.push_back(Step::Write { call, frame }),
+            match inbound.unsent_bytes > self.bounds.unsent_bytes {
+                true => self.close(now, conn, Why::Lost),
+                false => self.actions.push_back(Action::Write { conn, frame }),
             }
         }
-        self.tell(Event::Unread { from, why });
+        self.push_event(Event::Unread { from, why });
     }
 
     /// Returns the next event. A message counts as delivered by this.
     pub(crate) fn next_event(&mut self) -> Option<Event> {
-        let (call, event) = self.events.pop_front()?;
-        if let (Some(call), Event::Message { stream, epoch, number, .. }) = (call, &event)
-            && let Some(Side::Listened(listening)) = self.calls.get_mut(&call)
-            && listening.handed(*stream, *epoch, *number)
+        let (conn, event) = self.events.pop_front()?;
+        if let (Some(conn), Event::Message { stream, epoch, number, .. }) = (conn, &event)
+            && let Some(Connection::Inbound(inbound)) = self.connections.get_mut(&conn)
+            && inbound.delivered(*stream, *epoch, *number)
         {
-            self.busy.insert(Duty::Call(call));
+            self.runnable.insert(WorkItem::Connection(conn));
         }
         Some(event)
     }
 
     /// Returns the next action, or None when there is none.
-    pub(crate) fn next_step(&mut self, now: Tenths) -> Option<Step> {
-        if let Some(step) = self.steps.pop_front() {
-            return Some(step);
+    pub(crate) fn next_action(&mut self, now: Tenths) -> Option<Action> {
+        if let Some(action) = self.actions.pop_front() {
+            return Some(action);
         }
-        while let Some((at, duty)) = self.timers.pop_first() {
+        while let Some((at, work_item)) = self.timers.pop_first() {
             if at > now {
-                self.timers.insert((at, duty));
+                self.timers.insert((at, work_item));
                 break;
             }
-            self.wakes.remove(&duty);
-            self.busy.insert(duty);
+            self.deadlines.remove(&work_item);
+            self.runnable.insert(work_item);
         }
-        while let Some(duty) = self.busy.first().cloned() {
-            let (step, wake) = match &duty {
-                Duty::Peer(name) => self.peer_step(now, name),
-                Duty::Call(call) => self.call_step(now, *call),
+        while let Some(work_item) = self.runnable.first().cloned() {
+            let (action, wake) = match &work_item {
+                WorkItem::Peer(name) => self.peer_action(now, name),
+                WorkItem::Connection(conn) => self.connection_action(now, *conn),
             };
-            if step.is_some() {
-                return step;
+            if action.is_some() {
+                return action;
             }
-            self.rest(&duty);
+            self.unschedule(&work_item);
             if let Some(at) = wake {
-                self.wakes.insert(duty.clone(), at);
-                self.timers.insert((at, duty));
+                self.deadlines.insert(work_item.clone(), at);
+                self.timers.insert((at, work_item));
             }
         }
         None
     }
 
-    fn peer_step(&mut self, now: Tenths, name: &Name) -> (Option<Step>, Option<Tenths>) {
+    fn peer_action(&mut self, now: Tenths, name: &Name) -> (Option<Action>, Option<Tenths>) {
         let Some(peer) = self.peers.get_mut(name) else { return (None, None) };
-        let mut told = Vec::new();
-        let step = peer.next_step(now, &self.me, &self.bounds, &mut self.next_call, &mut told);
+        let mut new_events = Vec::new();
+        let action =
+            peer.next_action(now, &self.me, &self.bounds, &mut self.next_connection_id, &mut new_events);
         let wake = peer.wake_at(&self.bounds);
-        self.events.extend(told.into_iter().map(|e| (None, e)));
-        match &step {
-            Some(Step::Dial { call, .. }) => {
-                self.calls.insert(*call, Side::Dialled(name.clone()));
+        self.events.extend(new_events.into_iter().map(|e| (None, e)));
+        match &action {
+            Some(Action::Dial { conn, .. }) => {
+                self.connections.insert(*conn, Connection::Outbound(name.clone()));
             }
-            Some(Step::Close { call }) => {
-                self.calls.remove(call);
+            Some(Action::Close { conn }) => {
+                self.connections.remove(conn);
             }
             _ => {}
         }
-        (step, wake)
+        (action, wake)
     }
 
-    fn call_step(&mut self, now: Tenths, call: Call) -> (Option<Step>, Option<Tenths>) {
-        let Some(Side::Listened(listening)) = self.calls.get_mut(&call) else { return (None, None) };
-        let known = listening.speaker.is_some() && !listening.refused;
-        let until = listening.heard + if known { 2 * self.bounds.idle } else { self.bounds.patience };
+    fn connection_action(&mut self, now: Tenths, conn: ConnectionId) -> (Option<Action>, Option<Tenths>) {
+        let Some(Connection::Inbound(inbound)) = self.connections.get_mut(&conn) else { return (None, None) };
+        let known = inbound.identity.is_some() && !inbound.refused;
+        let until =
+            inbound.last_received + if known { 2 * self.bounds.idle_timeout } else { self.bounds.patience };
         if now >= until {
-            self.ended(now, call);
-            return (Some(Step::Close { call }), None);
+            self.disconnected(now, conn);
+            return (Some(Action::Close { conn }), None);
         }
         // Danger: without this bound, acknowledgements to a peer that sends and never reads would accumulate
         // here.
-        if listening.ahead >= self.bounds.ahead {
+        if inbound.unsent_bytes >= self.bounds.unsent_bytes {
             return (None, Some(until));
         }
-        let Some((stream, epoch, number)) = listening.owed() else { return (None, Some(until)) };
-        let to = listening.speaker.as_ref().map(|s| s.name.clone());
+        let Some((stream, epoch, number)) = inbound.pending_ack() else { return (None, Some(until)) };
+        let to = inbound.identity.as_ref().map(|s| s.name.clone());
         let lane = Lane::Acknowledged { stream, epoch, number };
         let frame = encode(&self.header(to.as_ref().map_or("", Name::as_str), 0, lane), &[]);
-        if let Some(Side::Listened(listening)) = self.calls.get_mut(&call) {
-            listening.ahead += frame.len();
+        if let Some(Connection::Inbound(inbound)) = self.connections.get_mut(&conn) {
+            inbound.unsent_bytes += frame.len();
         }
-        (Some(Step::Write { call, frame }), None)
+        (Some(Action::Write { conn, frame }), None)
     }
 
     /// When an action is due even if nothing arrives. `Tenths::MIN` means at once.
     pub(crate) fn wake_at(&self) -> Option<Tenths> {
-        if !self.busy.is_empty() || !self.steps.is_empty() || !self.events.is_empty() {
+        if !self.runnable.is_empty() || !self.actions.is_empty() || !self.events.is_empty() {
             return Some(Tenths::MIN);
         }
         self.timers.first().map(|(at, _)| *at)
--- a/crates/link/src/tests/grounds.rs
+++ b/crates/link/src/tests/grounds.rs
@@ -59,13 +59,13 @@
 /// The machine's loopback sockets.
 pub struct Loopback {
     parts: Parts,
-    began: Instant,
+    started_at: Instant,
     addresses: BTreeMap<Name, SocketAddr>,
 }
 
 impl Loopback {
     pub fn new(parts: Parts) -> Loopback {
-        Loopback { parts, began: Instant::now(), addresses: BTreeMap::new() }
+        Loopback { parts, started_at: Instant::now(), addresses: BTreeMap::new() }
     }
 }
 
@@ -73,9 +73,10 @@
     type T = Sockets;
 
     fn start(&mut self, me: Sender, kinds: Kinds) -> Sockets {
-        let known = self.addresses.get(&me.name).copied();
-        let at = known.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)));
-        let sockets = Sockets::bind(me.clone(), kinds, bounds(), at, self.parts, me.incarnation).unwrap();
+        let previous_address = self.addresses.get(&me.name).copied();
+        let address = previous_address.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)));
+        let sockets =
+            Sockets::bind(me.clone(), kinds, bounds(), address, self.parts, me.incarnation).unwrap();
         self.addresses.insert(me.name, sockets.address());
         sockets
     }
@@ -85,7 +86,7 @@
     }
 
     fn now(&self) -> Tenths {
-        self.began.elapsed().as_micros() as Tenths / 100
+        self.started_at.elapsed().as_micros() as Tenths / 100
     }
 
     fn pass(&mut self, time: Tenths) {
@@ -100,30 +101,30 @@
 
 /// The fault of a deliberately faulty transport.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wrong {
+pub enum Defect {
     /// Suppresses the event for a broken stream.
-    LosesInSilence,
+    DropsBreakEvents,
     /// Reports every message as acknowledged once it was accepted.
     AcknowledgesEarly,
     /// Delivers two messages in swapped order.
-    Swaps,
-    Doubles,
+    SwapsMessages,
+    DuplicatesMessages,
     /// Accepts messages beyond the bound and discards them.
-    TakesAll,
+    AcceptsBeyondBound,
     /// Reports incarnation 1 for every incarnation of a peer.
-    ForgetsStarts,
+    IgnoresIncarnation,
 }
 
 /// The memory transport with a deliberate fault.
-pub struct HalfBroken {
+pub struct Faulty {
     inner: Memory,
-    wrong: Wrong,
-    kept: Vec<Event>,
-    held: Option<Event>,
-    over: u64,
+    defect: Defect,
+    queued: Vec<Event>,
+    held_back: Option<Event>,
+    accepted_over_bound: u64,
 }
 
-impl Transport for HalfBroken {
+impl Transport for Faulty {
     fn me(&self) -> &Sender {
         self.inner.me()
     }
@@ -141,38 +142,38 @@
     }
 
     fn send(&mut self, now: Tenths, to: &Name, way: Way, kind: Kind, body: &[u8]) -> Result<u64, Refused> {
-        match (self.inner.send(now, to, way, kind, body), way, self.wrong) {
-            (Ok(number), Way::Stream(stream), Wrong::AcknowledgesEarly) => {
-                self.kept.push(Event::Acknowledged { to: to.clone(), stream, number });
+        match (self.inner.send(now, to, way, kind, body), way, self.defect) {
+            (Ok(number), Way::Stream(stream), Defect::AcknowledgesEarly) => {
+                self.queued.push(Event::Acknowledged { to: to.clone(), stream, number });
                 Ok(number)
             }
-            (Err(Refused::Full { .. }), _, Wrong::TakesAll) => {
-                self.over += 1;
-                Ok(self.over)
+            (Err(Refused::Full { .. }), _, Defect::AcceptsBeyondBound) => {
+                self.accepted_over_bound += 1;
+                Ok(self.accepted_over_bound)
             }
-            (taken, _, _) => taken,
+            (result, _, _) => result,
         }
     }
 
     fn poll(&mut self, now: Tenths) -> Option<Event> {
-        if let Some(event) = self.kept.pop() {
+        if let Some(event) = self.queued.pop() {
             return Some(event);
         }
-        match (self.inner.poll(now)?, self.wrong) {
-            (Event::Broken { .. }, Wrong::LosesInSilence) => self.poll(now),
-            (event @ Event::Message { stream: 0, number: 3, .. }, Wrong::Swaps) => {
-                self.held = Some(event);
+        match (self.inner.poll(now)?, self.defect) {
+            (Event::Broken { .. }, Defect::DropsBreakEvents) => self.poll(now),
+            (event @ Event::Message { stream: 0, number: 3, .. }, Defect::SwapsMessages) => {
+                self.held_back = Some(event);
                 self.poll(now)
             }
-            (event @ Event::Message { stream: 0, number: 4, .. }, Wrong::Swaps) => {
-                self.kept.extend(self.held.take());
+            (event @ Event::Message { stream: 0, number: 4, .. }, Defect::SwapsMessages) => {
+                self.queued.extend(self.held_back.take());
                 Some(event)
             }
-            (event @ Event::Message { number: 3, .. }, Wrong::Doubles) => {
-                self.kept.push(event.clone());
+            (event @ Event::Message { number: 3, .. }, Defect::DuplicatesMessages) => {
+                self.queued.push(event.clone());
                 Some(event)
             }
-            (Event::Message { from, stream, epoch, number, kind, body }, Wrong::ForgetsStarts) => {
+            (Event::Message { from, stream, epoch, number, kind, body }, Defect::IgnoresIncarnation) => {
                 let from = Sender { incarnation: 1, ..from };
                 Some(Event::Message { from, stream, epoch, number, kind, body })
             }
@@ -186,21 +187,21 @@
 }
 
 /// A simulated network of deliberately faulty transports.
-pub struct HalfBrokenGround {
+pub struct FaultyEnvironment {
     pub inner: Simulated,
-    pub wrong: Wrong,
+    pub defect: Defect,
 }
 
-impl Ground for HalfBrokenGround {
-    type T = HalfBroken;
+impl Ground for FaultyEnvironment {
+    type T = Faulty;
 
-    fn start(&mut self, me: Sender, kinds: Kinds) -> HalfBroken {
-        HalfBroken {
+    fn start(&mut self, me: Sender, kinds: Kinds) -> Faulty {
+        Faulty {
             inner: self.inner.start(me, kinds),
-            wrong: self.wrong,
-            kept: Vec::new(),
-            held: None,
-            over: 0,
+            defect: self.defect,
+            queued: Vec::new(),
+            held_back: None,
+            accepted_over_bound: 0,
         }
     }
 
--- a/crates/link/src/udp.rs
+++ b/crates/link/src/udp.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 /// Consecutive read errors after which the socket counts as empty.
-const FAILURES: usize = 16;
+const MAX_READ_ERRORS: usize = 16;
 
 pub(crate) struct Datagrams {
     pub(crate) socket: UdpSocket,
@@ -15,8 +15,8 @@
 }
 
 impl Datagrams {
-    pub(crate) fn new(socket: UdpSocket, most: usize) -> Datagrams {
-        Datagrams { socket, buffer: vec![0; most + 1] }
+    pub(crate) fn new(socket: UdpSocket, max_bytes: usize) -> Datagrams {
+        Datagrams { socket, buffer: vec![0; max_bytes + 1] }
     }
 
     pub(crate) fn send(&self, bytes: &[u8], to: SocketAddr) -> Result<(), Refused> {
@@ -32,7 +32,7 @@
     /// Returns the next datagram, or None when there is none. One over the bound is returned one byte longer than
     /// the bound.
     pub(crate) fn read(&mut self) -> Option<&[u8]> {
-        for _ in 0..FAILURES {
+        for _ in 0..MAX_READ_ERRORS {
             match self.socket.recv_from(&mut self.buffer) {
                 Ok((length, _)) => return Some(&self.buffer[..length]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return None,
