--- a/crates/link/examples/speed.rs
+++ b/crates/link/examples/speed.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 use vetchkeel_link::{
-    Bounds, Event, Header, Kinds, Lane, Memory, Name, Network, Parts, Refused, Sender, Sockets, Tenths,
-    Transport, Way, encode,
+    Bounds, Event, FrameType, Header, Kinds, MemoryTransport, Name, Parts, Refused, Sender, SimulatedNetwork,
+    Sockets, Tenths, Transport, Way, encode,
 };
 
 const SECONDS: u64 = 2;
@@ -92,13 +92,13 @@
 /// Simulates instances that each send a message to five others every 100 ms and are polled every 10 ms of simulated
 /// time. Returns the number of delivered messages and the time the simulation took.
 fn simulated(instances: usize, seconds: Tenths) -> (u64, Duration) {
-    let (began, network) = (Instant::now(), Network::new(1));
+    let (began, network) = (Instant::now(), SimulatedNetwork::new(1));
     let names: Vec<Name> = (0..instances).map(|i| name(&format!("n{i}"))).collect();
     let start = |n: &Name| {
         let me = Sender { name: n.clone(), incarnation: 1 };
         network.start(0, me, Kinds::new(&[(1, "note")]), Bounds::default())
     };
-    let mut all: Vec<Memory> = names.iter().map(start).collect();
+    let mut all: Vec<MemoryTransport> = names.iter().map(start).collect();
     for (i, memory) in all.iter_mut().enumerate() {
         for peer in (1..=5).map(|p| &names[(i + p * 7) % instances]) {
             assert!(memory.meet(0, peer, network.address(peer)).is_ok());
@@ -121,9 +121,11 @@
 }
 
 fn main() {
-    let header = |lane| Header { from: "gw-1", incarnation: 1_764_633_600, to: "gw-2", kind: 1, lane };
-    let (datagram, stream) = (Lane::Datagram, Lane::Stream { stream: 1, epoch: 1, number: 100_000 });
-    let lengths = [datagram, stream].map(|lane| encode(&header(lane), b"").len());
+    let header =
+        |frame_type| Header { from: "gw-1", incarnation: 1_764_633_600, to: "gw-2", kind: 1, frame_type };
+    let (datagram, stream) =
+        (FrameType::Datagram, FrameType::Stream { stream: 1, epoch: 1, number: 100_000 });
+    let lengths = [datagram, stream].map(|frame_type| encode(&header(frame_type), b"").len());
     println!("envelope: datagram {} bytes, stream {} bytes and 4 of length", lengths[0], lengths[1]);
     println!("length rate acknowledged_per_s p50_us p99_us refused");
     for (length, rate) in [(200, None), (16_384, None), (200, Some(500)), (200, Some(10_000))] {
--- a/crates/link/src/contract.rs
+++ b/crates/link/src/contract.rs
@@ -1,7 +1,7 @@
 //! Conformance suite for [`Transport`]: asserts what every implementation guarantees, in any environment that can
 //! start instances. A new implementation needs one line in its tests: `contract::check(|| MyGround::new()).unwrap()`.
 
-use crate::envelope::{Header, Lane, VERSION, encode};
+use crate::envelope::{FrameType, Header, VERSION, encode};
 use crate::message::{
     Event, Kind, Kinds, Message, Name, Refused, Sender, StreamId, Tenths, Unread, Way, Why,
 };
@@ -258,13 +258,15 @@
     for way in [Way::Datagram, Way::Stream(1)] {
         if !scenario.transport("a").carries(way) {
             let refused = scenario.send("a", "b", way, NOTE, b"");
-            ensure(refused == Err(Refused::NoSuchWay(way)), || format!("{way:?}: {refused:?}"))?;
+            ensure(refused == Err(Refused::UnsupportedChannel(way)), || format!("{way:?}: {refused:?}"))?;
             continue;
         }
         let refused = scenario.send("a", "nobody", way, NOTE, b"");
-        ensure(refused == Err(Refused::NotMet(name("nobody"))), || format!("unknown peer: {refused:?}"))?;
+        ensure(refused == Err(Refused::UnknownPeer(name("nobody"))), || {
+            format!("unknown peer: {refused:?}")
+        })?;
         let refused = scenario.send("a", "b", way, NEWER, b"");
-        ensure(refused == Err(Refused::Kind(NEWER)), || format!("unknown kind: {refused:?}"))?;
+        ensure(refused == Err(Refused::UnknownKind(NEWER)), || format!("unknown kind: {refused:?}"))?;
         let refused = scenario.send("a", "b", way, NOTE, &vec![0; bounds().message + 1]);
         ensure(matches!(refused, Err(Refused::TooLong { .. })), || format!("too long: {refused:?}"))?;
     }
@@ -315,8 +317,13 @@
     if !scenario.transport("b").carries(Way::Datagram) {
         return Ok(());
     }
-    let header =
-        |to: &'static str, kind| Header { from: "a", incarnation: 1, to, kind, lane: Lane::Datagram };
+    let header = |to: &'static str, kind| Header {
+        from: "a",
+        incarnation: 1,
+        to,
+        kind,
+        frame_type: FrameType::Datagram,
+    };
     let good = encode(&header("b", NOTE), b"x");
     let mut newer = good.clone();
     newer[2] = VERSION + 1;
@@ -326,10 +333,10 @@
     }
     let cases = [
         (newer, Unread::Version { theirs: VERSION + 1, ours: VERSION }),
-        (damaged, Unread::Damaged),
-        (b"GET / HTTP/1.1".to_vec(), Unread::Foreign),
-        (encode(&header("b", NEWER), b""), Unread::Kind(NEWER)),
-        (encode(&header("c", NOTE), b""), Unread::NotMine("c".into())),
+        (damaged, Unread::ChecksumMismatch),
+        (b"GET / HTTP/1.1".to_vec(), Unread::UnknownProtocol),
+        (encode(&header("b", NEWER), b""), Unread::UnknownKind(NEWER)),
+        (encode(&header("c", NOTE), b""), Unread::WrongReceiver("c".into())),
     ];
     for (bytes, expected) in cases {
         ensure(scenario.ground.inject(&name("b"), &bytes), || {
@@ -531,12 +538,12 @@
     let done = |p: &Scenario<G>| !p.broken("a").is_empty() && p.acknowledged("a", "b", 2) == 2;
     scenario.until(&["a", "b"], 80_000, "the break of one stream and the completion of the other", done)?;
     let broken = scenario.broken("a");
-    let [(_, 1, returned, Why::Refused(Unread::Kind(NEWER)))] = broken[..] else {
+    let [(_, 1, returned, Why::Refused(Unread::UnknownKind(NEWER)))] = broken[..] else {
         return Err(format!("unexpected events {broken:?}"));
     };
     let kinds: Vec<Kind> = returned.iter().filter(|m| m.number > 1).map(|m| m.kind).collect();
     ensure(kinds == [NEWER, NOTE], || format!("returned: {returned:?}"))?;
-    let reported = |e: &Event| matches!(e, Event::Unread { from: Some(a), why: Unread::Kind(NEWER) } if a.as_str() == "a");
+    let reported = |e: &Event| matches!(e, Event::Unread { from: Some(a), why: Unread::UnknownKind(NEWER) } if a.as_str() == "a");
     ensure(scenario.events("b").iter().any(reported), || "the receiver reported nothing".into())?;
     scenario.send("a", "b", Way::Stream(1), NOTE, b"y").map_err(|why| why.to_string())?;
     let numbers = |p: &Scenario<G>| p.delivered("b", "a", 1).iter().map(|h| h.1).collect::<Vec<_>>();
@@ -575,7 +582,7 @@
     let removed = broken.len() == 1 && broken[0].2.len() == 3 && *broken[0].3 == Why::Left;
     ensure(removed, || format!("unexpected events {broken:?}"))?;
     let refused = scenario.send("a", "b", Way::Stream(2), NOTE, b"");
-    ensure(refused == Err(Refused::NotMet(name("b"))), || format!("a removed peer: {refused:?}"))?;
+    ensure(refused == Err(Refused::UnknownPeer(name("b"))), || format!("a removed peer: {refused:?}"))?;
     let next_wake = scenario.transport("a").wake_at();
     let now = scenario.ground.now();
     ensure(next_wake.is_none_or(|at| at > now), || "nothing is left to do, but wake_at is due".into())
@@ -590,7 +597,7 @@
     }
     scenario.transport("a").meet(now, &name("b"), wrong_address).map_err(|why| why.to_string())?;
     scenario.poll(&["a"]);
-    let reported = |e: &Event| matches!(e, Event::Unread { why: Unread::NotMine(b), .. } if b == "b");
+    let reported = |e: &Event| matches!(e, Event::Unread { why: Unread::WrongReceiver(b), .. } if b == "b");
     if !scenario.carries_streams("a") {
         for _ in 0..20 {
             scenario.send("a", "b", Way::Datagram, NOTE, b"x").map_err(|why| why.to_string())?;
@@ -615,7 +622,7 @@
         returned,
     )?;
     let why = scenario.broken("a")[1].3;
-    ensure(*why == Why::Refused(Unread::NotMine("b".into())), || format!("unexpected reason {why:?}"))?;
+    ensure(*why == Why::Refused(Unread::WrongReceiver("b".into())), || format!("unexpected reason {why:?}"))?;
     ensure(scenario.events("c").iter().any(reported), || "the wrong receiver reported nothing".into())?;
     scenario.meet("a", "b")?;
     let number = scenario.send("a", "b", Way::Stream(1), NOTE, b"after").map_err(|why| why.to_string())?;
--- a/crates/link/src/dialling.rs
+++ b/crates/link/src/dialling.rs
@@ -1,6 +1,6 @@
 //! One peer as this instance sends to it: the outbound connection, and the streams on it.
 
-use crate::envelope::{Header, Lane, encode};
+use crate::envelope::{FrameType, Header, encode};
 use crate::message::{Event, Kind, Message, Name, Refused, Sender, StreamId, Tenths, Unread, Why};
 use crate::outgoing::SendStream;
 use crate::redial::{Dial, Redial};
@@ -122,8 +122,8 @@
         let (from, to, incarnation) = (me.name.as_str(), self.name.as_str(), me.incarnation);
         if !self.hello_sent {
             self.hello_sent = true;
-            let lane = Lane::Hello { dial: conn.0 };
-            return Some(encode(&Header { from, incarnation, to, kind: 0, lane }, &[]));
+            let frame_type = FrameType::Hello { connection_number: conn.0 };
+            return Some(encode(&Header { from, incarnation, to, kind: 0, frame_type }, &[]));
         }
         // Streams are served in turn, one message each: a long queue on one must not delay the others.
         let ready = |(id, s): (&StreamId, &SendStream)| s.has_unwritten().then_some(*id);
@@ -133,8 +133,8 @@
         let stream = self.streams.get_mut(&id)?;
         let epoch = stream.epoch();
         let Message { number, kind, body } = stream.next_unwritten()?;
-        let lane = Lane::Stream { stream: id, epoch, number: *number };
-        Some(encode(&Header { from, incarnation, to, kind: *kind, lane }, body))
+        let frame_type = FrameType::Stream { stream: id, epoch, number: *number };
+        Some(encode(&Header { from, incarnation, to, kind: *kind, frame_type }, body))
     }
 
     /// Breaks streams whose acknowledgement timeout has passed, and closes the connection that carried them.
--- a/crates/link/src/envelope.rs
+++ b/crates/link/src/envelope.rs
@@ -7,7 +7,7 @@
 //! | 3..7 | CRC-32 of the rest, big-endian |
 //! | 7.. | [`Header`], then the body up to the end |
 //!
-//! On a connection each message follows its length, 4 bytes, big-endian. The prefix and [`Lane::Refusal`] keep their
+//! On a connection each message follows its length, 4 bytes, big-endian. The prefix and [`FrameType::Refusal`] keep their
 //! encoding in every version, so that instances of different versions can refuse each other with a reason.
 
 use crate::message::{Incarnation, Kind, MAX_NAME_BYTES, StreamId, Unread};
@@ -29,12 +29,12 @@
     pub incarnation: Incarnation,
     pub to: &'a str,
     pub kind: Kind,
-    pub lane: Lane,
+    pub frame_type: FrameType,
 }
 
 /// What a frame is, and its position in the protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Lane {
+pub enum FrameType {
     /// Sent by the side that did not accept something: one stream's epoch, or everything on the connection. Must
     /// stay the first variant in every version.
     Refusal {
@@ -42,9 +42,9 @@
         why: Unread,
     },
     Datagram,
-    /// Handshake, the first frame of a connection; `dial` grows with each connection of one incarnation.
+    /// Handshake, the first frame of a connection; `connection_number` grows with each connection of one incarnation.
     Hello {
-        dial: u64,
+        connection_number: u64,
     },
     /// A stream's message. `epoch` is the number of the first message after a break.
     Stream {
@@ -77,12 +77,12 @@
 
 /// Decodes a message into header and body.
 pub fn decode(bytes: &[u8]) -> Result<(Header<'_>, &[u8]), Unread> {
-    let (prefix, rest) = bytes.split_at_checked(PREFIX_BYTES).ok_or(Unread::Foreign)?;
+    let (prefix, rest) = bytes.split_at_checked(PREFIX_BYTES).ok_or(Unread::UnknownProtocol)?;
     if prefix[..2] != MAGIC {
-        return Err(Unread::Foreign);
+        return Err(Unread::UnknownProtocol);
     }
     if crc32fast::hash(rest).to_be_bytes() != prefix[3..] {
-        return Err(Unread::Damaged);
+        return Err(Unread::ChecksumMismatch);
     }
     if prefix[2] != VERSION {
         return Err(Unread::Version { theirs: prefix[2], ours: VERSION });
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -20,8 +20,8 @@
 mod transport;
 mod udp;
 
-pub use envelope::{Header, Lane, MAX_OVERHEAD, VERSION, decode, encode, pack, unpack};
-pub use memory::{Memory, Network};
+pub use envelope::{FrameType, Header, MAX_OVERHEAD, VERSION, decode, encode, pack, unpack};
+pub use memory::{MemoryTransport, SimulatedNetwork};
 pub use message::{
     Event, Incarnation, Kind, Kinds, Message, Name, Refused, Sender, StreamId, Tenths, Unread, Way, Why,
 };
--- a/crates/link/src/listening.rs
+++ b/crates/link/src/listening.rs
@@ -1,6 +1,6 @@
 //! One inbound connection: the peer's identity, the order of received messages, and pending acknowledgements.
 
-use crate::envelope::{Header, Lane};
+use crate::envelope::{FrameType, Header};
 use crate::message::{Incarnation, Kinds, Name, StreamId, Tenths, Unread};
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
 pub(crate) struct PeerIdentity {
     pub(crate) name: Name,
     pub(crate) incarnation: Incarnation,
-    pub(crate) dial: u64,
+    pub(crate) connection_number: u64,
 }
 
 pub(crate) struct InboundConnection {
@@ -73,16 +73,16 @@
             return FrameResult::Ignored;
         }
         self.last_received = now;
-        match (&self.identity, &header.lane) {
-            (None, Lane::Hello { dial }) => match Name::new(header.from) {
+        match (&self.identity, &header.frame_type) {
+            (None, FrameType::Hello { connection_number }) => match Name::new(header.from) {
                 Some(name) => FrameResult::Handshake(PeerIdentity {
                     name,
                     incarnation: header.incarnation,
-                    dial: *dial,
+                    connection_number: *connection_number,
                 }),
                 None => FrameResult::RefuseConnection(Unread::Malformed),
             },
-            (Some(identity), Lane::Stream { stream, epoch, number }) => {
+            (Some(identity), FrameType::Stream { stream, epoch, number }) => {
                 if identity.name.as_str() != header.from || identity.incarnation != header.incarnation {
                     return FrameResult::RefuseConnection(Unread::OutOfOrder);
                 }
@@ -121,7 +121,7 @@
         }
         if let Err(kind) = known {
             incoming.next = None;
-            return FrameResult::RefuseStream { stream, epoch, why: Unread::Kind(kind) };
+            return FrameResult::RefuseStream { stream, epoch, why: Unread::UnknownKind(kind) };
         }
         incoming.next = Some(number + 1);
         FrameResult::Message { stream, epoch, number }
--- a/crates/link/src/memory.rs
+++ b/crates/link/src/memory.rs
@@ -58,11 +58,11 @@
 
 /// A simulated network of instances. Clones share the same network.
 #[derive(Clone)]
-pub struct Network(Arc<Mutex<NetworkState>>);
+pub struct SimulatedNetwork(Arc<Mutex<NetworkState>>);
 
-impl Network {
-    pub fn new(seed: u64) -> Network {
-        Network(Arc::new(Mutex::new(NetworkState {
+impl SimulatedNetwork {
+    pub fn new(seed: u64) -> SimulatedNetwork {
+        SimulatedNetwork(Arc::new(Mutex::new(NetworkState {
             seed,
             running: BTreeMap::new(),
             addresses: BTreeMap::new(),
@@ -80,14 +80,18 @@
     }
 
     /// Starts an instance. A running one of the same name ends first, as in a crash.
-    pub fn start(&self, now: Tenths, me: Sender, kinds: Kinds, bounds: Bounds) -> Memory {
+    pub fn start(&self, now: Tenths, me: Sender, kinds: Kinds, bounds: Bounds) -> MemoryTransport {
         self.crash(now, &me.name);
         let mut state = self.state();
         state.running.insert(me.name.clone(), me.clone());
         state.arrivals.insert(me.clone(), BTreeMap::new());
         let seed = state.seed ^ seed_of(&[me.name.as_str(), &me.incarnation.to_string()]);
         drop(state);
-        Memory { endpoint: Endpoint::new(me, kinds, bounds, seed), network: self.clone(), last_now: now }
+        MemoryTransport {
+            endpoint: Endpoint::new(me, kinds, bounds, seed),
+            network: self.clone(),
+            last_now: now,
+        }
     }
 
     /// Crashes the instance of this name: its connections end and nothing reaches it. Its transport reports no
@@ -247,15 +251,15 @@
     }
 }
 
-/// One instance on a [`Network`]. Dropping it is a crash.
-pub struct Memory {
+/// One instance on a [`SimulatedNetwork`]. Dropping it is a crash.
+pub struct MemoryTransport {
     endpoint: Endpoint,
-    network: Network,
+    network: SimulatedNetwork,
     /// The time passed to the last call.
     last_now: Tenths,
 }
 
-impl Memory {
+impl MemoryTransport {
     fn is_running(&self, state: &NetworkState) -> bool {
         state.running.get(&self.endpoint.me().name) == Some(self.endpoint.me())
     }
@@ -303,7 +307,7 @@
     }
 }
 
-impl Transport for Memory {
+impl Transport for MemoryTransport {
     fn me(&self) -> &Sender {
         self.endpoint.me()
     }
@@ -371,7 +375,7 @@
     }
 }
 
-impl Drop for Memory {
+impl Drop for MemoryTransport {
     fn drop(&mut self) {
         let mut state = self.network.state();
         if self.is_running(&state) {
--- a/crates/link/src/message.rs
+++ b/crates/link/src/message.rs
@@ -147,19 +147,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Unread {
     /// The bytes do not begin with the prefix that all versions share.
-    Foreign,
+    UnknownProtocol,
     /// The version differs from `ours`.
     Version { theirs: u8, ours: u8 },
     /// The checksum does not match.
-    Damaged,
+    ChecksumMismatch,
     /// Longer than the bound, in bytes.
     TooLong { length: u64, bound: u64 },
     /// The header cannot be decoded as one of this version.
     Malformed,
     /// A kind that this instance does not know.
-    Kind(Kind),
+    UnknownKind(Kind),
     /// Addressed to another instance, with this name.
-    NotMine(String),
+    WrongReceiver(String),
     /// From a connection that a later one of the same sender replaced.
     Stale,
     /// Sequence numbers are not consecutive, or a frame is not allowed at this point.
@@ -171,15 +171,15 @@
 impl fmt::Display for Unread {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unread::Foreign => write!(f, "not a message between instances"),
+            Unread::UnknownProtocol => write!(f, "not a message between instances"),
             Unread::Version { theirs, ours } => {
                 write!(f, "protocol version {theirs}, expected version {ours}")
             }
-            Unread::Damaged => write!(f, "checksum mismatch"),
+            Unread::ChecksumMismatch => write!(f, "checksum mismatch"),
             Unread::TooLong { length, bound } => write!(f, "{length} bytes exceed the limit of {bound}"),
             Unread::Malformed => write!(f, "malformed header"),
-            Unread::Kind(kind) => write!(f, "unknown message kind {kind}"),
-            Unread::NotMine(name) => write!(f, "addressed to {name}"),
+            Unread::UnknownKind(kind) => write!(f, "unknown message kind {kind}"),
+            Unread::WrongReceiver(name) => write!(f, "addressed to {name}"),
             Unread::Stale => write!(f, "received on a connection that a later one replaced"),
             Unread::OutOfOrder => write!(f, "out of order"),
             Unread::Full => write!(f, "limit on connections or streams reached"),
@@ -191,11 +191,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refused {
     /// The peer's address is not known: set it by [`crate::Transport::meet`] first.
-    NotMet(Name),
+    UnknownPeer(Name),
     /// This transport does not carry datagrams, or does not carry streams.
-    NoSuchWay(Way),
+    UnsupportedChannel(Way),
     /// A kind that this instance does not know.
-    Kind(Kind),
+    UnknownKind(Kind),
     /// In bytes.
     TooLong { length: usize, bound: usize },
     /// The bound on unacknowledged bytes is reached: send again after the next [`Event::Acknowledged`]. For a
@@ -208,9 +208,9 @@
 impl fmt::Display for Refused {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::NotMet(name) => write!(f, "no known address for {name}"),
-            Refused::NoSuchWay(way) => write!(f, "{way:?} is not supported by this transport"),
-            Refused::Kind(kind) => write!(f, "unknown message kind {kind}"),
+            Refused::UnknownPeer(name) => write!(f, "no known address for {name}"),
+            Refused::UnsupportedChannel(way) => write!(f, "{way:?} is not supported by this transport"),
+            Refused::UnknownKind(kind) => write!(f, "unknown message kind {kind}"),
             Refused::TooLong { length, bound } => write!(f, "{length} bytes exceed the limit of {bound}"),
             Refused::Full { waiting, bound } => {
                 write!(f, "send queue full: {waiting} of {bound} bytes in use")
--- a/crates/link/src/sockets.rs
+++ b/crates/link/src/sockets.rs
@@ -214,7 +214,7 @@
 
     fn send(&mut self, now: Tenths, to: &Name, way: Way, kind: Kind, body: &[u8]) -> Result<u64, Refused> {
         if !self.carries(way) {
-            return Err(Refused::NoSuchWay(way));
+            return Err(Refused::UnsupportedChannel(way));
         }
         if let Some(stream) = stream_of(way) {
             return self.endpoint.send(now, to, stream, kind, body);
--- a/crates/link/src/talk.rs
+++ b/crates/link/src/talk.rs
@@ -5,7 +5,7 @@
 //! other side, so the two directions between two instances fail independently.
 
 use crate::dialling::Peer;
-use crate::envelope::{Header, Lane, MAX_OVERHEAD, VERSION, decode, encode};
+use crate::envelope::{FrameType, Header, MAX_OVERHEAD, VERSION, decode, encode};
 use crate::listening::{FrameResult, InboundConnection, PeerIdentity};
 use crate::message::{Event, Kind, Kinds, Name, Refused, Sender, StreamId, Tenths, Unread, Way, Why};
 use crate::redial::{Backoff, Redial};
@@ -57,7 +57,7 @@
     }
 }
 
-/// Maximum size of a datagram's envelope: prefix, two names, incarnation, kind, lane.
+/// Maximum size of a datagram's envelope: prefix, two names, incarnation, kind, frame type.
 pub(crate) const DATAGRAM_OVERHEAD: usize = 119;
 
 /// Identifies one connection, inbound or outbound.
@@ -183,15 +183,15 @@
     /// Encodes a datagram.
     pub(crate) fn datagram(&self, to: &Name, kind: Kind, body: &[u8]) -> Result<Vec<u8>, Refused> {
         self.check_sendable(to, kind, body, self.bounds.datagram.saturating_sub(DATAGRAM_OVERHEAD))?;
-        Ok(encode(&self.header(to.as_str(), kind, Lane::Datagram), body))
+        Ok(encode(&self.header(to.as_str(), kind, FrameType::Datagram), body))
     }
 
     fn check_sendable(&self, to: &Name, kind: Kind, body: &[u8], bound: usize) -> Result<(), Refused> {
         if !self.peers.contains_key(to) {
-            return Err(Refused::NotMet(to.clone()));
+            return Err(Refused::UnknownPeer(to.clone()));
         }
         if self.kinds.name(kind).is_none() {
-            return Err(Refused::Kind(kind));
+            return Err(Refused::UnknownKind(kind));
         }
         if body.len() > bound {
             return Err(Refused::TooLong { length: body.len(), bound });
@@ -199,8 +199,8 @@
         Ok(())
     }
 
-    fn header<'a>(&'a self, to: &'a str, kind: Kind, lane: Lane) -> Header<'a> {
-        Header { from: self.me.name.as_str(), incarnation: self.me.incarnation, to, kind, lane }
+    fn header<'a>(&'a self, to: &'a str, kind: Kind, frame_type: FrameType) -> Header<'a> {
+        Header { from: self.me.name.as_str(), incarnation: self.me.incarnation, to, kind, frame_type }
     }
 
     pub(crate) fn send(
@@ -212,7 +212,7 @@
         body: &[u8],
     ) -> Result<u64, Refused> {
         self.check_sendable(to, kind, body, self.bounds.message)?;
-        let peer = self.peers.get_mut(to).ok_or_else(|| Refused::NotMet(to.clone()))?;
+        let peer = self.peers.get_mut(to).ok_or_else(|| Refused::UnknownPeer(to.clone()))?;
         let number = peer.send(now, stream, kind, body, &self.bounds)?;
         self.runnable.insert(WorkItem::Peer(to.clone()));
         Ok(number)
@@ -320,13 +320,13 @@
         let name = Name::new(header.from).ok_or((None, Unread::Malformed))?;
         let refuse = |why| Err((Some(name.clone()), why));
         if header.to != self.me.name.as_str() {
-            return refuse(Unread::NotMine(header.to.to_owned()));
+            return refuse(Unread::WrongReceiver(header.to.to_owned()));
         }
-        if header.lane != Lane::Datagram {
+        if header.frame_type != FrameType::Datagram {
             return refuse(Unread::OutOfOrder);
         }
         if self.kinds.name(header.kind).is_none() {
-            return refuse(Unread::Kind(header.kind));
+            return refuse(Unread::UnknownKind(header.kind));
         }
         let from = Sender { name, incarnation: header.incarnation };
         Ok(Event::Datagram { from, kind: header.kind, body: body.to_vec() })
@@ -336,17 +336,18 @@
     pub(crate) fn frame_received(&mut self, now: Tenths, conn: ConnectionId, frame: &[u8]) {
         // A peer that refuses bytes it cannot read does not know the sender's name, so its refusal names no
         // receiver.
-        let without_receiver = |h: &Header<'_>| h.to.is_empty() && matches!(h.lane, Lane::Refusal { .. });
+        let without_receiver =
+            |h: &Header<'_>| h.to.is_empty() && matches!(h.frame_type, FrameType::Refusal { .. });
         let read = decode(frame).and_then(|(header, body)| {
             match header.to == self.me.name.as_str() || without_receiver(&header) {
                 true => Ok((header, body)),
-                false => Err(Unread::NotMine(header.to.to_owned())),
+                false => Err(Unread::WrongReceiver(header.to.to_owned())),
             }
         });
         match (self.connections.get_mut(&conn), read) {
             (Some(Connection::Outbound(name)), Ok((header, _))) => {
                 let name = name.clone();
-                self.reply_received(now, conn, name, header.lane);
+                self.reply_received(now, conn, name, header.frame_type);
             }
             (Some(Connection::Outbound(name)), Err(why)) => {
                 let from = Some(name.clone());
@@ -399,23 +400,23 @@
         }
     }
 
-    fn reply_received(&mut self, now: Tenths, conn: ConnectionId, name: Name, lane: Lane) {
+    fn reply_received(&mut self, now: Tenths, conn: ConnectionId, name: Name, frame_type: FrameType) {
         let Some(peer) = self.peers.get_mut(&name).filter(|p| p.conn() == Some(conn)) else { return };
-        match lane {
-            Lane::Acknowledged { stream, epoch, number } => {
+        match frame_type {
+            FrameType::Acknowledged { stream, epoch, number } => {
                 if let Some(event) = peer.acknowledged(now, stream, epoch, number) {
                     self.push_event(event);
                 }
                 self.runnable.insert(WorkItem::Peer(name));
             }
-            Lane::Refusal { stream: Some((stream, epoch)), why } => {
+            FrameType::Refusal { stream: Some((stream, epoch)), why } => {
                 if let Some(event) = peer.refused(stream, epoch, why) {
                     self.push_event(event);
                 }
                 self.runnable.insert(WorkItem::Peer(name));
             }
-            Lane::Refusal { stream: None, why } => self.close(now, conn, Why::Refused(why)),
-            Lane::Datagram | Lane::Hello { .. } | Lane::Stream { .. } => {
+            FrameType::Refusal { stream: None, why } => self.close(now, conn, Why::Refused(why)),
+            FrameType::Datagram | FrameType::Hello { .. } | FrameType::Stream { .. } => {
                 self.push_event(Event::Unread { from: Some(name), why: Unread::OutOfOrder });
                 self.close(now, conn, Why::Lost);
             }
@@ -430,7 +431,7 @@
     /// Handles a handshake: the peer's earlier connections are closed.
     fn handshake_received(&mut self, now: Tenths, conn: ConnectionId, identity: PeerIdentity) {
         let name = identity.name.clone();
-        let order = |s: &PeerIdentity| (s.incarnation, s.dial);
+        let order = |s: &PeerIdentity| (s.incarnation, s.connection_number);
         let before = self.inbound_peers.get(&name).map(|(s, latest)| (order(s), *latest));
         if before.is_some_and(|(last, _)| last >= order(&identity)) {
             return self.refuse_connection(now, conn, Some(name), Unread::Stale);
@@ -472,7 +473,7 @@
         why: Unread,
     ) {
         let to = from.as_ref().map_or("", Name::as_str);
-        let frame = encode(&self.header(to, 0, Lane::Refusal { stream, why: why.clone() }), &[]);
+        let frame = encode(&self.header(to, 0, FrameType::Refusal { stream, why: why.clone() }), &[]);
         if let Some(Connection::Inbound(inbound)) = self.connections.get_mut(&conn) {
             inbound.unsent_bytes += frame.len();
             // Danger: without this bound, replies to a peer that provokes refusals and never reads them
@@ -562,8 +563,8 @@
         }
         let Some((stream, epoch, number)) = inbound.pending_ack() else { return (None, Some(until)) };
         let to = inbound.identity.as_ref().map(|s| s.name.clone());
-        let lane = Lane::Acknowledged { stream, epoch, number };
-        let frame = encode(&self.header(to.as_ref().map_or("", Name::as_str), 0, lane), &[]);
+        let frame_type = FrameType::Acknowledged { stream, epoch, number };
+        let frame = encode(&self.header(to.as_ref().map_or("", Name::as_str), 0, frame_type), &[]);
         if let Some(Connection::Inbound(inbound)) = self.connections.get_mut(&conn) {
             inbound.unsent_bytes += frame.len();
         }
--- a/crates/link/src/tests.rs
+++ b/crates/link/src/tests.rs
@@ -65,8 +65,8 @@
     endpoint
 }
 
-fn frame(lane: Lane, body: &[u8]) -> Vec<u8> {
-    encode(&Header { from: "a", incarnation: 1, to: "b", kind: 1, lane }, body)
+fn frame(frame_type: FrameType, body: &[u8]) -> Vec<u8> {
+    encode(&Header { from: "a", incarnation: 1, to: "b", kind: 1, frame_type }, body)
 }
 
 /// The events at b after a frame from a on a connection that already received the frames `before`.
@@ -80,29 +80,31 @@
 }
 
 #[rstest]
-#[case::sequence_gap(frame(Lane::Stream { stream: 1, epoch: 1, number: 3 }, b""), Unread::OutOfOrder)]
-#[case::repeated_number(frame(Lane::Stream { stream: 1, epoch: 1, number: 1 }, b""), Unread::OutOfOrder)]
-#[case::epoch_starts_after_its_first_number(frame(Lane::Stream { stream: 2, epoch: 1, number: 2 }, b""), Unread::OutOfOrder)]
-#[case::older_epoch(frame(Lane::Stream { stream: 1, epoch: 0, number: 2 }, b""), Unread::OutOfOrder)]
-#[case::second_hello(frame(Lane::Hello { dial: 9 }, b""), Unread::OutOfOrder)]
+#[case::sequence_gap(frame(FrameType::Stream { stream: 1, epoch: 1, number: 3 }, b""), Unread::OutOfOrder)]
+#[case::repeated_number(frame(FrameType::Stream { stream: 1, epoch: 1, number: 1 }, b""), Unread::OutOfOrder)]
+#[case::epoch_starts_after_its_first_number(frame(FrameType::Stream { stream: 2, epoch: 1, number: 2 }, b""), Unread::OutOfOrder)]
+#[case::older_epoch(frame(FrameType::Stream { stream: 1, epoch: 0, number: 2 }, b""), Unread::OutOfOrder)]
+#[case::second_hello(frame(FrameType::Hello { connection_number: 9 }, b""), Unread::OutOfOrder)]
 #[case::other_incarnation(
-    encode(&Header { from: "a", incarnation: 2, to: "b", kind: 1, lane: Lane::Stream { stream: 1, epoch: 1, number: 2 } }, b""),
+    encode(&Header { from: "a", incarnation: 2, to: "b", kind: 1, frame_type: FrameType::Stream { stream: 1, epoch: 1, number: 2 } }, b""),
     Unread::OutOfOrder
 )]
 #[case::addressed_to_another_instance(
-    encode(&Header { from: "a", incarnation: 1, to: "c", kind: 1, lane: Lane::Stream { stream: 1, epoch: 1, number: 2 } }, b""),
-    Unread::NotMine("c".into())
+    encode(&Header { from: "a", incarnation: 1, to: "c", kind: 1, frame_type: FrameType::Stream { stream: 1, epoch: 1, number: 2 } }, b""),
+    Unread::WrongReceiver("c".into())
 )]
 #[case::newer_protocol_version(vec![b'V', b'L', 2, 0, 0, 0, 0], Unread::Version { theirs: 2, ours: 1 })]
-#[case::foreign_protocol(b"GET / HTTP/1.1\r\n".to_vec(), Unread::Foreign)]
+#[case::foreign_protocol(b"GET / HTTP/1.1\r\n".to_vec(), Unread::UnknownProtocol)]
 fn invalid_frame_on_a_connection_is_refused_with_its_sender(#[case] bytes: Vec<u8>, #[case] why: Unread) {
-    let before =
-        [frame(Lane::Hello { dial: 1 }, b""), frame(Lane::Stream { stream: 1, epoch: 1, number: 1 }, b"x")];
+    let before = [
+        frame(FrameType::Hello { connection_number: 1 }, b""),
+        frame(FrameType::Stream { stream: 1, epoch: 1, number: 1 }, b"x"),
+    ];
     assert_eq!(events_at_b(&before, &bytes), [Event::Unread { from: Some(name("a")), why }]);
 }
 
 #[rstest]
-#[case::older_dial(1, 5, 4)]
+#[case::older_connection_number(1, 5, 4)]
 #[case::older_incarnation(1, 5, 9)]
 fn stale_connection_delivers_nothing_after_a_newer_handshake(
     #[case] incarnation: u64,
@@ -110,13 +112,22 @@
     #[case] older: u64,
 ) {
     let mut b = endpoint("b", "a");
-    let hello = |incarnation, dial| {
-        encode(&Header { from: "a", incarnation, to: "b", kind: 0, lane: Lane::Hello { dial } }, b"")
+    let hello = |incarnation, connection_number| {
+        encode(
+            &Header {
+                from: "a",
+                incarnation,
+                to: "b",
+                kind: 0,
+                frame_type: FrameType::Hello { connection_number },
+            },
+            b"",
+        )
     };
     let (second, first) = (b.accepted(0).unwrap(), b.accepted(0).unwrap());
     b.frame_received(0, second, &hello(if older > newer { incarnation + 1 } else { incarnation }, newer));
     b.frame_received(0, first, &hello(incarnation, older));
-    b.frame_received(0, first, &frame(Lane::Stream { stream: 1, epoch: 1, number: 1 }, b"late"));
+    b.frame_received(0, first, &frame(FrameType::Stream { stream: 1, epoch: 1, number: 1 }, b"late"));
     let events: Vec<Event> = std::iter::from_fn(|| b.next_event()).collect();
     assert_eq!(events, [Event::Unread { from: Some(name("a")), why: Unread::Stale }]);
 }
@@ -125,9 +136,9 @@
 fn newer_connection_closes_the_older_one() {
     let mut b = endpoint("b", "a");
     let (first, second) = (b.accepted(0).unwrap(), b.accepted(0).unwrap());
-    b.frame_received(0, first, &frame(Lane::Hello { dial: 1 }, b""));
-    b.frame_received(0, second, &frame(Lane::Hello { dial: 2 }, b""));
-    b.frame_received(0, first, &frame(Lane::Stream { stream: 1, epoch: 1, number: 1 }, b"late"));
+    b.frame_received(0, first, &frame(FrameType::Hello { connection_number: 1 }, b""));
+    b.frame_received(0, second, &frame(FrameType::Hello { connection_number: 2 }, b""));
+    b.frame_received(0, first, &frame(FrameType::Stream { stream: 1, epoch: 1, number: 1 }, b"late"));
     assert_eq!(b.next_event(), None);
     assert_eq!(b.next_action(0), Some(Action::Close { conn: first }));
 }
@@ -136,15 +147,15 @@
 fn undelivered_messages_are_not_acknowledged() {
     let mut b = endpoint("b", "a");
     let conn = b.accepted(0).unwrap();
-    b.frame_received(0, conn, &frame(Lane::Hello { dial: 1 }, b""));
+    b.frame_received(0, conn, &frame(FrameType::Hello { connection_number: 1 }, b""));
     (1..=2).for_each(|number| {
-        b.frame_received(0, conn, &frame(Lane::Stream { stream: 1, epoch: 1, number }, b""))
+        b.frame_received(0, conn, &frame(FrameType::Stream { stream: 1, epoch: 1, number }, b""))
     });
     assert_eq!(b.next_action(0), None);
     assert!(matches!(b.next_event(), Some(Event::Message { number: 1, .. })));
     let Some(Action::Write { frame, .. }) = b.next_action(0) else { panic!("no acknowledgement") };
-    let lane = decode(&frame).map(|(header, _)| header.lane);
-    assert_eq!(lane, Ok(Lane::Acknowledged { stream: 1, epoch: 1, number: 1 }));
+    let frame_type = decode(&frame).map(|(header, _)| header.frame_type);
+    assert_eq!(frame_type, Ok(FrameType::Acknowledged { stream: 1, epoch: 1, number: 1 }));
 }
 
 /// Guards against unbounded replies: b replies to 1,000 messages of a peer that reads none of the replies, with room
@@ -157,11 +168,15 @@
     let mut b =
         Endpoint::new(me, Kinds::new(&[(1, "note")]), Bounds { unsent_bytes: 1_000, ..Bounds::default() }, 1);
     let conn = b.accepted(0).unwrap();
-    b.frame_received(0, conn, &frame(Lane::Hello { dial: 1 }, b""));
+    b.frame_received(0, conn, &frame(FrameType::Hello { connection_number: 1 }, b""));
     let (mut bytes, mut closed) = (0, false);
     for number in 1..=1_000 {
-        let lane = Lane::Stream { stream: 1, epoch: number, number };
-        b.frame_received(0, conn, &encode(&Header { from: "a", incarnation: 1, to: "b", kind, lane }, b""));
+        let frame_type = FrameType::Stream { stream: 1, epoch: number, number };
+        b.frame_received(
+            0,
+            conn,
+            &encode(&Header { from: "a", incarnation: 1, to: "b", kind, frame_type }, b""),
+        );
         while b.next_event().is_some() {}
         while let Some(action) = b.next_action(0) {
             match action {
@@ -178,7 +193,16 @@
     let me = Sender { name: name("b"), incarnation: 1 };
     let mut b = Endpoint::new(me, Kinds::default(), Bounds { peers: 2, calls: 4, ..Bounds::default() }, 1);
     let hello = |from: &str| {
-        encode(&Header { from, incarnation: 1, to: "b", kind: 0, lane: Lane::Hello { dial: 1 } }, b"")
+        encode(
+            &Header {
+                from,
+                incarnation: 1,
+                to: "b",
+                kind: 0,
+                frame_type: FrameType::Hello { connection_number: 1 },
+            },
+            b"",
+        )
     };
     let connections: Vec<ConnectionId> = (0..4).map(|_| b.accepted(0).unwrap()).collect();
     b.frame_received(0, connections[0], &hello("a"));
@@ -237,7 +261,7 @@
 
 #[rstest]
 fn suspended_sender_does_not_break_an_acknowledged_stream() {
-    let network = Network::new(1);
+    let network = SimulatedNetwork::new(1);
     let start = |n| {
         network.start(
             0,
@@ -268,16 +292,16 @@
         while b.poll(0).is_some() {}
         socket.read(&mut answer).ok()
     });
-    let lane = decode(&answer[4..length.unwrap()]).map(|(header, _)| header.lane);
+    let frame_type = decode(&answer[4..length.unwrap()]).map(|(header, _)| header.frame_type);
     let why = Unread::TooLong { length: u64::from(u32::MAX), bound: 256 * 1_024 + MAX_OVERHEAD as u64 };
-    assert_eq!(lane, Ok(Lane::Refusal { stream: None, why }));
+    assert_eq!(frame_type, Ok(FrameType::Refusal { stream: None, why }));
 }
 
 #[rstest]
 fn transports_can_be_sent_to_another_thread() {
     fn assert_send<T: Transport + Send + 'static>() {}
     assert_send::<Sockets>();
-    assert_send::<Memory>();
+    assert_send::<MemoryTransport>();
 }
 
 /// Times at which a peer is dialled that never answers, or that closes the connection after `held`.
@@ -360,11 +384,17 @@
 #[rstest]
 fn longest_envelope_fits_within_its_bound() {
     let long = "n".repeat(message::MAX_NAME_BYTES);
-    let to = Header { from: &long, incarnation: u64::MAX, to: &long, kind: u16::MAX, lane: Lane::Datagram };
+    let to = Header {
+        from: &long,
+        incarnation: u64::MAX,
+        to: &long,
+        kind: u16::MAX,
+        frame_type: FrameType::Datagram,
+    };
     let (datagram, most) = (encode(&to, &[]).len(), talk::DATAGRAM_OVERHEAD);
     assert!(datagram <= most, "{datagram}");
-    let lane = Lane::Stream { stream: u16::MAX, epoch: u64::MAX, number: u64::MAX };
-    assert!(encode(&Header { lane, ..to }, &[]).len() <= MAX_OVERHEAD);
+    let frame_type = FrameType::Stream { stream: u16::MAX, epoch: u64::MAX, number: u64::MAX };
+    assert!(encode(&Header { frame_type, ..to }, &[]).len() <= MAX_OVERHEAD);
 }
 
 /// Guards against a bound too small for a router's peers: its whole fleet, members of it that have left, and the
--- a/crates/link/src/tests/grounds.rs
+++ b/crates/link/src/tests/grounds.rs
@@ -3,7 +3,8 @@
 use crate::contract::{Ground, bounds};
 use crate::fault::Fault;
 use crate::{
-    Event, Kind, Kinds, Memory, Name, Network, Parts, Refused, Sender, Sockets, Tenths, Transport, Way,
+    Event, Kind, Kinds, MemoryTransport, Name, Parts, Refused, Sender, SimulatedNetwork, Sockets, Tenths,
+    Transport, Way,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, UdpSocket};
@@ -11,7 +12,7 @@
 
 /// A simulated network in memory, with the same fault in each direction.
 pub struct Simulated {
-    network: Network,
+    network: SimulatedNetwork,
     now: Tenths,
     fault: Fault,
     names: BTreeSet<Name>,
@@ -19,14 +20,14 @@
 
 impl Simulated {
     pub fn new(seed: u64, fault: Fault) -> Simulated {
-        Simulated { network: Network::new(seed), now: 0, fault, names: BTreeSet::new() }
+        Simulated { network: SimulatedNetwork::new(seed), now: 0, fault, names: BTreeSet::new() }
     }
 }
 
 impl Ground for Simulated {
-    type T = Memory;
+    type T = MemoryTransport;
 
-    fn start(&mut self, me: Sender, kinds: Kinds) -> Memory {
+    fn start(&mut self, me: Sender, kinds: Kinds) -> MemoryTransport {
         self.names.insert(me.name.clone());
         for (from, to) in self.names.iter().flat_map(|f| self.names.iter().map(move |t| (f, t))) {
             self.network.set(self.now, from, to, self.fault);
@@ -117,7 +118,7 @@
 
 /// The memory transport with a deliberate fault.
 pub struct Faulty {
-    inner: Memory,
+    inner: MemoryTransport,
     defect: Defect,
     queued: Vec<Event>,
     held_back: Option<Event>,
--- a/crates/link/src/tests/many.rs
+++ b/crates/link/src/tests/many.rs
@@ -4,7 +4,7 @@
 
 use crate::contract::bounds;
 use crate::fault::Fault;
-use crate::{Event, Kinds, Memory, Name, Network, Sender, Tenths, Transport, Way};
+use crate::{Event, Kinds, MemoryTransport, Name, Sender, SimulatedNetwork, Tenths, Transport, Way};
 use nanorand::{Rng, WyRand};
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
@@ -111,7 +111,7 @@
     }
 }
 
-fn start(network: &Network, now: Tenths, i: usize, incarnation: u64) -> Memory {
+fn start(network: &SimulatedNetwork, now: Tenths, i: usize, incarnation: u64) -> MemoryTransport {
     let me = Sender { name: name(i), incarnation };
     let mut memory = network.start(now, me, Kinds::new(&[(1, "note")]), bounds());
     for other in (0..NAMES.len()).filter(|o| *o != i) {
@@ -123,9 +123,9 @@
 fn run_seed(seed: u64) -> Model {
     let mut rng = WyRand::new_seed(seed);
     let mut model = Model::default();
-    let network = Network::new(seed);
+    let network = SimulatedNetwork::new(seed);
     let mut incarnations = [1u64; NAMES.len()];
-    let mut all: Vec<Memory> = (0..NAMES.len()).map(|i| start(&network, 0, i, 1)).collect();
+    let mut all: Vec<MemoryTransport> = (0..NAMES.len()).map(|i| start(&network, 0, i, 1)).collect();
     let mut paused = [0; NAMES.len()];
     for now in (0..60_000).step_by(20) {
         let (i, other) = (rng.generate_range(0..3usize), rng.generate_range(0..3usize));
@@ -161,7 +161,7 @@
     model
 }
 
-fn poll(all: &mut [Memory], now: Tenths, paused: &[Tenths; 3], model: &mut Model) {
+fn poll(all: &mut [MemoryTransport], now: Tenths, paused: &[Tenths; 3], model: &mut Model) {
     for (memory, _) in all.iter_mut().zip(paused).filter(|(_, until)| **until <= now) {
         while let Some(event) = memory.poll(now) {
             let me = memory.me().clone();
