--- a/crates/link/src/fault.rs
+++ b/crates/link/src/fault.rs
@@ -18,7 +18,7 @@
     /// Everything is delayed by this, and by up to `jitter` more. Tenths of a millisecond.
     pub delay: Tenths,
     pub jitter: Tenths,
-    /// Bandwidth in bytes a second; 0 is unlimited. A datagram that would be queued longer than [`LINE_MOST`] is
+    /// Bandwidth in bytes a second; 0 is unlimited. A datagram that would be queued longer than [`MAX_QUEUE_DELAY`] is
     /// lost; bytes of connections are held.
     pub rate: u64,
     /// Connections are reset when this begins, and none can be made while it holds.
