--- a/crates/link/examples/speed.rs
+++ b/crates/link/examples/speed.rs
@@ -1,44 +1,44 @@
-//! What the sockets of two instances on loopback carry: messages a second at full rate, and the time from a message's due
-//! time to its acknowledgement at a steady rate. `cargo run --release -p vetchkeel-link --example speed`
+//! Throughput and latency of two instances on loopback: messages a second at full rate, and the time from a message's
+//! due time to its acknowledgement at a steady rate. `cargo run --release -p vetchkeel-link --example speed`
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 use vetchkeel_link::{
-    Bounds, Event, Header, Kinds, Lane, Memory, Name, Network, Parts, Refused, Sender, Sockets, Tenths,
-    Transport, Way, encode,
+    Bounds, Event, FrameType, Header, Kinds, MemoryTransport, Name, Parts, Refused, Sender, SimulatedNetwork,
+    Sockets, Tenths, Transport, Way, encode,
 };
 
 const SECONDS: u64 = 2;
 const STREAM: Way = Way::Stream(1);
 
 fn name(text: &str) -> Name {
-    Name::new(text).unwrap_or_else(|| panic!("{text} is a name"))
+    Name::new(text).unwrap_or_else(|| panic!("{text} is not a valid name"))
 }
 
 fn sockets(me: &str) -> Sockets {
     let me = Sender { name: name(me), incarnation: 1 };
     let any = ([127, 0, 0, 1], 0).into();
     Sockets::bind(me, Kinds::new(&[(1, "note")]), Bounds::default(), any, Parts::Both, 1)
-        .unwrap_or_else(|e| panic!("no sockets on loopback: {e}"))
+        .unwrap_or_else(|e| panic!("cannot bind sockets on loopback: {e}"))
 }
 
-/// What a sender was told, and when it went on.
+/// Results of a sender.
 struct Run {
     acknowledged: u64,
     refused: u64,
-    /// From due to acknowledged, in microseconds.
+    /// From the due time to the acknowledgement, in microseconds.
     took: Vec<u64>,
 }
 
-/// Sends for some seconds: `rate` a second, or as much as is taken.
+/// Sends for [`SECONDS`]: `rate` messages a second, or as many as are accepted.
 fn run(length: usize, rate: Option<u64>) -> Run {
     let (mut a, mut b) = (sockets("a"), sockets("b"));
     let over = AtomicBool::new(false);
     let (began, body) = (Instant::now(), vec![7u8; length]);
     let now = || (began.elapsed().as_micros() / 100) as Tenths;
-    let met = a.meet(0, &name("b"), b.address());
-    assert!(met.is_ok(), "{met:?}");
+    let added = a.meet(0, &name("b"), b.address());
+    assert!(added.is_ok(), "{added:?}");
     let waker = b.waker();
     std::thread::scope(|scope| {
         scope.spawn(|| {
@@ -78,7 +78,7 @@
                             run.took.push(at.elapsed().as_micros() as u64);
                         }
                     }
-                    other => panic!("told {other:?}"),
+                    other => panic!("unexpected event {other:?}"),
                 }
             }
             let _ = a.wait(Duration::from_micros(rate.map_or(1_000, |r| 1_000_000 / r)));
@@ -89,22 +89,22 @@
     })
 }
 
-/// Instances on a simulated network, each with a message to five others every 100 ms, polled every 10 ms of told time:
-/// messages handed over, and how long that took.
+/// Simulates instances that each send a message to five others every 100 ms and are polled every 10 ms of simulated
+/// time. Returns the number of delivered messages and the time the simulation took.
 fn simulated(instances: usize, seconds: Tenths) -> (u64, Duration) {
-    let (began, network) = (Instant::now(), Network::new(1));
+    let (began, network) = (Instant::now(), SimulatedNetwork::new(1));
     let names: Vec<Name> = (0..instances).map(|i| name(&format!("n{i}"))).collect();
     let start = |n: &Name| {
         let me = Sender { name: n.clone(), incarnation: 1 };
         network.start(0, me, Kinds::new(&[(1, "note")]), Bounds::default())
     };
-    let mut all: Vec<Memory> = names.iter().map(start).collect();
+    let mut all: Vec<MemoryTransport> = names.iter().map(start).collect();
     for (i, memory) in all.iter_mut().enumerate() {
         for peer in (1..=5).map(|p| &names[(i + p * 7) % instances]) {
             assert!(memory.meet(0, peer, network.address(peer)).is_ok());
         }
     }
-    let mut handed = 0;
+    let mut delivered = 0;
     for now in (0..seconds * 10_000).step_by(100) {
         for (i, memory) in all.iter_mut().enumerate() {
             if now % 1_000 == 0 {
@@ -113,17 +113,19 @@
                 }
             }
             while let Some(event) = memory.poll(now) {
-                handed += u64::from(matches!(event, Event::Message { .. }));
+                delivered += u64::from(matches!(event, Event::Message { .. }));
             }
         }
     }
-    (handed, began.elapsed())
+    (delivered, began.elapsed())
 }
 
 fn main() {
-    let header = |lane| Header { from: "gw-1", incarnation: 1_764_633_600, to: "gw-2", kind: 1, lane };
-    let (datagram, stream) = (Lane::Datagram, Lane::Stream { stream: 1, epoch: 1, number: 100_000 });
-    let lengths = [datagram, stream].map(|lane| encode(&header(lane), b"").len());
+    let header =
+        |frame_type| Header { from: "gw-1", incarnation: 1_764_633_600, to: "gw-2", kind: 1, frame_type };
+    let (datagram, stream) =
+        (FrameType::Datagram, FrameType::Stream { stream: 1, epoch: 1, number: 100_000 });
+    let lengths = [datagram, stream].map(|frame_type| encode(&header(frame_type), b"").len());
     println!("envelope: datagram {} bytes, stream {} bytes and 4 of length", lengths[0], lengths[1]);
     println!("length rate acknowledged_per_s p50_us p99_us refused");
     for (length, rate) in [(200, None), (16_384, None), (200, Some(500)), (200, Some(10_000))] {
@@ -135,7 +137,9 @@
         println!("{length} {rate} {a_second} {p50} {p99} {}", run.refused);
     }
     for instances in [10, 100, 300] {
-        let (handed, took) = simulated(instances, 10);
-        println!("memory: {instances} instances, 10 s of told time: {handed} handed over in {took:.2?}");
+        let (delivered, took) = simulated(instances, 10);
+        println!(
+            "memory: {instances} instances, 10 s of simulated time: {delivered} delivered in {took:.2?}"
+        );
     }
 }
--- a/crates/link/src/fault.rs
+++ b/crates/link/src/fault.rs
@@ -1,50 +1,52 @@
-//! What a link between two instances does to what passes in one direction, without I/O: the simulated network and the
-//! relays between processes draw from the same.
+//! Faults on one direction of a link between two instances, without I/O. Used by the simulated network and by the
+//! relays between processes.
 
 use crate::message::Tenths;
 use nanorand::{Rng, WyRand};
 
-/// What is wrong with one direction of a link. The default: nothing.
+/// Faults of one direction of a link. The default has none.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Fault {
-    /// Nothing passes. Bytes of connections are held until the cut is over, as their senders would repeat them.
+    /// Nothing passes. Bytes of connections are held until the cut is over, as TCP would retransmit them.
     pub cut: bool,
-    /// Part of the datagrams that are lost. Bytes of connections come later by [`REPEAT`] instead.
+    /// Fraction of datagrams that are lost. Bytes of connections are delayed by [`REPEAT`] instead.
     pub drop: f64,
-    /// Part of the datagrams that come twice.
+    /// Fraction of datagrams that are duplicated.
     pub duplicate: f64,
-    /// Part of the datagrams that are late by up to another `jitter` + 5 ms, so that later ones overtake them.
+    /// Fraction of datagrams that are delayed by up to another `jitter` + 5 ms, so that later ones overtake them.
     pub reorder: f64,
-    /// Everything is late by this, and by up to `jitter` more. Tenths of a millisecond.
+    /// Everything is delayed by this, and by up to `jitter` more. Tenths of a millisecond.
     pub delay: Tenths,
     pub jitter: Tenths,
-    /// Bytes a second that pass; 0: without limit. What would wait over [`LINE_MOST`] is lost, or held for connections.
+    /// Bandwidth in bytes a second; 0 is unlimited. A datagram that would be queued longer than [`MAX_QUEUE_DELAY`] is
+    /// lost; bytes of connections are held.
     pub rate: u64,
-    /// Connections end when this begins, and none can be made while it holds.
+    /// Connections are reset when this begins, and none can be made while it holds.
     pub reset: bool,
 }
 
-/// After which time lost bytes of a connection are repeated.
+/// Delay after which lost bytes of a connection are retransmitted.
 pub const REPEAT: Tenths = 2_000;
-/// The longest wait of a datagram in a throttled line.
-pub const LINE_MOST: Tenths = 5_000;
-/// Beyond `jitter`, how late a reordered datagram may be.
-const OVERTAKEN: Tenths = 50;
+/// Maximum queueing delay of a datagram on a throttled line.
+pub const MAX_QUEUE_DELAY: Tenths = 5_000;
+/// Maximum delay of a reordered datagram beyond `jitter`.
+const MAX_REORDER_DELAY: Tenths = 50;
 
-/// One direction of a link: its fault of now, its chance, and when what passed last is through.
+/// One direction of a link: its current fault, its random generator, and when the data sent last has been
+/// transmitted.
 #[derive(Clone, Debug)]
 pub struct Line {
     fault: Fault,
-    chance: WyRand,
+    rng: WyRand,
     free_at: Tenths,
-    /// When the last bytes of connections come out.
-    last_out: Tenths,
+    /// When the last bytes of connections arrive.
+    last_arrival: Tenths,
 }
 
 impl Line {
     pub fn new(seed: u64) -> Line {
-        let (free_at, last_out) = (Tenths::MIN, Tenths::MIN);
-        Line { fault: Fault::default(), chance: WyRand::new_seed(seed), free_at, last_out }
+        let (free_at, last_arrival) = (Tenths::MIN, Tenths::MIN);
+        Line { fault: Fault::default(), rng: WyRand::new_seed(seed), free_at, last_arrival }
     }
 
     pub fn fault(&self) -> &Fault {
@@ -55,53 +57,59 @@
         self.fault = fault;
     }
 
-    fn chance_of(&mut self, part: f64) -> bool {
-        // No draw without need: a line without faults leaves its chance as it was.
-        part > 0.0 && self.part() < part
+    fn random_bool(&mut self, probability: f64) -> bool {
+        // Draws a random number only if needed: a line without faults leaves the generator's state unchanged.
+        probability > 0.0 && self.random_fraction() < probability
     }
 
-    fn part(&mut self) -> f64 {
-        (self.chance.generate::<u64>() >> 11) as f64 / (1u64 << 53) as f64
+    fn random_fraction(&mut self) -> f64 {
+        (self.rng.generate::<u64>() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn up_to(&mut self, most: Tenths) -> Tenths {
-        if most > 0 { (self.part() * (most + 1) as f64) as Tenths } else { 0 }
+    fn random_up_to(&mut self, max: Tenths) -> Tenths {
+        if max > 0 { (self.random_fraction() * (max + 1) as f64) as Tenths } else { 0 }
     }
 
-    /// When `length` bytes would be through the line if they were put on it now.
-    fn through(&self, now: Tenths, length: usize) -> Tenths {
+    /// When `length` bytes sent now would be fully transmitted.
+    fn transmitted_at(&self, now: Tenths, length: usize) -> Tenths {
         match self.fault.rate {
             0 => now,
             rate => self.free_at.max(now) + (length as u64 * 10_000).div_ceil(rate) as Tenths,
         }
     }
 
-    /// When each copy of a datagram arrives; none: it is lost.
+    /// Arrival time of each copy of a datagram; empty if it is lost.
     pub fn datagram(&mut self, now: Tenths, length: usize) -> Vec<Tenths> {
         let Fault { drop, duplicate, reorder, delay, jitter, .. } = self.fault;
-        let through = self.through(now, length);
-        if self.fault.cut || self.chance_of(drop) || through - now > LINE_MOST {
+        let transmitted_at = self.transmitted_at(now, length);
+        if self.fault.cut || self.random_bool(drop) || transmitted_at - now > MAX_QUEUE_DELAY {
             return Vec::new();
         }
-        self.free_at = through;
-        let copies = if self.chance_of(duplicate) { 2 } else { 1 };
-        let late = |line: &mut Line| {
-            let overtaken = if line.chance_of(reorder) { 1 + line.up_to(jitter + OVERTAKEN - 1) } else { 0 };
-            through + delay + line.up_to(jitter) + overtaken
+        self.free_at = transmitted_at;
+        let copies = if self.random_bool(duplicate) { 2 } else { 1 };
+        let arrival = |line: &mut Line| {
+            let reordered = if line.random_bool(reorder) {
+                1 + line.random_up_to(jitter + MAX_REORDER_DELAY - 1)
+            } else {
+                0
+            };
+            transmitted_at + delay + line.random_up_to(jitter) + reordered
         };
-        (0..copies).map(|_| late(self)).collect()
+        (0..copies).map(|_| arrival(self)).collect()
     }
 
-    /// When bytes of a connection arrive, never before those before them. None: the line is cut, ask again when it is not.
+    /// Arrival time of bytes of a connection, never before that of earlier bytes. None: the line is cut; ask
+    /// again when it is not.
     pub fn bytes(&mut self, now: Tenths, length: usize) -> Option<Tenths> {
         if self.fault.cut {
             return None;
         }
         let Fault { drop, delay, jitter, .. } = self.fault;
-        let through = self.through(now, length);
-        self.free_at = through;
-        let repeated = if self.chance_of(drop) { REPEAT } else { 0 };
-        self.last_out = self.last_out.max(through + delay + self.up_to(jitter) + repeated);
-        Some(self.last_out)
+        let transmitted_at = self.transmitted_at(now, length);
+        self.free_at = transmitted_at;
+        let retransmission = if self.random_bool(drop) { REPEAT } else { 0 };
+        self.last_arrival =
+            self.last_arrival.max(transmitted_at + delay + self.random_up_to(jitter) + retransmission);
+        Some(self.last_arrival)
     }
 }
--- a/crates/link/src/tests/grounds.rs
+++ b/crates/link/src/tests/grounds.rs
@@ -1,17 +1,18 @@
-//! Where the contract is played.
+//! Environments for the contract.
 
 use crate::contract::{Ground, bounds};
 use crate::fault::Fault;
 use crate::{
-    Event, Kind, Kinds, Memory, Name, Network, Parts, Refused, Sender, Sockets, Tenths, Transport, Way,
+    Event, Kind, Kinds, MemoryTransport, Name, Parts, Refused, Sender, SimulatedNetwork, Sockets, Tenths,
+    Transport, Way,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// A network in memory, each of its directions with one fault.
+/// A simulated network in memory, with the same fault in each direction.
 pub struct Simulated {
-    network: Network,
+    network: SimulatedNetwork,
     now: Tenths,
     fault: Fault,
     names: BTreeSet<Name>,
@@ -19,14 +20,14 @@
 
 impl Simulated {
     pub fn new(seed: u64, fault: Fault) -> Simulated {
-        Simulated { network: Network::new(seed), now: 0, fault, names: BTreeSet::new() }
+        Simulated { network: SimulatedNetwork::new(seed), now: 0, fault, names: BTreeSet::new() }
     }
 }
 
 impl Ground for Simulated {
-    type T = Memory;
+    type T = MemoryTransport;
 
-    fn start(&mut self, me: Sender, kinds: Kinds) -> Memory {
+    fn start(&mut self, me: Sender, kinds: Kinds) -> MemoryTransport {
         self.names.insert(me.name.clone());
         for (from, to) in self.names.iter().flat_map(|f| self.names.iter().map(move |t| (f, t))) {
             self.network.set(self.now, from, to, self.fault);
@@ -56,16 +57,16 @@
     }
 }
 
-/// The machine's own sockets.
+/// The machine's loopback sockets.
 pub struct Loopback {
     parts: Parts,
-    began: Instant,
+    started_at: Instant,
     addresses: BTreeMap<Name, SocketAddr>,
 }
 
 impl Loopback {
     pub fn new(parts: Parts) -> Loopback {
-        Loopback { parts, began: Instant::now(), addresses: BTreeMap::new() }
+        Loopback { parts, started_at: Instant::now(), addresses: BTreeMap::new() }
     }
 }
 
@@ -73,9 +74,10 @@
     type T = Sockets;
 
     fn start(&mut self, me: Sender, kinds: Kinds) -> Sockets {
-        let known = self.addresses.get(&me.name).copied();
-        let at = known.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)));
-        let sockets = Sockets::bind(me.clone(), kinds, bounds(), at, self.parts, me.incarnation).unwrap();
+        let previous_address = self.addresses.get(&me.name).copied();
+        let address = previous_address.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)));
+        let sockets =
+            Sockets::bind(me.clone(), kinds, bounds(), address, self.parts, me.incarnation).unwrap();
         self.addresses.insert(me.name, sockets.address());
         sockets
     }
@@ -85,7 +87,7 @@
     }
 
     fn now(&self) -> Tenths {
-        self.began.elapsed().as_micros() as Tenths / 100
+        self.started_at.elapsed().as_micros() as Tenths / 100
     }
 
     fn pass(&mut self, time: Tenths) {
@@ -98,32 +100,32 @@
     }
 }
 
-/// What a half-broken transport does wrong.
+/// The fault of a deliberately faulty transport.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wrong {
-    /// Says nothing of a break.
-    LosesInSilence,
-    /// Tells every message as acknowledged once it was taken.
+pub enum Defect {
+    /// Suppresses the event for a broken stream.
+    DropsBreakEvents,
+    /// Reports every message as acknowledged once it was accepted.
     AcknowledgesEarly,
-    /// Hands the second of two messages over first.
-    Swaps,
-    Doubles,
-    /// Takes what should wait, and keeps it.
-    TakesAll,
-    /// Hands over as 1 whatever start a peer has.
-    ForgetsStarts,
+    /// Delivers two messages in swapped order.
+    SwapsMessages,
+    DuplicatesMessages,
+    /// Accepts messages beyond the bound and discards them.
+    AcceptsBeyondBound,
+    /// Reports incarnation 1 for every incarnation of a peer.
+    IgnoresIncarnation,
 }
 
-/// Memory with something wrong in it.
-pub struct HalfBroken {
-    inner: Memory,
-    wrong: Wrong,
-    kept: Vec<Event>,
-    held: Option<Event>,
-    over: u64,
+/// The memory transport with a deliberate fault.
+pub struct Faulty {
+    inner: MemoryTransport,
+    defect: Defect,
+    queued: Vec<Event>,
+    held_back: Option<Event>,
+    accepted_over_bound: u64,
 }
 
-impl Transport for HalfBroken {
+impl Transport for Faulty {
     fn me(&self) -> &Sender {
         self.inner.me()
     }
@@ -141,38 +143,38 @@
     }
 
     fn send(&mut self, now: Tenths, to: &Name, way: Way, kind: Kind, body: &[u8]) -> Result<u64, Refused> {
-        match (self.inner.send(now, to, way, kind, body), way, self.wrong) {
-            (Ok(number), Way::Stream(stream), Wrong::AcknowledgesEarly) => {
-                self.kept.push(Event::Acknowledged { to: to.clone(), stream, number });
+        match (self.inner.send(now, to, way, kind, body), way, self.defect) {
+            (Ok(number), Way::Stream(stream), Defect::AcknowledgesEarly) => {
+                self.queued.push(Event::Acknowledged { to: to.clone(), stream, number });
                 Ok(number)
             }
-            (Err(Refused::Full { .. }), _, Wrong::TakesAll) => {
-                self.over += 1;
-                Ok(self.over)
+            (Err(Refused::Full { .. }), _, Defect::AcceptsBeyondBound) => {
+                self.accepted_over_bound += 1;
+                Ok(self.accepted_over_bound)
             }
-            (taken, _, _) => taken,
+            (result, _, _) => result,
         }
     }
 
     fn poll(&mut self, now: Tenths) -> Option<Event> {
-        if let Some(event) = self.kept.pop() {
+        if let Some(event) = self.queued.pop() {
             return Some(event);
         }
-        match (self.inner.poll(now)?, self.wrong) {
-            (Event::Broken { .. }, Wrong::LosesInSilence) => self.poll(now),
-            (event @ Event::Message { stream: 0, number: 3, .. }, Wrong::Swaps) => {
-                self.held = Some(event);
+        match (self.inner.poll(now)?, self.defect) {
+            (Event::Broken { .. }, Defect::DropsBreakEvents) => self.poll(now),
+            (event @ Event::Message { stream: 0, number: 3, .. }, Defect::SwapsMessages) => {
+                self.held_back = Some(event);
                 self.poll(now)
             }
-            (event @ Event::Message { stream: 0, number: 4, .. }, Wrong::Swaps) => {
-                self.kept.extend(self.held.take());
+            (event @ Event::Message { stream: 0, number: 4, .. }, Defect::SwapsMessages) => {
+                self.queued.extend(self.held_back.take());
                 Some(event)
             }
-            (event @ Event::Message { number: 3, .. }, Wrong::Doubles) => {
-                self.kept.push(event.clone());
+            (event @ Event::Message { number: 3, .. }, Defect::DuplicatesMessages) => {
+                self.queued.push(event.clone());
                 Some(event)
             }
-            (Event::Message { from, stream, epoch, number, kind, body }, Wrong::ForgetsStarts) => {
+            (Event::Message { from, stream, epoch, number, kind, body }, Defect::IgnoresIncarnation) => {
                 let from = Sender { incarnation: 1, ..from };
                 Some(Event::Message { from, stream, epoch, number, kind, body })
             }
@@ -185,22 +187,22 @@
     }
 }
 
-/// A whole network of half-broken transports.
-pub struct HalfBrokenGround {
+/// A simulated network of deliberately faulty transports.
+pub struct FaultyEnvironment {
     pub inner: Simulated,
-    pub wrong: Wrong,
+    pub defect: Defect,
 }
 
-impl Ground for HalfBrokenGround {
-    type T = HalfBroken;
+impl Ground for FaultyEnvironment {
+    type T = Faulty;
 
-    fn start(&mut self, me: Sender, kinds: Kinds) -> HalfBroken {
-        HalfBroken {
+    fn start(&mut self, me: Sender, kinds: Kinds) -> Faulty {
+        Faulty {
             inner: self.inner.start(me, kinds),
-            wrong: self.wrong,
-            kept: Vec::new(),
-            held: None,
-            over: 0,
+            defect: self.defect,
+            queued: Vec::new(),
+            held_back: None,
+            accepted_over_bound: 0,
         }
     }
 
