--- a/crates/configuration/examples/figures.rs
+++ b/crates/configuration/examples/figures.rs
@@ -29,7 +29,7 @@
 }
 
 fn fleet(routers: usize, seed: u64) -> World {
-    let mut world = World::whole(MACHINES, KEEPERS, routers, seed);
+    let mut world = World::new_converged(MACHINES, KEEPERS, routers, seed);
     // Routers that moved to another machine before a writer was elected stay where they are.
     world.run(10 * SECOND);
     world
@@ -50,7 +50,7 @@
                     number % 7
                 )
                 .repeat(4),
-                false => (0..190).map(|_| char::from(world.chance.generate_range(33..127u8))).collect(),
+                false => (0..190).map(|_| char::from(world.rng.generate_range(33..127u8))).collect(),
             };
             edit(&format!("group-{number:04}"), &value[..190])
         });
@@ -59,19 +59,19 @@
         world.publish_at(writer, edits).expect("the writer accepts the edits");
         world.run(SECOND);
     }
-    world.run_until(120 * SECOND, World::agreed).expect("all routers have the newest version");
+    world.run_until(120 * SECOND, World::has_converged).expect("all routers have the newest version");
 }
 
 /// Average bytes per second of a router and of a control machine.
 fn bytes_per_second(world: &mut World, length: Tenths) -> (u64, u64) {
-    (world.count, world.between) = (true, 0);
-    world.bytes = BTreeMap::new();
+    (world.count_bytes, world.machine_bytes) = (true, 0);
+    world.router_bytes = BTreeMap::new();
     world.run(length);
-    world.count = false;
+    world.count_bytes = false;
     let routers = world.routers().len() as u64;
     let length = (length / SECOND) as u64;
-    let all: u64 = world.bytes.values().sum();
-    (all / routers / length, (all + 2 * world.between) / MACHINES as u64 / length)
+    let all: u64 = world.router_bytes.values().sum();
+    (all / routers / length, (all + 2 * world.machine_bytes) / MACHINES as u64 / length)
 }
 
 fn report_changes(routers: usize) {
@@ -85,7 +85,7 @@
             let at = world.now;
             assert!(world.publish(&format!("group-{number}"), &"x".repeat(200)));
             world.run(PUBLISH_INTERVAL);
-            published.push((world.newest, at));
+            published.push((world.newest_released, at));
         }
         for (version, at) in published {
             let of = world.applied.iter().filter(|((of, _), _)| *of == version);
@@ -107,16 +107,16 @@
     for seed in 0..SEEDS {
         let mut world = fleet(routers, seed);
         let idle = bytes_per_second(&mut world, 14 * SECOND);
-        (world.count, world.between, world.bytes) = (true, 0, BTreeMap::new());
+        (world.count_bytes, world.machine_bytes, world.router_bytes) = (true, 0, BTreeMap::new());
         for number in 0..2 {
             assert!(world.publish(&format!("group-{number}"), &"x".repeat(200)));
             world.run(PUBLISH_INTERVAL);
         }
-        let all: u64 = world.bytes.values().sum();
-        let most = world.bytes.values().max().copied().unwrap_or(0);
+        let all: u64 = world.router_bytes.values().sum();
+        let most = world.router_bytes.values().max().copied().unwrap_or(0);
         let length = 2 * PUBLISH_INTERVAL as u64;
         let each = |all: u64, count: usize| all * SECOND as u64 / length / count as u64;
-        let machine = each(all + 2 * world.between, MACHINES);
+        let machine = each(all + 2 * world.machine_bytes, MACHINES);
         rows.push([idle.0, each(all, routers), most, idle.1, machine]);
     }
     let range = |column: usize| {
@@ -134,7 +134,7 @@
         world.plan.log_changes = 2;
     }
     world.start_all();
-    world.run_until(60 * SECOND, World::agreed).expect("all routers are at one version");
+    world.run_until(60 * SECOND, World::has_converged).expect("all routers are at one version");
     fill(&mut world, 50, repeats);
     world
 }
@@ -142,8 +142,8 @@
 /// Starts all routers, which were killed before, at the same time.
 fn start_all(world: &mut World, routers: usize, kept: &str, document: &str) {
     world.run(10 * SECOND);
-    (world.count, world.bytes) = (true, BTreeMap::new());
-    world.kinds.clear();
+    (world.count_bytes, world.router_bytes) = (true, BTreeMap::new());
+    world.messages_by_kind.clear();
     let (from, mut times, mut done) = (world.now, Vec::new(), BTreeSet::new());
     for router in world.routers() {
         world.start(router);
@@ -151,33 +151,33 @@
     while done.len() < routers && world.now - from < 300 * SECOND {
         world.run(SECOND / 20);
         for (at, router) in world.live_routers() {
-            if router.in_force() == world.newest && router.may_serve(world.now) && done.insert(at) {
+            if router.in_force() == world.newest_released && router.may_serve(world.now) && done.insert(at) {
                 times.push(world.now - from);
             }
         }
     }
-    world.count = false;
-    let most = world.bytes.values().max().copied().unwrap_or(0);
-    let whole = world.kinds.get("whole").copied().unwrap_or(0);
+    world.count_bytes = false;
+    let most = world.router_bytes.values().max().copied().unwrap_or(0);
+    let whole = world.messages_by_kind.get("whole").copied().unwrap_or(0);
     let all = if done.len() == routers { "" } else { ", not all" };
     println!("| {routers} | {kept} | {document} | {}{all} | {most} | {whole} |", quantiles(times));
 }
 
 fn started_at_once(routers: usize) {
     let mut world = filled(routers, true, false);
-    let behind = world.places[world.routers().start].file.clone();
+    let behind = world.nodes[world.routers().start].saved.clone();
     world.routers().for_each(|router| world.kill(router));
     start_all(&mut world, routers, "the newest", "lines that repeat");
     for number in 0..8 {
         assert!(world.publish(&format!("group-{number:04}"), &"y".repeat(190)));
         world.run(SECOND);
     }
-    world.run_until(60 * SECOND, World::agreed).expect("all routers have the newest version");
+    world.run_until(60 * SECOND, World::has_converged).expect("all routers have the newest version");
     for router in world.routers() {
         world.kill(router);
-        world.places[router].file = behind.clone();
-        world.places[router].told = Version::NONE;
-        world.places[router].in_force = Version::NONE;
+        world.nodes[router].saved = behind.clone();
+        world.nodes[router].reported = Version::NONE;
+        world.nodes[router].in_force = Version::NONE;
     }
     start_all(&mut world, routers, "8 changes behind", "lines that repeat");
     for (repeats, document) in [(true, "lines that repeat"), (false, "nothing that repeats")] {
@@ -198,14 +198,14 @@
         let from = world.now;
         // The writer itself is stopped, so the change is published at its successor as soon as one is elected.
         world.kill(keeper);
-        world.stop(writer, 3_600 * SECOND);
+        world.pause(writer, 3_600 * SECOND);
         let mut taken = false;
-        while world.now - from < 60 * SECOND && !(taken && world.everywhere("limit", "7")) {
+        while world.now - from < 60 * SECOND && !(taken && world.in_force_everywhere("limit", "7")) {
             world.run(SECOND / 20);
             taken = taken || world.publish("limit", "7");
         }
         times.push(world.now - from);
-        let version = world.newest;
+        let version = world.newest_released;
         world.run(15 * SECOND);
         let found = world.verdicts.iter().find(|(.., verdict)| verdict.version == version);
         named.push(
@@ -222,18 +222,18 @@
     for at in [0, 1, 5, 6, 7, 8, 9, 10, 11, 12] {
         match at % 2 {
             0 => world.kill(at),
-            _ => world.stop(at, 3_600 * SECOND),
+            _ => world.pause(at, 3_600 * SECOND),
         }
     }
     let mut taken = false;
-    while world.now - from < 60 * SECOND && !(taken && world.everywhere("limit", "7")) {
+    while world.now - from < 60 * SECOND && !(taken && world.in_force_everywhere("limit", "7")) {
         world.run(SECOND / 20);
         taken = taken || world.publish("limit", "7");
     }
     let first = world.now - from;
     let served: Vec<usize> = (0..MACHINES).filter_map(|at| world.machine(at)).map(|of| of.served()).collect();
     assert!(world.publish("limit", "8"));
-    let next = world.run_until(60 * SECOND, |world| world.everywhere("limit", "8"));
+    let next = world.run_until(60 * SECOND, |world| world.in_force_everywhere("limit", "8"));
     println!(
         "| {routers} | {} | {} | {} |",
         seconds(Some(first)),
@@ -246,7 +246,7 @@
     let mut world = fleet(routers, 9);
     // Separates one region from the other three: 5 of the 20 machines, with one or two of the five keepers.
     let alone = |node: usize| usize::from(node % REGIONS == 1);
-    world.part(alone);
+    world.partition(alone);
     world.run(20 * SECOND);
     let mut published = 0;
     for number in 0..10 {
@@ -255,25 +255,25 @@
     }
     let behind = world
         .live_routers()
-        .filter(|(at, router)| alone(*at) == 1 && router.in_force() < world.newest)
+        .filter(|(at, router)| alone(*at) == 1 && router.in_force() < world.newest_released)
         .count();
     let verdict = world.verdicts.last().map(|(.., verdict)| verdict.clone()).expect("a verdict");
     let named = verdict.behind.len() + verdict.silent.len();
     world.heal();
     let (from, mut times, mut done) = (world.now, Vec::new(), BTreeSet::new());
-    world.kinds.clear();
+    world.messages_by_kind.clear();
     while done.len() < routers && world.now - from < 120 * SECOND {
         world.run(SECOND / 20);
         for (at, router) in world.live_routers() {
-            if router.in_force() == world.newest && alone(at) == 1 && done.insert(at) {
+            if router.in_force() == world.newest_released && alone(at) == 1 && done.insert(at) {
                 times.push(world.now - from);
             }
         }
-        if world.agreed() {
+        if world.has_converged() {
             break;
         }
     }
-    let whole = world.kinds.get("whole").copied().unwrap_or(0);
+    let whole = world.messages_by_kind.get("whole").copied().unwrap_or(0);
     println!("| {routers} | {published} | {behind} | {named} | {} | {whole} |", quantiles(times));
 }
 
--- a/crates/configuration/tests/fleet.rs
+++ b/crates/configuration/tests/fleet.rs
@@ -36,13 +36,13 @@
     #[case] duplicate_percent: u32,
 ) {
     for seed in 0..3 {
-        let mut world = World::whole(20, 5, 60, seed);
+        let mut world = World::new_converged(20, 5, 60, seed);
         (world.loss_percent, world.duplicate_percent) = (loss_percent, duplicate_percent);
         world.verdicts.clear();
         assert!(world.publish("limit", "7"), "seed {seed}");
-        let took = world.run_until(IN_FORCE_LIMIT, |world| world.everywhere("limit", "7"));
+        let took = world.run_until(IN_FORCE_LIMIT, |world| world.in_force_everywhere("limit", "7"));
         assert!(took.is_some(), "seed {seed}: not in force everywhere");
-        let version = world.newest;
+        let version = world.newest_released;
         world.run(15 * SECOND);
         let verdict = world.verdicts.iter().find(|(.., verdict)| verdict.version == version);
         let (_, _, verdict) = verdict.expect("there is a verdict");
@@ -53,23 +53,23 @@
 #[rstest]
 fn all_nodes_converge_after_random_faults(#[values(0, 100, 200, 300, 400, 500, 1_000)] base: u64) {
     for seed in base..base + 8 {
-        let mut world = World::whole(9, 5, 20, seed);
+        let mut world = World::new_converged(9, 5, 20, seed);
         (world.loss_percent, world.duplicate_percent) = (3, 3);
         // Half of the routers save nothing to disk.
         for router in world.routers().step_by(2) {
-            world.places[router].persists = false;
-            world.places[router].file = None;
+            world.nodes[router].persists = false;
+            world.nodes[router].saved = None;
         }
         let mut value = 0;
         for _ in 0..14 {
-            let at = world.chance.generate_range(0..29usize);
-            let other = world.chance.generate_range(0..9usize);
-            match world.chance.generate_range(0..9u32) {
+            let at = world.rng.generate_range(0..29usize);
+            let other = world.rng.generate_range(0..9usize);
+            match world.rng.generate_range(0..9u32) {
                 0 => world.cut_links.extend([(at, other)]),
                 1 => world.cut_links.extend([(other, at)]),
-                2 => world.part(|node| node % world::REGIONS),
-                3 => world.part(|node| usize::from(node < 3)),
-                4 => world.stop(at, 10 * SECOND),
+                2 => world.partition(|node| node % world::REGIONS),
+                3 => world.partition(|node| usize::from(node < 3)),
+                4 => world.pause(at, 10 * SECOND),
                 // Keeper 4 loses its disk whenever it is killed here.
                 5 if other == 4 => world.wipe(other),
                 5 => world.kill(other),
@@ -80,24 +80,24 @@
                 7 => world.heal(),
                 _ => {
                     let writer = world.writer().unwrap_or(other);
-                    match world.chance.generate_range(0..2u32) {
+                    match world.rng.generate_range(0..2u32) {
                         0 => world.kill(writer),
-                        _ => world.stop(writer, 8 * SECOND),
+                        _ => world.pause(writer, 8 * SECOND),
                     }
                 }
             }
-            for _ in 0..world.chance.generate_range(1..8u32) {
+            for _ in 0..world.rng.generate_range(1..8u32) {
                 value += 1;
                 // Every machine that believes it is the writer accepts the change, also a deposed one.
                 for machine in 0..9 {
                     drop(world.publish_at(machine, vec![edit("limit", &value.to_string())]));
                 }
-                let length = world.chance.generate_range(1..2 * SECOND as u64) as Tenths;
+                let length = world.rng.generate_range(1..2 * SECOND as u64) as Tenths;
                 world.run(length);
             }
         }
         world.heal();
-        let took = world.run_until(CONVERGENCE_LIMIT, World::agreed);
+        let took = world.run_until(CONVERGENCE_LIMIT, World::has_converged);
         assert!(took.is_some(), "seed {seed}: not converged on one version");
         let mut known = world.events.len();
         assert!(
@@ -105,7 +105,7 @@
             "seed {seed}: no machine accepts the change"
         );
         let from = world.now;
-        while !world.everywhere("limit", "0") {
+        while !world.in_force_everywhere("limit", "0") {
             assert!(
                 world.now - from < IN_FORCE_LIMIT,
                 "seed {seed}: the last change is not in force everywhere"
@@ -137,21 +137,21 @@
     #[case] paused: usize,
 ) {
     for seed in 0..6 {
-        let mut world = World::whole(20, 5, 60, seed);
+        let mut world = World::new_converged(20, 5, 60, seed);
         let writer = world.writer().expect("there is a writer");
         let other = (0..5).find(|at| *at != writer).expect("there is another keeper");
         let roles = [writer, other, 12];
         // The machines fail while the change is being distributed, also to routers that they serve.
         assert!(world.publish("limit", "7"), "seed {seed}");
-        let delay = world.chance.generate_range(0..1_000u64) as Tenths;
+        let delay = world.rng.generate_range(0..1_000u64) as Tenths;
         world.run(delay);
         let from = world.now;
         world.kill(roles[killed]);
-        world.stop(roles[paused], 3_600 * SECOND);
+        world.pause(roles[paused], 3_600 * SECOND);
         // An accepted change may be lost with its writer, which shows by an event or by the missing change. It is
         // published again once, after 6 s.
         let mut republished = 0;
-        while !world.everywhere("limit", "7") {
+        while !world.in_force_everywhere("limit", "7") {
             assert!(
                 world.now - from < IN_FORCE_LIMIT,
                 "seed {seed}: not in force everywhere after {} s",
@@ -171,13 +171,13 @@
 #[test]
 fn changes_are_released_and_served_with_ten_of_twenty_machines_lost() {
     for seed in 0..4 {
-        let mut world = World::whole(20, 5, 60, seed);
+        let mut world = World::new_converged(20, 5, 60, seed);
         // Two of the ten are keepers.
         let failed = [0, 1, 5, 6, 7, 8, 9, 10, 11, 12];
         for (number, at) in failed.into_iter().enumerate() {
             match number % 2 {
                 0 => world.kill(at),
-                _ => world.stop(at, 3_600 * SECOND),
+                _ => world.pause(at, 3_600 * SECOND),
             }
         }
         let from = world.now;
@@ -186,11 +186,11 @@
             "seed {seed}: no machine accepts the change"
         );
         let limit = from + 2 * IN_FORCE_LIMIT - world.now;
-        let took = world.run_until(limit, |world| world.everywhere("limit", "7"));
+        let took = world.run_until(limit, |world| world.in_force_everywhere("limit", "7"));
         assert!(took.is_some(), "seed {seed}: not in force everywhere");
         // The next change is as fast as in a fleet without faults.
         assert!(publish(&mut world, "limit", "8", SECOND).is_some(), "seed {seed}");
-        let took = world.run_until(IN_FORCE_LIMIT, |world| world.everywhere("limit", "8"));
+        let took = world.run_until(IN_FORCE_LIMIT, |world| world.in_force_everywhere("limit", "8"));
         assert!(took.is_some(), "seed {seed}: the next change is not in force everywhere");
     }
 }
@@ -205,10 +205,10 @@
 #[case::one_hour(3_600)]
 fn minority_partition_applies_nothing_and_rejoins_without_rollback(#[case] seconds: Tenths) {
     for seed in 0..3 {
-        let mut world = World::whole(12, 5, 24, seed);
-        world.part(partition_side);
+        let mut world = World::new_converged(12, 5, 24, seed);
+        world.partition(partition_side);
         world.run(10 * SECOND);
-        let before = world.newest;
+        let before = world.newest_released;
         // No machine of the minority accepts a change, neither the deposed writer nor a candidate.
         for machine in (0..12).filter(|at| partition_side(*at) == 0) {
             let refused = world.publish_at(machine, vec![edit("limit", "1")]);
@@ -226,7 +226,7 @@
             let newest = if partition_side(at) == 0 {
                 router.in_force() <= before
             } else {
-                router.in_force() == world.newest
+                router.in_force() == world.newest_released
             };
             assert!(newest, "seed {seed}: router {at} is at {}", router.in_force());
             assert_eq!(
@@ -235,30 +235,30 @@
                 "seed {seed}: router {at}"
             );
         }
-        let known = world.verdicts.iter().rfind(|(.., verdict)| verdict.version == world.newest);
+        let known = world.verdicts.iter().rfind(|(.., verdict)| verdict.version == world.newest_released);
         let (_, _, verdict) = known.expect("there is a verdict");
         let named = verdict.silent.len() + verdict.behind.len();
         assert_eq!((verdict.everywhere, named), (false, 12), "seed {seed}: {verdict:?}");
         world.heal();
-        let took = world.run_until(CONVERGENCE_LIMIT, World::agreed);
+        let took = world.run_until(CONVERGENCE_LIMIT, World::has_converged);
         assert!(took.is_some(), "seed {seed}: not converged after the partition healed");
-        assert!(world.everywhere("limit", "2"), "seed {seed}");
+        assert!(world.in_force_everywhere("limit", "2"), "seed {seed}");
     }
 }
 
 #[test]
 fn deposed_writer_that_resumes_puts_no_change_in_force() {
     for seed in 0..10 {
-        let mut world = World::whole(7, 5, 10, seed);
+        let mut world = World::new_converged(7, 5, 10, seed);
         let deposed = world.writer().expect("there is a writer");
-        world.stop(deposed, 20 * SECOND);
+        world.pause(deposed, 20 * SECOND);
         world.run(19 * SECOND);
         assert!(publish(&mut world, "limit", "2", SECOND).is_some(), "seed {seed}");
         world.run(SECOND);
         // The paused machine resumes and still believes that it is the writer.
         let result = world.publish_at(deposed, vec![edit("limit", "1")]);
         world.run(20 * SECOND);
-        assert!(world.agreed() && world.everywhere("limit", "2"), "seed {seed}: {result:?}");
+        assert!(world.has_converged() && world.in_force_everywhere("limit", "2"), "seed {seed}: {result:?}");
     }
 }
 
@@ -270,7 +270,7 @@
         (world.plan.stand, world.plan.patience, world.plan.start_wait) = (10_000, 60_000, 60_000);
         (world.plan.home, world.plan.verdict) = (6_000_000, 140_000);
         world.start_all();
-        assert!(world.run_until(60 * SECOND, World::agreed).is_some(), "seed {seed}");
+        assert!(world.run_until(60 * SECOND, World::has_converged).is_some(), "seed {seed}");
         let stale = world.writer().expect("there is a writer");
         let follower = (0..5).find(|at| *at != stale).expect("there is another keeper");
         for at in (0..17).filter(|at| *at != stale && *at != follower) {
@@ -286,17 +286,17 @@
         assert!(!is_writer(&world), "seed {seed}: the stale writer is still the writer");
         assert!(publish(&mut world, "limit", "2", SECOND).is_some(), "seed {seed}");
         world.run(10 * SECOND);
-        assert!(world.agreed() && world.everywhere("limit", "2"), "seed {seed}");
+        assert!(world.has_converged() && world.in_force_everywhere("limit", "2"), "seed {seed}");
     }
 }
 
 #[test]
 fn restarting_keepers_never_promise_an_epoch_twice() {
     for seed in 0..60 {
-        let mut world = World::whole(5, 5, 3, seed);
+        let mut world = World::new_converged(5, 5, 3, seed);
         for value in 0..60 {
-            let at = world.chance.generate_range(0..5usize);
-            let other = world.chance.generate_range(0..5usize);
+            let at = world.rng.generate_range(0..5usize);
+            let other = world.rng.generate_range(0..5usize);
             match value % 8 {
                 0 => world.kill(at),
                 1 => world.cut_links.extend([(at, other), (other, at)]),
@@ -309,18 +309,18 @@
             for machine in 0..5 {
                 drop(world.publish_at(machine, vec![edit("limit", &value.to_string())]));
             }
-            let length = world.chance.generate_range(1..SECOND as u64) as Tenths;
+            let length = world.rng.generate_range(1..SECOND as u64) as Tenths;
             world.run(length);
         }
         world.heal();
-        assert!(world.run_until(CONVERGENCE_LIMIT, World::agreed).is_some(), "seed {seed}");
+        assert!(world.run_until(CONVERGENCE_LIMIT, World::has_converged).is_some(), "seed {seed}");
     }
 }
 
 #[test]
 fn rejoining_keeper_does_not_depose_the_writer() {
     for seed in 0..10 {
-        let mut world = World::whole(7, 5, 10, seed);
+        let mut world = World::new_converged(7, 5, 10, seed);
         let writer = world.writer().expect("there is a writer");
         let epoch = world.machine(writer).and_then(vetchkeel_configuration::Machine::writer_epoch);
         let isolated = (0..5).find(|at| *at != writer).expect("there is another keeper");
@@ -335,14 +335,14 @@
             epoch,
             "seed {seed}"
         );
-        assert!(world.agreed(), "seed {seed}");
+        assert!(world.has_converged(), "seed {seed}");
     }
 }
 
 #[test]
 fn keeper_that_lost_its_disk_has_no_vote_until_it_has_caught_up() {
     for seed in 0..20 {
-        let mut world = World::whole(7, 5, 6, seed);
+        let mut world = World::new_converged(7, 5, 6, seed);
         let writer = world.writer().expect("there is a writer");
         let others: Vec<Node> = (0..5).filter(|at| *at != writer).collect();
         // Two keepers are unreachable while the three others release a change; one of the three then loses its disk.
@@ -352,10 +352,10 @@
                 world.cut_links.insert((*unreachable, at));
             }
         }
-        let before = world.newest;
+        let before = world.newest_released;
         assert!(world.publish("limit", "7"), "seed {seed}");
         world.run(SECOND);
-        assert!(world.newest > before, "seed {seed}: the change is not released");
+        assert!(world.newest_released > before, "seed {seed}: the change is not released");
         world.cut_links.clear();
         world.kill(writer);
         world.kill(others[3]);
@@ -367,8 +367,8 @@
         let current = world.writer();
         assert!(current.is_none(), "seed {seed}: node {current:?} is the writer without holding the change");
         world.heal();
-        let took = world.run_until(CONVERGENCE_LIMIT, World::agreed);
-        assert!(took.is_some() && world.everywhere("limit", "7"), "seed {seed}");
+        let took = world.run_until(CONVERGENCE_LIMIT, World::has_converged);
+        assert!(took.is_some() && world.in_force_everywhere("limit", "7"), "seed {seed}");
         let settled =
             world.events.iter().any(|(_, at, event)| *at == others[2] && *event == Event::VotingRestored);
         assert!(settled, "seed {seed}: the vote of the keeper never counts again");
@@ -377,26 +377,27 @@
 
 #[test]
 fn resuming_router_receives_only_the_missed_changes() {
-    let mut world = World::whole(4, 3, 4, 1);
+    let mut world = World::new_converged(4, 3, 4, 1);
     for number in 0..400 {
         let edits = vec![edit(&format!("group-{number}"), &"x".repeat(100))];
         let writer = world.writer().expect("there is a writer");
         assert!(world.publish_at(writer, edits).is_ok());
     }
     world.run(30 * SECOND);
-    assert!(world.agreed());
+    assert!(world.has_converged());
     let router = world.routers().start;
     world.kill(router);
     for number in 0..20 {
         assert!(world.publish(&format!("group-{number}"), "y"));
         world.run(SECOND);
     }
-    world.kinds.clear();
-    (world.count, world.bytes) = (true, Default::default());
+    world.messages_by_kind.clear();
+    (world.count_bytes, world.router_bytes) = (true, Default::default());
     world.start(router);
-    assert!(world.run_until(10 * SECOND, World::agreed).is_some());
-    let bytes: u64 = world.bytes.iter().filter(|((at, _), _)| *at == router).map(|(_, bytes)| bytes).sum();
-    assert!(!world.kinds.contains_key("whole"), "{:?}", world.kinds);
+    assert!(world.run_until(10 * SECOND, World::has_converged).is_some());
+    let bytes: u64 =
+        world.router_bytes.iter().filter(|((at, _), _)| *at == router).map(|(_, bytes)| bytes).sum();
+    assert!(!world.messages_by_kind.contains_key("whole"), "{:?}", world.messages_by_kind);
     assert!(bytes < 4_000, "{bytes} bytes for 20 changes");
 }
 
@@ -405,18 +406,22 @@
     let mut world = World::new(4, 3, 4, 1);
     world.plan.log_changes = 5;
     world.start_all();
-    assert!(world.run_until(30 * SECOND, World::agreed).is_some());
+    assert!(world.run_until(30 * SECOND, World::has_converged).is_some());
     let router = world.routers().start;
     world.kill(router);
     for number in 0..8 {
-        let value: String = (0..2_000).map(|_| char::from(world.chance.generate_range(33..127u8))).collect();
+        let value: String = (0..2_000).map(|_| char::from(world.rng.generate_range(33..127u8))).collect();
         assert!(world.publish(&format!("group-{number}"), &value));
         world.run(2 * SECOND);
     }
-    world.kinds.clear();
+    world.messages_by_kind.clear();
     world.start(router);
-    assert!(world.run_until(30 * SECOND, World::agreed).is_some());
-    assert!(world.kinds.get("whole").is_some_and(|parts| *parts > 8), "{:?}", world.kinds);
+    assert!(world.run_until(30 * SECOND, World::has_converged).is_some());
+    assert!(
+        world.messages_by_kind.get("whole").is_some_and(|parts| *parts > 8),
+        "{:?}",
+        world.messages_by_kind
+    );
     let reported = world
         .notices
         .iter()
@@ -426,24 +431,24 @@
 
 #[test]
 fn per_router_byte_rate_holds_when_all_routers_ask_at_once() {
-    let mut world = World::whole(4, 3, 80, 3);
+    let mut world = World::new_converged(4, 3, 80, 3);
     // A document of 50 KB that does not compress.
     for number in 0..50 {
-        let value: String = (0..1_000).map(|_| char::from(world.chance.generate_range(33..127u8))).collect();
+        let value: String = (0..1_000).map(|_| char::from(world.rng.generate_range(33..127u8))).collect();
         let writer = world.writer().expect("there is a writer");
         assert!(world.publish_at(writer, vec![edit(&format!("group-{number}"), &value)]).is_ok());
         world.run(SECOND);
     }
-    assert!(world.run_until(60 * SECOND, World::agreed).is_some());
+    assert!(world.run_until(60 * SECOND, World::has_converged).is_some());
     for router in world.routers() {
         world.wipe(router);
-        world.places[router].told = Version::NONE;
+        world.nodes[router].reported = Version::NONE;
     }
-    (world.count, world.bytes) = (true, Default::default());
+    (world.count_bytes, world.router_bytes) = (true, Default::default());
     world.heal();
-    let took = world.run_until(30 * SECOND, World::agreed);
+    let took = world.run_until(30 * SECOND, World::has_converged);
     assert!(took.is_some(), "not converged");
-    let most = world.bytes.values().max().copied().unwrap_or(0);
+    let most = world.router_bytes.values().max().copied().unwrap_or(0);
     assert!(most <= u64::from(world.plan.bytes_a_second), "{most} bytes in one second");
 }
 
@@ -460,12 +465,12 @@
 
 #[test]
 fn corrupted_change_is_not_applied_and_a_full_copy_replaces_it() {
-    let mut world = World::whole(4, 3, 6, 1);
+    let mut world = World::new_converged(4, 3, 6, 1);
     world.tamper = Some(corrupt_changes);
     assert!(world.publish("spoilt", "as published"));
     world.run(10 * SECOND);
-    assert!(world.agreed() && world.everywhere("spoilt", "as published"));
-    assert!(world.kinds.contains_key("whole"));
+    assert!(world.has_converged() && world.in_force_everywhere("spoilt", "as published"));
+    assert!(world.messages_by_kind.contains_key("whole"));
 }
 
 /// Corrupts full copies as well.
@@ -478,12 +483,12 @@
 
 #[test]
 fn corrupted_full_copy_is_refused_until_a_later_version_arrives() {
-    let mut world = World::whole(4, 3, 6, 1);
+    let mut world = World::new_converged(4, 3, 6, 1);
     world.tamper = Some(corrupt_changes_and_copies);
-    let good = world.newest;
+    let good = world.newest_released;
     assert!(world.publish("spoilt", "as published"));
     world.run(20 * SECOND);
-    let bad = world.newest;
+    let bad = world.newest_released;
     assert!(
         world.live_routers().all(|(_, router)| router.in_force() == good),
         "the last valid version does not stay in force"
@@ -494,26 +499,29 @@
         });
         assert_eq!(refused.count(), 1, "router {at}");
     }
-    let parts = world.kinds.get("whole").copied().unwrap_or(0);
+    let parts = world.messages_by_kind.get("whole").copied().unwrap_or(0);
     assert!(parts <= 12, "{parts} parts of a corrupted copy were sent");
     let verdict = world.verdicts.iter().find(|(.., verdict)| verdict.version == bad);
     let (_, _, verdict) = verdict.expect("there is a verdict");
     assert_eq!((verdict.everywhere, verdict.refused.len()), (false, 6), "{verdict:?}");
     world.tamper = None;
     assert!(world.publish("limit", "7"));
-    assert!(world.run_until(IN_FORCE_LIMIT, World::agreed).is_some(), "not converged on the later version");
+    assert!(
+        world.run_until(IN_FORCE_LIMIT, World::has_converged).is_some(),
+        "not converged on the later version"
+    );
 }
 
 #[test]
 fn document_refused_by_a_router_leaves_the_previous_one_in_force() {
-    let mut world = World::whole(4, 3, 6, 1);
-    let good = world.newest;
+    let mut world = World::new_converged(4, 3, 6, 1);
+    let good = world.newest_released;
     let refusing = world.routers().start;
     assert!(world.publish("poison", "r0000"));
     world.run(15 * SECOND);
-    let verdict = world.verdicts.iter().find(|(.., verdict)| verdict.version == world.newest);
+    let verdict = world.verdicts.iter().find(|(.., verdict)| verdict.version == world.newest_released);
     let (_, _, verdict) = verdict.expect("there is a verdict");
-    assert_eq!(verdict.refused, vec![(world.places[refusing].name.clone(), "poison".to_string())]);
+    assert_eq!(verdict.refused, vec![(world.nodes[refusing].name.clone(), "poison".to_string())]);
     assert_eq!((verdict.at, verdict.everywhere), (5, false));
     assert_eq!(world.router(refusing).expect("the node runs").in_force(), good);
     let writer = world.writer().expect("there is a writer");
@@ -524,12 +532,15 @@
     );
     let repair = vetchkeel_configuration::Edit { name: "poison".into(), value: None };
     assert!(world.publish_at(writer, vec![repair]).is_ok());
-    assert!(world.run_until(IN_FORCE_LIMIT, World::agreed).is_some(), "not converged on the later version");
+    assert!(
+        world.run_until(IN_FORCE_LIMIT, World::has_converged).is_some(),
+        "not converged on the later version"
+    );
 }
 
 #[test]
 fn isolated_router_keeps_serving_and_reports_since_when_it_is_isolated() {
-    let mut world = World::whole(4, 3, 4, 1);
+    let mut world = World::new_converged(4, 3, 4, 1);
     let router = world.routers().start;
     let held = world.router(router).expect("the node runs").in_force();
     for machine in 0..4 {
@@ -547,21 +558,21 @@
         let since = subscriber.no_contact_since().expect("the router reports its silence");
         assert!((cut - 2 * SECOND..=cut + SECOND).contains(&since), "since {since}, cut at {cut}");
     }
-    let verdict = world.verdicts.iter().find(|(.., verdict)| verdict.version == world.newest);
+    let verdict = world.verdicts.iter().find(|(.., verdict)| verdict.version == world.newest_released);
     let (_, _, verdict) = verdict.expect("there is a verdict");
     assert!(!verdict.everywhere, "{verdict:?}");
     world.cut_links.clear();
-    assert!(world.run_until(30 * SECOND, World::agreed).is_some());
+    assert!(world.run_until(30 * SECOND, World::has_converged).is_some());
     assert_eq!(world.router(router).expect("the node runs").no_contact_since(), None);
 }
 
 #[test]
 fn router_that_lost_its_disk_does_not_serve_below_its_last_report() {
     for seed in 0..20 {
-        let mut world = World::whole(9, 5, 12, seed);
+        let mut world = World::new_converged(9, 5, 12, seed);
         for at in world.routers() {
-            world.places[at].persists = false;
-            world.places[at].file = None;
+            world.nodes[at].persists = false;
+            world.nodes[at].saved = None;
         }
         // No message of another machine reaches this one for a while: it still sends beats, but knows only the old
         // version.
@@ -583,9 +594,9 @@
 
 #[test]
 fn without_machines_only_a_router_with_a_saved_document_serves() {
-    let mut world = World::whole(4, 3, 4, 1);
+    let mut world = World::new_converged(4, 3, 4, 1);
     let (kept, lost) = (world.routers().start, world.routers().start + 1);
-    let held = world.newest;
+    let held = world.newest_released;
     for machine in 0..4 {
         world.kill(machine);
     }
@@ -614,33 +625,33 @@
 
 #[test]
 fn restored_older_file_is_not_served() {
-    let mut world = World::whole(4, 3, 4, 1);
+    let mut world = World::new_converged(4, 3, 4, 1);
     let router = world.routers().start;
-    let old = world.places[router].file.clone();
+    let old = world.nodes[router].saved.clone();
     assert!(world.publish("limit", "7"));
     world.run(5 * SECOND);
     world.kill(router);
-    world.places[router].file = old;
-    world.places[router].in_force = Version::NONE;
+    world.nodes[router].saved = old;
+    world.nodes[router].in_force = Version::NONE;
     world.start(router);
     world.run(10 * SECOND);
-    assert!(world.agreed());
+    assert!(world.has_converged());
 }
 
 #[test]
 fn verdict_lists_a_silent_router_but_not_the_routers_of_a_dead_machine() {
-    let mut world = World::whole(6, 3, 12, 1);
+    let mut world = World::new_converged(6, 3, 12, 1);
     let router = world.routers().start;
-    world.stop(router, 3_600 * SECOND);
+    world.pause(router, 3_600 * SECOND);
     world.kill(5);
     world.run(20 * SECOND);
     assert!(world.publish("limit", "7"));
     world.run(15 * SECOND);
-    let verdict = world.verdicts.iter().find(|(.., verdict)| verdict.version == world.newest);
+    let verdict = world.verdicts.iter().find(|(.., verdict)| verdict.version == world.newest_released);
     let (at, _, verdict) = verdict.expect("there is a verdict");
-    assert_eq!(verdict.silent, vec![world.places[router].name.clone()], "{verdict:?}");
+    assert_eq!(verdict.silent, vec![world.nodes[router].name.clone()], "{verdict:?}");
     assert_eq!((verdict.at, verdict.behind.len(), verdict.everywhere), (11, 0, false));
-    let released = world.events.iter().find(|(.., event)| *event == Event::Released(world.newest));
+    let released = world.events.iter().find(|(.., event)| *event == Event::Released(world.newest_released));
     let (released, ..) = released.expect("the version is released");
     assert!(
         at - released <= IN_FORCE_LIMIT,
@@ -651,12 +662,12 @@
 
 #[test]
 fn router_not_heard_for_an_hour_leaves_the_ledger() {
-    let mut world = World::whole(4, 3, 4, 1);
+    let mut world = World::new_converged(4, 3, 4, 1);
     world.kill(world.routers().start);
     world.run(3 * 3_600 * SECOND);
     assert!(world.publish("limit", "7"));
     world.run(15 * SECOND);
-    let verdict = world.verdicts.iter().find(|(.., verdict)| verdict.version == world.newest);
+    let verdict = world.verdicts.iter().find(|(.., verdict)| verdict.version == world.newest_released);
     let (_, _, verdict) = verdict.expect("there is a verdict");
     assert_eq!((verdict.at, verdict.everywhere), (3, true), "{verdict:?}");
 }
@@ -666,7 +677,7 @@
     let mut world = World::new(4, 3, 36, 1);
     world.plan.places = 10;
     world.start_all();
-    assert!(world.run_until(60 * SECOND, World::agreed).is_some());
+    assert!(world.run_until(60 * SECOND, World::has_converged).is_some());
     let served: Vec<usize> = (0..4).map(|at| world.machine(at).expect("the node runs").served()).collect();
     assert!(served.iter().all(|count| *count <= 10) && served.iter().sum::<usize>() == 36, "{served:?}");
     assert!(world.events.iter().any(|(.., event)| matches!(event, Event::RouterLimit(_))));
@@ -674,7 +685,7 @@
 
 #[test]
 fn routers_return_to_their_preferred_machine() {
-    let mut world = World::whole(5, 3, 50, 1);
+    let mut world = World::new_converged(5, 3, 50, 1);
     // After the first start routers move until they find a machine that hears a writer, so the fleet settles first.
     world.run(30 * 60 * SECOND);
     let before: Vec<usize> = (0..5).map(|at| world.machine(at).expect("the node runs").served()).collect();
--- a/crates/configuration/tests/world/mod.rs
+++ b/crates/configuration/tests/world/mod.rs
@@ -37,13 +37,13 @@
     /// The disk of a machine.
     pub kept: Option<PersistedState>,
     /// The disk of a router: the last saved version and document.
-    pub file: Option<(Version, Document)>,
+    pub saved: Option<(Version, Document)>,
     /// Whether this router saves its document to disk.
     pub persists: bool,
     /// The highest version that was in force here.
     pub in_force: Version,
     /// The highest version in force that this router has reported to a running machine.
-    pub told: Version,
+    pub reported: Version,
     /// Whether the router has served since its last start.
     has_served: bool,
 }
@@ -60,12 +60,12 @@
     pub plan: Plan,
     pub machines: usize,
     pub keepers: usize,
-    pub places: Vec<NodeState>,
+    pub nodes: Vec<NodeState>,
     names: BTreeMap<Name, Node>,
     in_flight: BTreeMap<(Tenths, u64), InFlight>,
     wake_times: BTreeSet<(Tenths, Node)>,
     sent_count: u64,
-    pub chance: WyRand,
+    pub rng: WyRand,
     /// Percentage of messages lost.
     pub loss_percent: u32,
     /// Percentage of messages duplicated.
@@ -79,13 +79,13 @@
     /// Modifies messages sent to routers.
     pub tamper: Option<fn(&mut Message)>,
     /// Whether bytes are counted.
-    pub count: bool,
+    pub count_bytes: bool,
     /// Bytes to and from routers, by router and second.
-    pub bytes: BTreeMap<(Node, Tenths), u64>,
+    pub router_bytes: BTreeMap<(Node, Tenths), u64>,
     /// Bytes between machines.
-    pub between: u64,
+    pub machine_bytes: u64,
     /// Number of messages sent, by kind.
-    pub kinds: BTreeMap<&'static str, u64>,
+    pub messages_by_kind: BTreeMap<&'static str, u64>,
     pub events: Vec<(Tenths, Node, Event)>,
     pub notices: Vec<(Tenths, Node, Notice)>,
     pub verdicts: Vec<(Tenths, Node, Verdict)>,
@@ -94,7 +94,7 @@
     /// The digest of the document of each version that any node has held, released or applied.
     digests: BTreeMap<Version, u64>,
     /// The newest version released anywhere.
-    pub newest: Version,
+    pub newest_released: Version,
     /// Whether the invariants are checked.
     pub check: bool,
 }
@@ -143,62 +143,62 @@
             started: 0,
             wake: None,
             kept: None,
-            file: None,
+            saved: None,
             persists: true,
             in_force: Version::NONE,
-            told: Version::NONE,
+            reported: Version::NONE,
             has_served: false,
         };
-        let places: Vec<NodeState> = names.map(node).collect();
-        let names = places.iter().enumerate().map(|(at, node)| (node.name.clone(), at)).collect();
+        let nodes: Vec<NodeState> = names.map(node).collect();
+        let names = nodes.iter().enumerate().map(|(at, node)| (node.name.clone(), at)).collect();
         World {
             now: 1_000_000,
             plan: Plan::default(),
             machines,
             keepers,
-            places,
+            nodes,
             names,
             in_flight: BTreeMap::new(),
             wake_times: BTreeSet::new(),
             sent_count: 0,
-            chance: WyRand::new_seed(seed),
+            rng: WyRand::new_seed(seed),
             loss_percent: 0,
             duplicate_percent: 0,
             cut_links: BTreeSet::new(),
             group_of: None,
             refuses_connections: true,
             tamper: None,
-            count: false,
-            bytes: BTreeMap::new(),
-            between: 0,
-            kinds: BTreeMap::new(),
+            count_bytes: false,
+            router_bytes: BTreeMap::new(),
+            machine_bytes: 0,
+            messages_by_kind: BTreeMap::new(),
             events: Vec::new(),
             notices: Vec::new(),
             verdicts: Vec::new(),
             applied: BTreeMap::new(),
             digests: BTreeMap::new(),
-            newest: Version::NONE,
+            newest_released: Version::NONE,
             check: true,
         }
     }
 
     /// A world in which all processes run, there is a writer, and all nodes have converged on one version.
-    pub fn whole(machines: usize, keepers: usize, routers: usize, seed: u64) -> World {
+    pub fn new_converged(machines: usize, keepers: usize, routers: usize, seed: u64) -> World {
         let mut world = World::new(machines, keepers, routers, seed);
         world.start_all();
-        let took = world.run_until(60 * SECOND, World::agreed);
+        let took = world.run_until(60 * SECOND, World::has_converged);
         assert!(took.is_some(), "seed {seed}: not converged on one version after the start");
         world
     }
 
     pub fn start_all(&mut self) {
-        for at in 0..self.places.len() {
+        for at in 0..self.nodes.len() {
             self.start(at);
         }
     }
 
     pub fn routers(&self) -> std::ops::Range<Node> {
-        self.machines..self.places.len()
+        self.machines..self.nodes.len()
     }
 
     pub fn is_router(&self, at: Node) -> bool {
@@ -206,20 +206,20 @@
     }
 
     fn machine_names(&self) -> Vec<Name> {
-        self.places[..self.machines].iter().map(|node| node.name.clone()).collect()
+        self.nodes[..self.machines].iter().map(|node| node.name.clone()).collect()
     }
 
     pub fn start(&mut self, at: Node) {
-        let seed = self.chance.generate::<u64>();
+        let seed = self.rng.generate::<u64>();
         let (now, plan, machines) = (self.now, self.plan, self.machine_names());
         let keepers = machines[..self.keepers].to_vec();
         let router = self.is_router(at);
-        let node = &mut self.places[at];
+        let node = &mut self.nodes[at];
         node.started = now;
         node.has_served = false;
         let me = node.name.clone();
         let process = if router {
-            let kept = node.file.clone();
+            let kept = node.saved.clone();
             let start = now as u64;
             let subscriber = Subscriber::new(plan, me, start, kept, machines, now, seed);
             Process::Router(Box::new(subscriber.expect("a valid plan")))
@@ -234,33 +234,33 @@
 
     /// Ends the process; its disk keeps its content.
     pub fn kill(&mut self, at: Node) {
-        self.places[at].process = None;
+        self.nodes[at].process = None;
         self.set_wake(at, None);
     }
 
     /// Ends the process and erases its disk.
     pub fn wipe(&mut self, at: Node) {
         self.kill(at);
-        self.places[at].kept = None;
-        self.places[at].file = None;
+        self.nodes[at].kept = None;
+        self.nodes[at].saved = None;
     }
 
     /// Pauses the process for the given time.
-    pub fn stop(&mut self, at: Node, length: Tenths) {
+    pub fn pause(&mut self, at: Node, length: Tenths) {
         let until = self.now + length;
-        self.places[at].paused_until = until;
+        self.nodes[at].paused_until = until;
         self.set_wake(at, Some(until));
     }
 
     pub fn machine(&self, at: Node) -> Option<&Machine> {
-        match &self.places[at].process {
+        match &self.nodes[at].process {
             Some(Process::Machine(machine)) => Some(machine),
             _ => None,
         }
     }
 
     pub fn router(&self, at: Node) -> Option<&Subscriber> {
-        match &self.places[at].process {
+        match &self.nodes[at].process {
             Some(Process::Router(router)) => Some(router),
             _ => None,
         }
@@ -283,7 +283,7 @@
         edits: Vec<Edit>,
     ) -> Result<(), vetchkeel_configuration::PublishError> {
         let now = self.now;
-        let Some(Process::Machine(machine)) = &mut self.places[at].process else {
+        let Some(Process::Machine(machine)) = &mut self.nodes[at].process else {
             return Err(vetchkeel_configuration::PublishError::NotWriter(None));
         };
         let done = machine.publish(now, edits);
@@ -293,7 +293,7 @@
 
     /// Publishes at the writer. Returns false if there is none, or if it is paused or refuses.
     pub fn publish(&mut self, name: &str, value: &str) -> bool {
-        let Some(writer) = self.writer().filter(|at| self.places[*at].paused_until <= self.now) else {
+        let Some(writer) = self.writer().filter(|at| self.nodes[*at].paused_until <= self.now) else {
             return false;
         };
         self.publish_at(writer, vec![edit(name, value)]).is_ok()
@@ -335,7 +335,7 @@
     fn deliver(&mut self) {
         let Some(((_, number), sent)) = self.in_flight.pop_first() else { return };
         let InFlight { from, to, bytes } = sent;
-        let node = &mut self.places[to];
+        let node = &mut self.nodes[to];
         if node.process.is_some() && self.now < node.paused_until {
             // Messages to a paused process wait in its socket buffer, which is limited.
             let until = node.paused_until;
@@ -344,15 +344,15 @@
             }
             return;
         }
-        let (now, name) = (self.now, self.places[from].name.clone());
+        let (now, name) = (self.now, self.nodes[from].name.clone());
         let message = wire::decode(&bytes).expect("a sent message can be decoded");
         if let Message::Status { in_force, .. } = &message
-            && is_running(&self.places[to])
+            && is_running(&self.nodes[to])
         {
-            self.places[from].told = self.places[from].told.max(*in_force);
+            self.nodes[from].reported = self.nodes[from].reported.max(*in_force);
         }
         let refused = self.refuses_connections && !self.is_cut(to, from);
-        match &mut self.places[to].process {
+        match &mut self.nodes[to].process {
             Some(Process::Machine(machine)) => machine.handle_message(now, &name, message),
             Some(Process::Router(router)) => router.handle_message(now, &name, message),
             None if refused => return self.notify_refused(from, to),
@@ -363,11 +363,11 @@
 
     /// Notifies node `to` that its connection to the dead node `dead` is refused.
     fn notify_refused(&mut self, to: Node, dead: Node) {
-        let (now, name) = (self.now, self.places[dead].name.clone());
-        if now < self.places[to].paused_until {
+        let (now, name) = (self.now, self.nodes[dead].name.clone());
+        if now < self.nodes[to].paused_until {
             return;
         }
-        match &mut self.places[to].process {
+        match &mut self.nodes[to].process {
             Some(Process::Machine(machine)) => machine.connection_lost(now, &name),
             Some(Process::Router(router)) => router.connection_lost(now, &name),
             None => return,
@@ -376,10 +376,10 @@
     }
 
     fn run_node(&mut self, at: Node) {
-        if self.now < self.places[at].paused_until {
-            return self.set_wake(at, Some(self.places[at].paused_until));
+        if self.now < self.nodes[at].paused_until {
+            return self.set_wake(at, Some(self.nodes[at].paused_until));
         }
-        let Some(mut process) = self.places[at].process.take() else { return self.set_wake(at, None) };
+        let Some(mut process) = self.nodes[at].process.take() else { return self.set_wake(at, None) };
         let wake = match &mut process {
             Process::Machine(machine) => {
                 while let Some(order) = machine.next_decision(self.now) {
@@ -399,7 +399,7 @@
             wake.is_none_or(|wake| wake > self.now),
             "node {at} wants to wake at {wake:?}, which is not in the future"
         );
-        self.places[at].process = Some(process);
+        self.nodes[at].process = Some(process);
         self.set_wake(at, wake);
     }
 
@@ -407,7 +407,7 @@
         match order {
             Action::Persist(record) => {
                 let plan = self.plan;
-                self.places[at].kept.get_or_insert_default().apply(&record, &plan);
+                self.nodes[at].kept.get_or_insert_default().apply(&record, &plan);
             }
             Action::Send { to, message } => {
                 if let Message::Accept { tail, .. } = &message {
@@ -426,7 +426,7 @@
                 {
                     self.check_digest(version, machine.document().digest());
                     self.check_durability(version);
-                    self.newest = self.newest.max(version);
+                    self.newest_released = self.newest_released.max(version);
                 }
                 self.events.push((self.now, at, event));
             }
@@ -441,11 +441,11 @@
             }
             Decision::Apply { version, document } => {
                 self.check_digest(version, document.digest());
-                let me = self.places[at].name.clone();
+                let me = self.nodes[at].name.clone();
                 if document.get("poison").is_some_and(|of| of == "all" || of == me.as_str()) {
                     return router.refused(self.now, version, "poison".into());
                 }
-                let node = &mut self.places[at];
+                let node = &mut self.nodes[at];
                 if self.check {
                     assert!(
                         version >= node.in_force || !node.persists,
@@ -455,7 +455,7 @@
                 }
                 node.in_force = version;
                 if node.persists {
-                    node.file = Some((version, document));
+                    node.saved = Some((version, document));
                 }
                 self.applied.entry((version, at)).or_insert(self.now);
                 router.applied(self.now, version);
@@ -465,13 +465,13 @@
     }
 
     fn set_wake(&mut self, at: Node, until: Option<Tenths>) {
-        if let Some(old) = self.places[at].wake.take() {
+        if let Some(old) = self.nodes[at].wake.take() {
             self.wake_times.remove(&(old, at));
         }
         if let Some(until) = until {
             self.wake_times.insert((until, at));
         }
-        self.places[at].wake = until;
+        self.nodes[at].wake = until;
     }
 
     pub fn is_cut(&self, from: Node, to: Node) -> bool {
@@ -485,20 +485,20 @@
             tamper(&mut message);
         }
         let bytes = wire::encode(&message).expect("the message is within the size limit");
-        *self.kinds.entry(message_kind(&message)).or_default() += 1;
-        if self.count {
+        *self.messages_by_kind.entry(message_kind(&message)).or_default() += 1;
+        if self.count_bytes {
             let router = from.max(to);
             if self.is_router(router) {
                 let second = self.now / SECOND;
-                *self.bytes.entry((router, second)).or_default() += (bytes.len() + FRAME) as u64;
+                *self.router_bytes.entry((router, second)).or_default() += (bytes.len() + FRAME) as u64;
             } else {
-                self.between += (bytes.len() + FRAME) as u64;
+                self.machine_bytes += (bytes.len() + FRAME) as u64;
             }
         }
         if self.is_cut(from, to) {
             return;
         }
-        let copies = match self.chance.generate_range(0..100u32) {
+        let copies = match self.rng.generate_range(0..100u32) {
             roll if roll < self.loss_percent => 0,
             roll if roll >= 100 - self.duplicate_percent => 2,
             _ => 1,
@@ -506,7 +506,7 @@
         for _ in 0..copies {
             // The delay is 0.5 to 2 ms within a region and 10 to 40 ms between two, so messages may be reordered.
             let base = if from % REGIONS == to % REGIONS { 5 } else { 100 };
-            let delay = base + self.chance.generate_range(0..3 * base as u64) as Tenths;
+            let delay = base + self.rng.generate_range(0..3 * base as u64) as Tenths;
             self.sent_count += 1;
             self.in_flight
                 .insert((self.now + delay, self.sent_count), InFlight { from, to, bytes: bytes.clone() });
@@ -522,11 +522,11 @@
     /// Checks that a released version is on the disks of a majority of keepers.
     fn check_durability(&self, version: Version) {
         // Checked at the first release only: a disk may be lost later.
-        if !self.check || version <= self.newest {
+        if !self.check || version <= self.newest_released {
             return;
         }
         let holds = |node: &&NodeState| node.kept.as_ref().is_some_and(|kept| kept.holds(version));
-        let holders = self.places[..self.keepers].iter().filter(holds).count();
+        let holders = self.nodes[..self.keepers].iter().filter(holds).count();
         assert!(
             holders > self.keepers / 2,
             "version {version} is released, but only on {holders} disks of keepers"
@@ -535,13 +535,17 @@
 
     /// Checks that a restarted router does not serve a version older than one that it reported before the restart.
     fn check_serving(&mut self, at: Node, router: &Subscriber) {
-        let node = &mut self.places[at];
+        let node = &mut self.nodes[at];
         if !self.check || node.has_served || !router.may_serve(self.now) {
             return;
         }
         node.has_served = true;
-        let (version, told) = (router.in_force(), node.told);
-        assert!(version >= told, "{} serves version {version} but has reported {told} before", node.name);
+        let (version, reported) = (router.in_force(), node.reported);
+        assert!(
+            version >= reported,
+            "{} serves version {version} but has reported {reported} before",
+            node.name
+        );
     }
 
     /// Checks that a verdict of `everywhere` is true, and that any other verdict names each router below the version.
@@ -551,9 +555,9 @@
             return;
         }
         for at in self.routers() {
-            let node = &self.places[at];
+            let node = &self.nodes[at];
             let old = node.process.is_some() && self.now - node.started > 30 * SECOND;
-            if !old || node.told == Version::NONE || node.in_force >= verdict.version {
+            if !old || node.reported == Version::NONE || node.in_force >= verdict.version {
                 continue;
             }
             let named = verdict.behind.contains(&node.name)
@@ -573,8 +577,8 @@
     }
 
     /// Whether there is a writer and all running machines and routers are at the newest released version.
-    pub fn agreed(&self) -> bool {
-        let newest = self.newest;
+    pub fn has_converged(&self) -> bool {
+        let newest = self.newest_released;
         newest > Version::NONE
             && self.writer().is_some()
             && (0..self.machines).filter_map(|at| self.machine(at)).all(|machine| machine.version() == newest)
@@ -584,8 +588,8 @@
     }
 
     /// Whether this value is in force at all routers that run and are not paused.
-    pub fn everywhere(&self, name: &str, value: &str) -> bool {
-        let running = |at: &Node| self.places[*at].paused_until <= self.now;
+    pub fn in_force_everywhere(&self, name: &str, value: &str) -> bool {
+        let running = |at: &Node| self.nodes[*at].paused_until <= self.now;
         let mut documents = BTreeMap::new();
         for machine in (0..self.machines).filter_map(|at| self.machine(at)) {
             documents.insert(machine.version(), machine.document());
@@ -596,7 +600,7 @@
     }
 
     /// Partitions the network into groups: no message passes between nodes of different groups.
-    pub fn part(&mut self, group_of: fn(Node) -> usize) {
+    pub fn partition(&mut self, group_of: fn(Node) -> usize) {
         self.group_of = Some(group_of);
     }
 
@@ -606,12 +610,12 @@
         self.group_of = None;
         self.loss_percent = 0;
         self.duplicate_percent = 0;
-        for at in 0..self.places.len() {
-            if self.now < self.places[at].paused_until {
-                self.places[at].paused_until = self.now;
+        for at in 0..self.nodes.len() {
+            if self.now < self.nodes[at].paused_until {
+                self.nodes[at].paused_until = self.now;
                 self.set_wake(at, Some(self.now));
             }
-            if self.places[at].process.is_none() {
+            if self.nodes[at].process.is_none() {
                 self.start(at);
             }
         }
