--- a/crates/configuration/tests/fleet.rs
+++ b/crates/configuration/tests/fleet.rs
@@ -402,7 +402,7 @@
 }
 
 #[test]
-fn router_older_than_the_log_receives_a_full_copy_in_parts() {
+fn router_older_than_the_log_receives_a_snapshot_in_parts() {
     let mut world = World::new(4, 3, 4, 1);
     world.plan.log_changes = 5;
     world.start_all();
@@ -464,7 +464,7 @@
 }
 
 #[test]
-fn corrupted_change_is_not_applied_and_a_full_copy_replaces_it() {
+fn corrupted_change_is_not_applied_and_a_snapshot_replaces_it() {
     let mut world = World::new_converged(4, 3, 6, 1);
     world.tamper = Some(corrupt_changes);
     assert!(world.publish("spoilt", "as published"));
@@ -473,8 +473,8 @@
     assert!(world.messages_by_kind.contains_key("whole"));
 }
 
-/// Corrupts full copies as well.
-fn corrupt_changes_and_copies(message: &mut Message) {
+/// Corrupts snapshots as well.
+fn corrupt_changes_and_snapshots(message: &mut Message) {
     corrupt_changes(message);
     if let Message::SnapshotPart { bytes, .. } = message {
         bytes.iter_mut().for_each(|byte| *byte ^= 1);
@@ -482,9 +482,9 @@
 }
 
 #[test]
-fn corrupted_full_copy_is_refused_until_a_later_version_arrives() {
+fn corrupted_snapshot_is_refused_until_a_later_version_arrives() {
     let mut world = World::new_converged(4, 3, 6, 1);
-    world.tamper = Some(corrupt_changes_and_copies);
+    world.tamper = Some(corrupt_changes_and_snapshots);
     let good = world.newest_released;
     assert!(world.publish("spoilt", "as published"));
     world.run(20 * SECOND);
@@ -500,7 +500,7 @@
         assert_eq!(refused.count(), 1, "router {at}");
     }
     let parts = world.messages_by_kind.get("whole").copied().unwrap_or(0);
-    assert!(parts <= 12, "{parts} parts of a corrupted copy were sent");
+    assert!(parts <= 12, "{parts} parts of a corrupted snapshot were sent");
     let verdict = world.verdicts.iter().find(|(.., verdict)| verdict.version == bad);
     let (_, _, verdict) = verdict.expect("there is a verdict");
     assert_eq!((verdict.everywhere, verdict.refused.len()), (false, 6), "{verdict:?}");
--- a/crates/configuration/tests/one.rs
+++ b/crates/configuration/tests/one.rs
@@ -30,8 +30,8 @@
     Change { version: version(1, 1), base: Version::NONE, published: 0, edits, digest: document.digest() }
 }
 
-/// The kept state of a settled keeper (its vote counts) that has promised epoch 1.
-fn settled() -> PersistedState {
+/// The persisted state of a voting keeper that has promised epoch 1.
+fn voting_state() -> PersistedState {
     let mut kept = PersistedState::default();
     kept.apply(&Record::Promised(1), &Plan::default());
     kept.apply(&Record::Voting, &Plan::default());
@@ -47,7 +47,7 @@
     std::iter::from_fn(|| machine.next_decision(now)).collect()
 }
 
-/// Asks the keeper to promise an epoch. Returns whether it is granted and the records kept before the reply is sent.
+/// Asks the keeper to promise an epoch. Returns whether it is granted and the records persisted before the reply.
 fn request_promise(
     machine: &mut Machine,
     from: &str,
@@ -69,11 +69,11 @@
 
 #[test]
 fn promise_is_persisted_before_the_reply_and_survives_a_restart() {
-    let mut machine = keeper(Some(settled()));
+    let mut machine = keeper(Some(voting_state()));
     let (granted, records) = request_promise(&mut machine, "m1", 2, Version::NONE, false);
     assert!(granted);
     assert!(records.contains(&Record::Promised(2)), "{records:?}");
-    let mut kept = settled();
+    let mut kept = voting_state();
     records.iter().for_each(|record| kept.apply(record, &Plan::default()));
     let mut restarted = keeper(Some(kept));
     assert!(
@@ -85,7 +85,7 @@
 
 #[test]
 fn keeper_rejects_a_candidate_that_holds_an_older_version() {
-    let mut kept = settled();
+    let mut kept = voting_state();
     kept.apply(&Record::Unreleased(vec![first_change("7")]), &Plan::default());
     let mut machine = keeper(Some(kept));
     assert!(!request_promise(&mut machine, "m1", 2, Version::NONE, false).0);
@@ -131,13 +131,13 @@
 
 #[test]
 fn promises_of_keepers_without_state_do_not_count() {
-    let mut machine = keeper(Some(settled()));
+    let mut machine = keeper(Some(voting_state()));
     assert_eq!(elect(&mut machine, true).1, None);
 }
 
 #[test]
 fn changes_of_an_earlier_epoch_are_released_only_with_one_of_the_current_epoch() {
-    let mut kept = settled();
+    let mut kept = voting_state();
     kept.apply(&Record::Unreleased(vec![first_change("7")]), &Plan::default());
     let mut machine = keeper(Some(kept));
     let (now, epoch) = elect(&mut machine, false);
@@ -159,7 +159,7 @@
 
 #[test]
 fn keepers_without_state_do_not_count_towards_a_release() {
-    let mut machine = keeper(Some(settled()));
+    let mut machine = keeper(Some(voting_state()));
     let (now, epoch) = elect(&mut machine, false);
     let epoch = epoch.expect("the machine writes");
     let mut accepted = |round: u64, nonvoting: bool| {
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn older_full_copy_does_not_roll_a_router_back() {
+fn older_snapshot_does_not_roll_a_router_back() {
     let (_, newer) = document_with_limit("8");
     let (_, older) = document_with_limit("7");
     let (mut router, machine, turn) = router_with_request(Some((version(2, 5), newer)));
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn router_without_state_asks_as_lost_until_it_learns_its_floor() {
+fn router_without_state_subscribes_as_lost_until_it_learns_its_floor() {
     let (mut router, machine, turn) = router_with_request(None);
     router.handle_message(30_000, &machine, Message::Changes { turn, changes: vec![first_change("7")] });
     assert_eq!(versions_to_apply(&mut router, 30_000), vec![version(1, 1)]);
@@ -319,7 +319,7 @@
 
 #[test]
 fn late_report_of_a_former_machine_does_not_make_the_router_silent() {
-    let mut machine = keeper(Some(settled()));
+    let mut machine = keeper(Some(voting_state()));
     report(&mut machine, "m1", 2, true);
     report(&mut machine, "m2", 1, false);
     assert!(machine.ledger().get(&name("r1")).is_some_and(|entry| entry.connected));
@@ -327,8 +327,8 @@
 
 #[test]
 fn keeper_remembers_router_names_over_a_restart() {
-    let mut machine = keeper(Some(settled()));
-    let mut kept = settled();
+    let mut machine = keeper(Some(voting_state()));
+    let mut kept = voting_state();
     for order in report(&mut machine, "m1", 1, true) {
         if let Action::Persist(record) = order {
             kept.apply(&record, &Plan::default());
@@ -340,7 +340,7 @@
 
 #[test]
 fn keeper_reports_routers_of_other_machines_to_a_new_writer() {
-    let mut machine = keeper(Some(settled()));
+    let mut machine = keeper(Some(voting_state()));
     report(&mut machine, "m2", 1, true);
     let (released, tail) = (Version::NONE, Vec::new());
     let message =
--- a/crates/configuration/tests/values.rs
+++ b/crates/configuration/tests/values.rs
@@ -1,4 +1,4 @@
-//! Size limits, round trips and rejection of invalid input: documents, changes, the log, the kept state and messages.
+//! Size limits, round trips and rejection of invalid input: documents, changes, the log, persisted state and messages.
 
 use std::collections::BTreeMap;
 
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn full_copy_round_trips() {
+fn snapshot_round_trips() {
     let document = document(&[("a", "1"), ("b", &"x".repeat(10_000))]);
     let bytes = whole::pack(version(7), 5, &document);
     assert!(bytes.len() < 200, "{} bytes", bytes.len());
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn full_copy_with_a_flipped_bit_is_rejected() {
+fn snapshot_with_a_flipped_bit_is_rejected() {
     let good = document(&[("a", "1"), ("b", "a value that is a little longer")]);
     let bytes = whole::pack(version(7), 5, &good);
     for at in 0..bytes.len() {
@@ -129,7 +129,7 @@
 impl TakeAtMost for std::io::Repeat {}
 
 #[test]
-fn kept_state_round_trips_and_corruption_is_detected() {
+fn persisted_state_round_trips_and_corruption_is_detected() {
     let mut kept = PersistedState::default();
     let plan = Plan::default();
     kept.apply(&Record::Promised(3), &plan);
