--- a/crates/capacity/src/size.rs
+++ b/crates/capacity/src/size.rs
@@ -2,7 +2,7 @@
 //! from a guess.
 
 use std::ops::RangeInclusive;
-use vetchkeel_operator::{OperatorFile, Section, Wrong};
+use vetchkeel_operator::{FileError, OperatorFile, Section};
 
 /// A fleet and what it may spend. Times in seconds, sizes in bytes, rates a second unless their names say otherwise.
 #[derive(Clone, Debug, PartialEq)]
@@ -122,22 +122,22 @@
 const MEGABYTE: f64 = 1e6;
 const ANY: RangeInclusive<f64> = f64::MIN_POSITIVE..=1e12;
 
-fn number(s: &Section<'_>, name: &str, range: RangeInclusive<f64>) -> Result<f64, Wrong> {
-    s.need(name)?.number(range)
+fn number(s: &Section<'_>, name: &str, range: RangeInclusive<f64>) -> Result<f64, FileError> {
+    s.require(name)?.number(range)
 }
 
-fn count(s: &Section<'_>, name: &str) -> Result<f64, Wrong> {
-    Ok(s.need(name)?.whole(1..=1_000_000_000)? as f64)
+fn count(s: &Section<'_>, name: &str) -> Result<f64, FileError> {
+    Ok(s.require(name)?.whole(1..=1_000_000_000)? as f64)
 }
 
-fn seconds(s: &Section<'_>, name: &str) -> Result<f64, Wrong> {
+fn seconds(s: &Section<'_>, name: &str) -> Result<f64, FileError> {
     const DAY: i64 = 86_400_000_000;
-    Ok(s.need(name)?.time(1_000..=DAY)? as f64 / 1e6)
+    Ok(s.require(name)?.time(1_000..=DAY)? as f64 / 1e6)
 }
 
 /// A count of parts that can't be more than the whole.
-fn part(s: &Section<'_>, name: &str, of: &str, whole: f64) -> Result<f64, Wrong> {
-    let value = s.need(name)?;
+fn part(s: &Section<'_>, name: &str, of: &str, whole: f64) -> Result<f64, FileError> {
+    let value = s.require(name)?;
     let found = value.whole(1..=1_000_000_000)? as f64;
     let expected = || format!("at most the {whole} of {of}");
     if found <= whole { Ok(found) } else { Err(value.wrong(expected())) }
@@ -147,15 +147,15 @@
 fn block<T>(
     root: &Section<'_>,
     name: &str,
-    read: impl Fn(&Section<'_>) -> Result<T, Wrong>,
-) -> Result<T, Wrong> {
-    let section = root.need_block(name)?;
+    read: impl Fn(&Section<'_>) -> Result<T, FileError>,
+) -> Result<T, FileError> {
+    let section = root.require_block(name)?;
     let found = read(&section)?;
     section.done()?;
     Ok(found)
 }
 
-fn room(s: &Section<'_>) -> Result<Room, Wrong> {
+fn room(s: &Section<'_>) -> Result<Room, FileError> {
     Ok(Room {
         cores: number(s, "cores", ANY)?,
         memory: number(s, "memory_mb", ANY)? * MEGABYTE,
@@ -163,27 +163,27 @@
     })
 }
 
-fn router(s: &Section<'_>) -> Result<RouterRoom, Wrong> {
+fn router(s: &Section<'_>) -> Result<RouterRoom, FileError> {
     let descriptors = count(s, "descriptors")?;
     Ok(RouterRoom { room: room(s)?, descriptors, connection_idle: seconds(s, "connection_idle")? })
 }
 
-fn control_machines(s: &Section<'_>) -> Result<ControlMachines, Wrong> {
+fn control_machines(s: &Section<'_>) -> Result<ControlMachines, FileError> {
     let all = count(s, "count")?;
     let least = part(s, "least", "control_machines.count", all)?;
     Ok(ControlMachines { count: all, least, room: room(s)?, descriptors: count(s, "descriptors")? })
 }
 
-fn member(s: &Section<'_>) -> Result<MemberRoom, Wrong> {
+fn member(s: &Section<'_>) -> Result<MemberRoom, FileError> {
     let (dials, probes) = (number(s, "dials_a_second", ANY)?, number(s, "probes_a_second", ANY)?);
     Ok(MemberRoom { room: room(s)?, connections: count(s, "connections")?, dials, probes })
 }
 
-fn changes(s: &Section<'_>) -> Result<Changes, Wrong> {
+fn changes(s: &Section<'_>) -> Result<Changes, FileError> {
     Ok(Changes { a_day: number(s, "a_day", ANY)?, within: seconds(s, "within")? })
 }
 
-fn machines(s: &Section<'_>) -> Result<Machines, Wrong> {
+fn machines(s: &Section<'_>) -> Result<Machines, FileError> {
     Ok(Machines {
         failed_a_day: number(s, "failed_a_day", ANY)?,
         restarted_a_day: number(s, "restarted_a_day", ANY)?,
@@ -192,7 +192,7 @@
     })
 }
 
-fn over(s: &Section<'_>) -> Result<Over, Wrong> {
+fn over(s: &Section<'_>) -> Result<Over, FileError> {
     Ok(Over {
         machine: seconds(s, "machine")?,
         rack: seconds(s, "rack")?,
@@ -203,7 +203,7 @@
     })
 }
 
-fn feeds(s: &Section<'_>) -> Result<Feeds, Wrong> {
+fn feeds(s: &Section<'_>) -> Result<Feeds, FileError> {
     let pushes = number(s, "pushes_a_second", ANY)?;
     Ok(Feeds {
         gateways: count(s, "gateways")?,
@@ -214,7 +214,7 @@
     })
 }
 
-fn embargo(s: &Section<'_>) -> Result<Embargo, Wrong> {
+fn embargo(s: &Section<'_>) -> Result<Embargo, FileError> {
     Ok(Embargo {
         edges: count(s, "edges")?,
         bulletins: count(s, "bulletins")?,
@@ -226,7 +226,7 @@
 impl Size {
     /// # Errors
     /// The first value that is missing, out of range or unknown, with file, line, column and what was expected.
-    pub fn read(file: &OperatorFile) -> Result<Size, Wrong> {
+    pub fn read(file: &OperatorFile) -> Result<Size, FileError> {
         let root = file.root();
         let document = |s: &Section<'_>| {
             let (document, change) = (number(s, "document_kb", ANY)?, number(s, "change_bytes", ANY)?);
--- a/crates/capacity/src/slopes.rs
+++ b/crates/capacity/src/slopes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
-use vetchkeel_operator::{Labelled, OperatorFile, Section, Wrong};
+use vetchkeel_operator::{FileError, Labelled, OperatorFile, Section};
 
 /// How a slope was come by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
@@ -53,26 +53,26 @@
 const POSITIVE: RangeInclusive<f64> = f64::MIN_POSITIVE..=f64::MAX;
 const FROM_ZERO: RangeInclusive<f64> = 0.0..=f64::MAX;
 
-fn numbers(s: &Section<'_>, name: &str, range: RangeInclusive<f64>) -> Result<Vec<f64>, Wrong> {
-    s.need(name)?.list()?.iter().map(|v| v.number(range.clone())).collect()
+fn numbers(s: &Section<'_>, name: &str, range: RangeInclusive<f64>) -> Result<Vec<f64>, FileError> {
+    s.require(name)?.list()?.iter().map(|v| v.number(range.clone())).collect()
 }
 
-fn sizes(s: &Section<'_>) -> Result<Vec<f64>, Wrong> {
+fn sizes(s: &Section<'_>) -> Result<Vec<f64>, FileError> {
     let sizes = numbers(s, "sizes", FROM_ZERO)?;
     let grows = sizes.windows(2).all(|pair| pair[0] < pair[1]);
     if sizes.len() < SIZES || !grows {
         return Err(s
-            .need("sizes")?
+            .require("sizes")?
             .wrong(format!("{SIZES} sizes or more, each larger than the one before,")));
     }
     Ok(sizes)
 }
 
-fn slope(s: &Section<'_>) -> Result<Slope, Wrong> {
-    let text = |name: &str| -> Result<String, Wrong> { Ok(s.need(name)?.text()?.to_owned()) };
+fn slope(s: &Section<'_>) -> Result<Slope, FileError> {
+    let text = |name: &str| -> Result<String, FileError> { Ok(s.require(name)?.text()?.to_owned()) };
     let sizes = sizes(s)?;
-    let value = s.need("value")?.number(FINITE)?;
-    let (low, high) = (s.need("low")?, s.need("high")?);
+    let value = s.require("value")?.number(FINITE)?;
+    let (low, high) = (s.require("low")?, s.require("high")?);
     let (least, most) = (low.number(FINITE)?, high.number(FINITE)?);
     // Where all runs agree, the three differ by what rounding leaves.
     let rounding = value.abs() * ROUNDING;
@@ -84,7 +84,7 @@
     }
     let (low, high) = (least.min(value), most.max(value));
     let last = sizes.last().copied().unwrap_or_default();
-    let largest = s.need("largest")?;
+    let largest = s.require("largest")?;
     if largest.number(POSITIVE)? != last {
         return Err(largest.wrong(format!("the last of sizes, {last},")));
     }
@@ -102,25 +102,25 @@
     Ok(Slope {
         unit: text("unit")?,
         per: text("per")?,
-        base: s.need("base")?.number(FINITE)?,
+        base: s.require("base")?.number(FINITE)?,
         value,
         low,
         high,
-        residual: s.need("residual")?.number(FROM_ZERO)?,
+        residual: s.require("residual")?.number(FROM_ZERO)?,
         largest: last,
         sizes,
         means,
-        runs: s.need("runs")?.whole(RUNS..=1_000_000)?,
-        kind: s.need("kind")?.choice(&kinds)?,
+        runs: s.require("runs")?.whole(RUNS..=1_000_000)?,
+        kind: s.require("kind")?.choice(&kinds)?,
         command: text("command")?,
-        cores: s.need("cores")?.whole(1..=100_000)?,
+        cores: s.require("cores")?.whole(1..=100_000)?,
     })
 }
 
 impl Slopes {
     /// # Errors
     /// The first value that is missing, out of range or unknown, with file, line, column and what was expected.
-    pub fn read(file: &OperatorFile) -> Result<Slopes, Wrong> {
+    pub fn read(file: &OperatorFile) -> Result<Slopes, FileError> {
         let root = file.root();
         let mut slopes = BTreeMap::new();
         for Labelled { label, section } in root.blocks("slope")? {
--- a/crates/chaos/src/file.rs
+++ b/crates/chaos/src/file.rs
@@ -3,7 +3,7 @@
 use crate::schedule::{Act, Deed, MOST, Schedule, Window};
 use vetchkeel_link::fault::Fault;
 use vetchkeel_link::{Name, Tenths};
-use vetchkeel_operator::{OperatorFile, Section, Value, Wrong};
+use vetchkeel_operator::{FileError, OperatorFile, Section, Value};
 
 /// The longest time in such a file: a day, in microseconds.
 const DAY: i64 = 24 * 3_600 * 1_000_000;
@@ -16,11 +16,11 @@
 ];
 
 /// The instances' names and what goes wrong between them.
-pub fn read(file: &OperatorFile) -> Result<(Vec<Name>, Schedule), Wrong> {
+pub fn read(file: &OperatorFile) -> Result<(Vec<Name>, Schedule), FileError> {
     let root = file.root();
     let seed = root.whole("seed", 1, 0..=(1 << 53))?;
     let mut names = Vec::new();
-    for value in root.need("names")?.list()? {
+    for value in root.require("names")?.list()? {
         let fits = Name::new(value.text()?).filter(|n| !names.contains(n));
         names.push(fits.ok_or_else(|| value.wrong("a name of 1 to 48 letters, digits, -, _ or ., once"))?);
     }
@@ -30,10 +30,10 @@
     }
     for block in root.blocks("process")? {
         let section = block.section;
-        let value = section.need("name")?;
+        let value = section.require("name")?;
         let name = name(&value, value.text()?, &names)?;
-        let at = tenths(section.need("at")?.time(0..=DAY)?);
-        let act = section.need("act")?.choice(&ACTS)?;
+        let at = tenths(section.require("at")?.time(0..=DAY)?);
+        let act = section.require("act")?.choice(&ACTS)?;
         section.done()?;
         schedule.deeds.push(Deed { at, name, act });
     }
@@ -49,11 +49,11 @@
     micros / 100
 }
 
-fn window(section: &Section<'_>, names: &[Name]) -> Result<Window, Wrong> {
+fn window(section: &Section<'_>, names: &[Name]) -> Result<Window, FileError> {
     let from = section.time("from", 0, 0..=DAY)?;
     let until = section.value("until").map(|v| v.time(from + 100..=DAY)).transpose()?;
     let mut links = Vec::new();
-    for value in section.need("links")?.list()? {
+    for value in section.require("links")?.list()? {
         links.extend(pairs(&value, names)?);
     }
     let fault = Fault {
@@ -73,14 +73,14 @@
     Ok(Window { from: tenths(from), until: until.map(tenths), links, fault })
 }
 
-fn name(value: &Value<'_>, text: &str, names: &[Name]) -> Result<Name, Wrong> {
+fn name(value: &Value<'_>, text: &str, names: &[Name]) -> Result<Name, FileError> {
     names.iter().find(|n| n.as_str() == text).cloned().ok_or_else(|| value.wrong("one of the file's names"))
 }
 
 type Link = (Option<Name>, Option<Name>);
 
 /// `a > b`, `a <> b`; `*` for any.
-fn pairs(value: &Value<'_>, names: &[Name]) -> Result<Vec<Link>, Wrong> {
+fn pairs(value: &Value<'_>, names: &[Name]) -> Result<Vec<Link>, FileError> {
     let end = |text: &str| match text.trim() {
         "*" => Ok(None),
         text => name(value, text, names).map(Some),
--- a/crates/cli/src/plan.rs
+++ b/crates/cli/src/plan.rs
@@ -14,7 +14,7 @@
 use vetchkeel_emulated::{Access, SECOND};
 use vetchkeel_lab::experiment::fleet_of;
 use vetchkeel_lab::setup::Setup;
-use vetchkeel_operator::{OperatorFile, Section, Wrong};
+use vetchkeel_operator::{FileError, OperatorFile, Section};
 use vetchkeel_planner::{Load, Resource, RouterRoom, load};
 
 #[derive(Subcommand)]
@@ -115,11 +115,11 @@
     pub(crate) lag: f64,
 }
 
-pub(crate) fn wrong(w: Wrong) -> Failed {
+pub(crate) fn wrong(w: FileError) -> Failed {
     Failed::Input(w.to_string())
 }
 
-fn room(root: &Section<'_>) -> Result<RouterRoom, Wrong> {
+fn room(root: &Section<'_>) -> Result<RouterRoom, FileError> {
     const MB: f64 = 1024.0 * 1024.0;
     let mut room =
         RouterRoom { cores: 1.0, cost: 150e-6, memory: 192.0 * MB, held: 16_384.0, descriptors: 1_024.0 };
--- a/crates/control/src/plan.rs
+++ b/crates/control/src/plan.rs
@@ -3,20 +3,20 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use vetchkeel_configuration::{Name, Plan, Tenths};
-use vetchkeel_operator::{Section, Value, Wrong};
+use vetchkeel_operator::{FileError, Section, Value};
 
 /// Maximum number of blocks with an address of a machine or router in one file.
 const MAX_NAMED: usize = 1_024;
 const NAME: &str = "a name of 1 to 32 letters, digits, '-', '_' or '.'";
 
 /// Parses the name of a router or control machine.
-pub fn name(value: &Value<'_>) -> Result<Name, Wrong> {
+pub fn name(value: &Value<'_>) -> Result<Name, FileError> {
     Name::new(value.text()?).map_err(|_| value.wrong(NAME))
 }
 
 /// Parses the address at which the others reach this process.
-pub fn address(section: &Section<'_>) -> Result<SocketAddr, Wrong> {
-    let value = section.need("address")?;
+pub fn address(section: &Section<'_>) -> Result<SocketAddr, FileError> {
+    let value = section.require("address")?;
     let parsed: Option<SocketAddr> = value.text()?.parse().ok();
     // The address is sent to others. Guards against an unspecified address such as 0.0.0.0, with which each of them would
     // connect to itself.
@@ -25,7 +25,7 @@
 }
 
 /// Parses blocks such as `machine "c1" { address = "127.0.0.2:7500" }`.
-pub fn machines(section: &Section<'_>, what: &str) -> Result<BTreeMap<Name, SocketAddr>, Wrong> {
+pub fn machines(section: &Section<'_>, what: &str) -> Result<BTreeMap<Name, SocketAddr>, FileError> {
     let mut all = BTreeMap::new();
     for block in section.blocks(what)? {
         let label = block.label.unwrap_or_default();
@@ -40,12 +40,12 @@
 }
 
 /// Reads a time. Operator files have microseconds, a plan has tenths of a millisecond.
-fn time(section: &Section<'_>, name: &str, default: Tenths) -> Result<Tenths, Wrong> {
+fn time(section: &Section<'_>, name: &str, default: Tenths) -> Result<Tenths, FileError> {
     section.time(name, default * 100, 100..=864_000_000_000).map(|micros| micros / 100)
 }
 
 /// Parses the optional block `plan`, which is the same on all routers and control machines.
-pub fn plan(section: &Section<'_>) -> Result<Plan, Wrong> {
+pub fn plan(section: &Section<'_>) -> Result<Plan, FileError> {
     let defaults = Plan::default();
     let Some(section) = section.block("plan")? else { return Ok(defaults) };
     let count = |name: &str, default: usize, most: u64| {
--- a/crates/control/src/program/file.rs
+++ b/crates/control/src/program/file.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use vetchkeel_configuration::{Name, Plan};
-use vetchkeel_operator::{OperatorFile, Wrong};
+use vetchkeel_operator::{FileError, OperatorFile};
 
 /// The checked settings of the operator file.
 #[derive(Debug)]
@@ -24,20 +24,20 @@
     pub plan: Plan,
 }
 
-fn control(file: &OperatorFile) -> Result<Control, Wrong> {
+fn control(file: &OperatorFile) -> Result<Control, FileError> {
     let root = file.root();
-    let section = root.need_block("control")?;
-    let me = name(&section.need("name")?)?;
+    let section = root.require_block("control")?;
+    let me = name(&section.require("name")?)?;
     let mut others = machines(&section, "machine")?;
     others.remove(&me);
-    let listed = section.need("keepers")?;
-    let keepers = listed.list()?.iter().map(name).collect::<Result<Vec<Name>, Wrong>>()?;
+    let listed = section.require("keepers")?;
+    let keepers = listed.list()?.iter().map(name).collect::<Result<Vec<Name>, FileError>>()?;
     if keepers.len() % 2 == 0 || keepers.iter().any(|k| *k != me && !others.contains_key(k)) {
         return Err(
             listed.wrong("an odd number of this machine and those under 'machine', the same at all machines")
         );
     }
-    let path = |name: &str| section.need(name).and_then(|v| v.text().map(PathBuf::from));
+    let path = |name: &str| section.require(name).and_then(|v| v.text().map(PathBuf::from));
     let control = Control {
         address: address(&section)?,
         via: machines(&section, "router")?,
--- a/crates/control/src/program/file/tests.rs
+++ b/crates/control/src/program/file/tests.rs
@@ -12,7 +12,7 @@
   plan { beat = "250ms" }
 }"#;
 
-fn parsed(text: &str) -> Result<Control, Wrong> {
+fn parsed(text: &str) -> Result<Control, FileError> {
     control(&OperatorFile::parse("c.hcl", text)?)
 }
 
--- a/crates/control/src/program/host.rs
+++ b/crates/control/src/program/host.rs
@@ -1,7 +1,7 @@
 //! Runs the configuration state machine on sockets and disk. It makes no decisions of its own.
 
 use super::file::Control;
-use crate::{Came, Carrier, found, keep};
+use crate::{ConfigurationTransport, Incoming, read_if_exists, replace_file};
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use vetchkeel::Router;
@@ -44,7 +44,7 @@
 pub struct Host {
     clock: Clock,
     control: Control,
-    carrier: Carrier,
+    transport: ConfigurationTransport,
     machine: Machine,
     /// When to retry writing the state; set while the accepted state is not on the disk.
     write_retry_at: Option<Tenths>,
@@ -61,7 +61,7 @@
 
 fn read_stored_state(control: &Control) -> Result<Option<PersistedState>, String> {
     let path = control.keep.display();
-    let bytes = found(&control.keep).map_err(|e| format!("expected to read {path}: {e}"))?;
+    let bytes = read_if_exists(&control.keep).map_err(|e| format!("expected to read {path}: {e}"))?;
     let Some(bytes) = bytes else { return Ok(None) };
     let kept = PersistedState::from_bytes(&bytes);
     if kept.is_none() {
@@ -85,24 +85,25 @@
         let machine = Machine::new(control.plan, me.clone(), machines, keepers, kept, check, now, seed);
         let machine = machine.map_err(|bad| bad.to_string())?;
         let configured = control.others.iter().chain(&control.via).map(|(n, a)| (n.clone(), *a)).collect();
-        let carrier = Carrier::bind(&me, (now / 10) as u64, control.address, configured, now, seed)?;
+        let transport =
+            ConfigurationTransport::bind(&me, (now / 10) as u64, control.address, configured, now, seed)?;
         log_always!("control: {me} serves version {} on {}", machine.version(), control.address);
-        Ok(Host { clock, control, carrier, machine, write_retry_at: None })
+        Ok(Host { clock, control, transport, machine, write_retry_at: None })
     }
 
     pub fn waker(&self) -> Waker {
-        self.carrier.waker()
+        self.transport.waker()
     }
 
     /// Runs until it receives the command to end.
     pub fn run(mut self, commands: &Receiver<SignalCommand>) -> Result<(), String> {
         loop {
             let now = self.clock.now();
-            for came in self.carrier.hear(now) {
+            for came in self.transport.receive(now) {
                 match came {
-                    Came::Message(from, message) => self.machine.handle_message(now, &from, message),
-                    Came::Left(from) => self.machine.connection_lost(now, &from),
-                    Came::Unread(why) => log_always!("control: {why}"),
+                    Incoming::Message(from, message) => self.machine.handle_message(now, &from, message),
+                    Incoming::Disconnected(from) => self.machine.connection_lost(now, &from),
+                    Incoming::Rejected(why) => log_always!("control: {why}"),
                 }
             }
             while let Ok(command) = commands.try_recv() {
@@ -115,11 +116,11 @@
             self.decide(now);
             // While the state is not on the disk, decisions wait for the next attempt to write it.
             let decides_at = self.write_retry_at.or(self.machine.wake_at());
-            let due = [decides_at, self.carrier.wake_at()].into_iter().flatten().min();
+            let due = [decides_at, self.transport.wake_at()].into_iter().flatten().min();
             let now = self.clock.now();
             let sleep = due.map_or(MAX_SLEEP, |at| at.saturating_sub(now).clamp(0, MAX_SLEEP));
             let sleep = Duration::from_micros(sleep as u64 * 100);
-            self.carrier.wait(sleep).map_err(|e| format!("cannot wait on its sockets: {e}"))?;
+            self.transport.wait(sleep).map_err(|e| format!("cannot wait on its sockets: {e}"))?;
         }
     }
 
@@ -127,7 +128,7 @@
     /// acknowledgement after a restart: while the disk fails, it sends nothing and its decisions wait.
     fn write_state(&mut self, now: Tenths) -> bool {
         let path = &self.control.keep;
-        let kept = keep(path, &self.machine.persisted().to_bytes());
+        let kept = replace_file(path, &self.machine.persisted().to_bytes());
         if let Err(why) = &kept {
             log_always!(
                 "control: cannot write {}; no messages are sent until it succeeds: {why}",
@@ -146,7 +147,7 @@
             match decision {
                 Decision::Persist(_) if !self.write_state(now) => return,
                 Decision::Persist(_) => {}
-                Decision::Send { to, message } => self.carrier.send(now, &to, &message),
+                Decision::Send { to, message } => self.transport.send(now, &to, &message),
                 Decision::Verdict(verdict) => log_verdict(&verdict),
                 Decision::Notify(event) => log_event(&event),
             }
@@ -180,7 +181,7 @@
     }
 
     fn log_counters(&self, now: Tenths) {
-        let (machine, traffic) = (&self.machine, self.carrier.traffic());
+        let (machine, traffic) = (&self.machine, self.transport.traffic());
         let role = match machine.writer_epoch() {
             Some(epoch) => format!("writes epoch={epoch}"),
             None => format!("follows writer={}", machine.writer(now).map_or("none", |w| w.as_str())),
--- a/crates/control/src/carrier.rs
+++ b/crates/control/src/transport.rs
@@ -9,7 +9,7 @@
     Bounds, Event, Kinds, Name as LinkName, Parts, Sender, Sockets, Transport, Unread, Waker, Way, Why,
 };
 
-/// Kinds of link messages: a configuration message, and the sender's address, which is sent before an `Ask`.
+/// Kinds of link messages: a configuration message, and the sender's address, which is sent before a `Subscribe`.
 const CONFIGURATION: u16 = 2;
 const ADDRESS: u16 = 3;
 const STREAM: Way = Way::Stream(2);
@@ -18,12 +18,12 @@
 
 /// A received event.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Came {
+pub enum Incoming {
     Message(Name, Message),
     /// The stream to the named peer broke.
-    Left(Name),
+    Disconnected(Name),
     /// A received message was rejected; the reason in one line.
-    Unread(String),
+    Rejected(String),
 }
 
 /// Traffic since the start: messages and their bytes, without the overhead of the link and of the system.
@@ -38,7 +38,7 @@
 }
 
 /// Connections to the other machines and routers over the link.
-pub struct Carrier {
+pub struct ConfigurationTransport {
     sockets: Sockets,
     address: SocketAddr,
     /// Addresses configured by the operator.
@@ -52,7 +52,7 @@
     LinkName::new(name.as_str())
 }
 
-impl Carrier {
+impl ConfigurationTransport {
     /// Listens on the address. `start` grows with each start of this name. The error is one line.
     pub fn bind(
         me: &Name,
@@ -61,7 +61,7 @@
         configured: BTreeMap<Name, SocketAddr>,
         now: Tenths,
         seed: u64,
-    ) -> Result<Carrier, String> {
+    ) -> Result<ConfigurationTransport, String> {
         let name = link_name(me).ok_or_else(|| format!("expected a name of the link, found '{me}'"))?;
         let sender = Sender { name, incarnation: start };
         let (message, stream_bytes) = (wire::MAX_MESSAGE_BYTES + 64, 2 * wire::MAX_MESSAGE_BYTES + 4_096);
@@ -70,16 +70,16 @@
         let sockets = Sockets::bind(sender, kinds, bounds, address, Parts::Tcp, seed)
             .map_err(|e| format!("expected to listen on {address}: {e}"))?;
         let (announced, traffic) = (BTreeSet::new(), Traffic::default());
-        let mut carrier = Carrier { sockets, address, configured, announced, traffic };
-        for (other, at) in carrier.configured.clone() {
+        let mut transport = ConfigurationTransport { sockets, address, configured, announced, traffic };
+        for (other, at) in transport.configured.clone() {
             if let Some(other) = link_name(&other) {
-                carrier
+                transport
                     .sockets
                     .meet(now, &other, at)
                     .map_err(|e| format!("cannot register the address of {other}: {e}"))?;
             }
         }
-        Ok(carrier)
+        Ok(transport)
     }
 
     pub fn traffic(&self) -> Traffic {
@@ -94,7 +94,7 @@
         self.sockets.wake_at()
     }
 
-    /// Waits for events. Call it only after [`Carrier::hear`] has returned everything that was received.
+    /// Waits for events. Call it only after [`ConfigurationTransport::receive`] has returned everything that was received.
     pub fn wait(&mut self, longest: Duration) -> io::Result<()> {
         self.sockets.wait(longest)
     }
@@ -122,7 +122,7 @@
 
     /// Receives what waits in the sockets. It is handled before any decision: after a process was stopped, the waiting
     /// messages are older than its expired timers.
-    pub fn hear(&mut self, now: Tenths) -> Vec<Came> {
+    pub fn receive(&mut self, now: Tenths) -> Vec<Incoming> {
         let mut came = Vec::new();
         for _ in 0..MAX_EVENTS {
             match self.sockets.poll(now) {
@@ -134,16 +134,18 @@
                     self.traffic.messages_in += 1;
                     self.traffic.bytes_in += body.len() as u64;
                     came.push(match (Name::new(from.name.as_str()), wire::decode(&body)) {
-                        (Ok(name), Ok(message)) => Came::Message(name, message),
-                        (_, Err(why)) => Came::Unread(format!("message from {} rejected: {why}", from.name)),
-                        (Err(why), _) => Came::Unread(format!("message rejected: {why}")),
+                        (Ok(name), Ok(message)) => Incoming::Message(name, message),
+                        (_, Err(why)) => {
+                            Incoming::Rejected(format!("message from {} rejected: {why}", from.name))
+                        }
+                        (Err(why), _) => Incoming::Rejected(format!("message rejected: {why}")),
                     });
                 }
                 Some(Event::Broken { to, why, .. }) => came.extend(self.handle_broken_stream(now, &to, &why)),
                 Some(Event::Unread { why: Unread::Stale, .. }) => {}
                 Some(Event::Unread { from, why }) => {
                     let from = from.map_or_else(|| "an unknown sender".to_owned(), |name| name.to_string());
-                    came.push(Came::Unread(format!("message from {from} rejected: {why}")));
+                    came.push(Incoming::Rejected(format!("message from {from} rejected: {why}")));
                 }
                 Some(_) => {}
             }
@@ -164,11 +166,11 @@
 
     /// Forgets a peer with a self-announced address until it asks again. Without this, routers that are gone would
     /// accumulate for ever.
-    fn handle_broken_stream(&mut self, now: Tenths, to: &LinkName, why: &Why) -> Option<Came> {
+    fn handle_broken_stream(&mut self, now: Tenths, to: &LinkName, why: &Why) -> Option<Incoming> {
         let name = Name::new(to.as_str()).ok()?;
         if *why != Why::Left && self.announced.remove(&name) {
             self.sockets.forget(now, to);
         }
-        Some(Came::Left(name))
+        Some(Incoming::Disconnected(name))
     }
 }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -7,7 +7,7 @@
 use parts::{command_group, customers, fleet_plan, traffic_plan, trouble};
 use std::path::Path;
 use vetchkeel_emulated::{Micros, Rhythm, SECOND, TrafficPlan};
-use vetchkeel_operator::{OperatorFile, Section, Value, Wrong};
+use vetchkeel_operator::{FileError, OperatorFile, Section, Value};
 
 /// No experiment has more points than this.
 const POINTS_MOST: usize = 1_000;
@@ -38,13 +38,13 @@
 }
 
 impl Experiment {
-    pub fn read(path: &Path) -> Result<Experiment, Wrong> {
+    pub fn read(path: &Path) -> Result<Experiment, FileError> {
         Experiment::of(&OperatorFile::read(path)?)
     }
 
-    pub fn of(file: &OperatorFile) -> Result<Experiment, Wrong> {
+    pub fn of(file: &OperatorFile) -> Result<Experiment, FileError> {
         let root = file.root();
-        let name = root.need("experiment")?;
+        let name = root.require("experiment")?;
         let title = name.text()?;
         let plain = |c: char| c.is_ascii_alphanumeric() || "-_".contains(c);
         if title.is_empty() || !title.chars().all(plain) {
@@ -76,18 +76,18 @@
                 let values = values.iter().map(|(p, v)| (p.clone(), v.shown().trim_matches('"').to_owned()));
                 Ok(Point { values: values.collect(), setup })
             })
-            .collect::<Result<Vec<Point>, Wrong>>()?;
+            .collect::<Result<Vec<Point>, FileError>>()?;
         Ok(Experiment { name: title.to_owned(), about, text: file.text().to_owned(), drives, seeds, points })
     }
 }
 
 /// Every combination of the values that are swept.
-fn sweep<'a>(file: &'a OperatorFile, root: &Section<'a>) -> Result<Vec<Vec<(String, Value<'a>)>>, Wrong> {
+fn sweep<'a>(file: &'a OperatorFile, root: &Section<'a>) -> Result<Vec<Vec<(String, Value<'a>)>>, FileError> {
     let mut points: Vec<Vec<(String, Value)>> = vec![Vec::new()];
     for block in root.blocks("sweep")? {
         let label = || block.section.wrong("a path such as \"traffic.rate\" behind sweep", "none");
         let path = block.label.clone().ok_or_else(label)?;
-        let values = block.section.need("values")?;
+        let values = block.section.require("values")?;
         let list = values.list()?;
         block.section.done()?;
         if list.is_empty() || points.len() * list.len() > POINTS_MOST {
@@ -105,11 +105,11 @@
 }
 
 /// A fleet alone, its traffic as far as the file has it. Blocks of the caller's own must have been asked for.
-pub fn fleet_of(root: &Section<'_>) -> Result<Setup, Wrong> {
+pub fn fleet_of(root: &Section<'_>) -> Result<Setup, FileError> {
     setup(root, true)
 }
 
-fn setup(root: &Section<'_>, of_fleet: bool) -> Result<Setup, Wrong> {
+fn setup(root: &Section<'_>, of_fleet: bool) -> Result<Setup, FileError> {
     // Read where the file is read as a whole.
     for name in ["experiment", "about", "driver", "seeds"] {
         root.value(name);
@@ -125,7 +125,7 @@
         return Err(root.wrong("a block command_group", "none"));
     }
     let customers = customers(root)?;
-    let section = root.need_block("fleet")?;
+    let section = root.require_block("fleet")?;
     let plan = fleet_plan(&section, groups)?;
     section.done()?;
     let traffic = match root.block("traffic")? {
--- a/crates/lab/src/experiment/parts.rs
+++ b/crates/lab/src/experiment/parts.rs
@@ -4,14 +4,14 @@
     Access, Checks, Connections, Copying, Draw, Effect, Group, Kind, ListMode, ListPlan, Machine, MemberPlan,
     Micros, On, Plan, Reports, Rhythm, SECOND, TrafficPlan, Trouble, Warming, WaysPlan,
 };
-use vetchkeel_operator::{Labelled, Section, Value, Wrong};
+use vetchkeel_operator::{FileError, Labelled, Section, Value};
 
 const ABOVE: f64 = f64::MIN_POSITIVE;
 const LONG: Micros = 600 * SECOND;
 
 /// A time, or a distribution of times: `"20ms"`, `between("1s", "3s")`, `exponential("20ms")`,
 /// `lognormal("20ms", 0.8)`, `heavy("20ms", 1.8)`.
-fn draw(value: &Value<'_>) -> Result<Draw, Wrong> {
+fn draw(value: &Value<'_>) -> Result<Draw, FileError> {
     let Some((name, parts)) = value.call() else {
         return value.time(0..=LONG).map(|t| Draw::Fixed(t as f64));
     };
@@ -28,7 +28,7 @@
     }
 }
 
-fn drawn(section: &Section<'_>, name: &str, or: Draw) -> Result<Draw, Wrong> {
+fn drawn(section: &Section<'_>, name: &str, or: Draw) -> Result<Draw, FileError> {
     section.value(name).map_or(Ok(or), |v| draw(&v))
 }
 
@@ -36,12 +36,12 @@
     Draw::Between(low_ms * 1e3, high_ms * 1e3)
 }
 
-pub(super) fn command_group(block: &Labelled<'_>) -> Result<Group, Wrong> {
+pub(super) fn command_group(block: &Labelled<'_>) -> Result<Group, FileError> {
     let s = &block.section;
     let name = block.label.clone().ok_or_else(|| s.wrong("a name in quotes behind command_group", "none"))?;
     let words = [("any", 0), ("bounded", 1), ("session", 2), ("fresh", 3), ("write", 4)];
     let bound = s.value("bound").map(|b| b.time(1_000..=LONG)).transpose()?;
-    let access = match s.need("access")?.choice(&words)? {
+    let access = match s.require("access")?.choice(&words)? {
         0 => Access::Any,
         1 => {
             Access::Bounded(bound.ok_or_else(|| s.wrong(format!("a value for {}.bound", s.path()), "none"))?)
@@ -52,14 +52,14 @@
     };
     let or = if access == Access::Write { Effect::Mutating } else { Effect::Replayable };
     let effects = [("replayable", Effect::Replayable), ("mutating", Effect::Mutating)];
-    let timeout = s.need("timeout")?.time(10_000..=LONG)?;
+    let timeout = s.require("timeout")?.time(10_000..=LONG)?;
     let group = Group {
         name,
         access,
         effect: s.choice("effect", or, &effects)?,
-        share: s.need("share")?.number(ABOVE..=1e6)?,
-        work: draw(&s.need("work")?)?,
-        target: s.need("target")?.time(1_000..=timeout)?,
+        share: s.require("share")?.number(ABOVE..=1e6)?,
+        work: draw(&s.require("work")?)?,
+        target: s.require("target")?.time(1_000..=timeout)?,
         timeout,
         benefit: s.number("benefit", 1.0, 0.0..=1e6)?,
         late_share: s.number("late_share", 0.0, 0.0..=1.0)?,
@@ -69,7 +69,7 @@
     Ok(group)
 }
 
-pub(super) fn customers(root: &Section<'_>) -> Result<Vec<(String, f64)>, Wrong> {
+pub(super) fn customers(root: &Section<'_>) -> Result<Vec<(String, f64)>, FileError> {
     let mut customers = Vec::new();
     for block in root.blocks("customer")? {
         let name = block
@@ -82,14 +82,14 @@
     Ok(customers)
 }
 
-fn zones(s: &Section<'_>) -> Result<Vec<String>, Wrong> {
+fn zones(s: &Section<'_>) -> Result<Vec<String>, FileError> {
     let Some(zones) = s.value("zones") else { return Ok(vec!["zone".into()]) };
     let list: Vec<String> =
         zones.list()?.iter().map(|z| z.text().map(str::to_owned)).collect::<Result<_, _>>()?;
     if list.is_empty() { Err(zones.wrong("at least one zone")) } else { Ok(list) }
 }
 
-fn machines(s: &Section<'_>) -> Result<Vec<Machine>, Wrong> {
+fn machines(s: &Section<'_>) -> Result<Vec<Machine>, FileError> {
     let mut machines = Vec::new();
     for block in s.blocks("machine")? {
         let m = &block.section;
@@ -109,7 +109,7 @@
     Ok(machines)
 }
 
-pub(super) fn fleet_plan(s: &Section<'_>, groups: Vec<Group>) -> Result<Plan, Wrong> {
+pub(super) fn fleet_plan(s: &Section<'_>, groups: Vec<Group>) -> Result<Plan, FileError> {
     let zones = zones(s)?;
     let machines = machines(s)?;
     let sets = s.whole("sets", 1, 1..=10_000)? as usize;
@@ -200,7 +200,7 @@
 }
 
 /// What stands in its own block; `own` is false where the file leaves all of it out.
-fn copying(c: &Section<'_>, own: bool) -> Result<Copying, Wrong> {
+fn copying(c: &Section<'_>, own: bool) -> Result<Copying, FileError> {
     let value = |name: &str, or: Draw| if own { drawn(c, name, or) } else { Ok(or) };
     let copying = Copying {
         ship: value("ship", between(4.0, 14.0))?,
@@ -216,7 +216,7 @@
     Ok(copying)
 }
 
-fn list_plan(l: &Section<'_>, own: bool) -> Result<ListPlan, Wrong> {
+fn list_plan(l: &Section<'_>, own: bool) -> Result<ListPlan, FileError> {
     let value = |name: &str, or: Draw| if own { drawn(l, name, or) } else { Ok(or) };
     let modes = [("push", ListMode::Push), ("ask", ListMode::Ask), ("watch", ListMode::Watch)];
     let list = ListPlan {
@@ -242,7 +242,7 @@
     plan: &Plan,
     customers: &[(String, f64)],
     until: Micros,
-) -> Result<TrafficPlan, Wrong> {
+) -> Result<TrafficPlan, FileError> {
     // Load 1 takes all cores of all members, or those of all primaries with what only they take.
     let total: f64 = plan.groups.iter().map(|g| g.share).sum();
     let work = |writes: bool| -> f64 {
@@ -294,7 +294,7 @@
     })
 }
 
-fn members_on(s: &Section<'_>, plan: &Plan) -> Result<On, Wrong> {
+fn members_on(s: &Section<'_>, plan: &Plan) -> Result<On, FileError> {
     let words = [("all", None), ("primaries", Some(true)), ("replicas", Some(false))];
     let primaries = s.choice("of", None, &words)?;
     match (s.value("members"), s.value("part")) {
@@ -310,7 +310,7 @@
     }
 }
 
-fn place<'a>(value: &Value<'a>, names: impl Iterator<Item = &'a String>) -> Result<usize, Wrong> {
+fn place<'a>(value: &Value<'a>, names: impl Iterator<Item = &'a String>) -> Result<usize, FileError> {
     let names: Vec<&String> = names.collect();
     let text = value.text()?;
     let known = || names.iter().map(|n| format!("\"{n}\"")).collect::<Vec<_>>().join(", ");
@@ -322,15 +322,15 @@
     plan: &Plan,
     customers: &[(String, f64)],
     length: Micros,
-) -> Result<Trouble, Wrong> {
+) -> Result<Trouble, FileError> {
     let s = &block.section;
     let kind = block.label.clone().unwrap_or_default();
-    let from = s.need("from")?.time(0..=length)?;
-    let until = s.need("until")?.time(from + 1..=length)?;
+    let from = s.require("from")?.time(0..=length)?;
+    let until = s.require("until")?.time(from + 1..=length)?;
     let listed = |or: bool| s.flag("listed", or);
-    let times = |most: f64| s.need("times")?.number(1.0..=most);
-    let part = |name: &str, most: f64| s.need(name)?.number(ABOVE..=most);
-    let span = |name: &str| s.need(name)?.time(1_000..=length);
+    let times = |most: f64| s.require("times")?.number(1.0..=most);
+    let part = |name: &str, most: f64| s.require(name)?.number(ABOVE..=most);
+    let span = |name: &str| s.require(name)?.time(1_000..=length);
     let zone = |v: &Value<'_>| {
         let names = plan.zones.clone();
         let text = v.text()?;
@@ -343,7 +343,7 @@
         "hang" => Kind::Hang,
         "pauses" => {
             let every = span("every")?;
-            Kind::Pauses { length: s.need("length")?.time(1_000..=every - 1)?, every }
+            Kind::Pauses { length: s.require("length")?.time(1_000..=every - 1)?, every }
         }
         "slow" => Kind::Slow { times: times(1e4)? },
         "slow_apply" => Kind::SlowApply { times: times(1e4)? },
@@ -354,7 +354,7 @@
         "resets" => Kind::Resets { part: part("share", 1.0)? },
         "squeeze" => Kind::Squeeze { part: part("share", 1.0)? },
         "zone_cut" => Kind::ZoneCut {
-            zone: zone(&s.need("zone")?)?,
+            zone: zone(&s.require("zone")?)?,
             to: s.value("to").map(|v| zone(&v)).transpose()?,
             one_way: s.flag("one_way", false)?,
         },
@@ -362,26 +362,26 @@
         "list_stale" => Kind::ListStale,
         "routers" => {
             let most = plan.routers.len() as u64 - 1;
-            let list = s.need("which")?.list()?;
+            let list = s.require("which")?.list()?;
             let which =
                 list.iter().map(|r| r.whole(0..=most).map(|r| r as usize)).collect::<Result<_, _>>()?;
             Kind::Routers { which, old_list: s.flag("old_list", true)? }
         }
         "burst" => Kind::Burst { times: times(1e3)? },
         "hot_set" => {
-            let set = s.need("set")?.whole(0..=plan.sets.len() as u64 - 1)? as usize;
+            let set = s.require("set")?.whole(0..=plan.sets.len() as u64 - 1)? as usize;
             Kind::HotSet { set, part: part("share", 1.0)? }
         }
         "noisy" => {
             let names = customers.iter().map(|c| &c.0);
-            let customer = s.need("customer")?;
+            let customer = s.require("customer")?;
             let names: Vec<String> = names.cloned().collect();
             let found = names.iter().position(|n| customer.text().is_ok_and(|t| t == n));
             let customer = found.ok_or_else(|| customer.wrong(format!("one of {}", names.join(", "))))?;
             Kind::Noisy { customer, times: times(1e4)? }
         }
         "surge" => {
-            let group = s.need("command_group")?;
+            let group = s.require("command_group")?;
             let group = place(&group, plan.groups.iter().map(|g| &g.name))?;
             Kind::Surge { group, part: part("share", 0.99)? }
         }
--- a/crates/lab/src/tests/helper.rs
+++ b/crates/lab/src/tests/helper.rs
@@ -3,7 +3,7 @@
 use crate::experiment::Experiment;
 use crate::result::RunResult;
 use crate::sim::simulate;
-use vetchkeel_operator::{OperatorFile, Wrong};
+use vetchkeel_operator::{FileError, OperatorFile};
 
 /// Two sets of three members in two zones, two routers, 8 s.
 pub(super) const BASE: &str = r#"experiment = "test"
@@ -48,7 +48,7 @@
     BASE.replacen(from, to, 1)
 }
 
-pub(super) fn read(text: &str) -> Result<Experiment, Wrong> {
+pub(super) fn read(text: &str) -> Result<Experiment, FileError> {
     Experiment::of(&OperatorFile::parse("e.hcl", text)?)
 }
 
--- a/crates/membership/src/claim.rs
+++ b/crates/membership/src/claim.rs
@@ -21,7 +21,7 @@
 
 /// State of an instance. New variants are added at the end only, because the wire format numbers them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum Liveness {
     /// Present and not suspected.
     Alive,
     /// Did not answer a probe of the named instance.
@@ -40,31 +40,31 @@
     /// Raised only by the instance itself, to refute a claim against it.
     pub incarnation: u32,
     /// The claimed state.
-    pub standing: Standing,
+    pub liveness: Liveness,
 }
 
-impl Standing {
+impl Liveness {
     /// True unless the instance is dead or has left; a suspected instance still counts as present.
-    pub fn is_there(&self) -> bool {
-        matches!(self, Standing::Alive | Standing::Suspect(_))
+    pub fn is_present(&self) -> bool {
+        matches!(self, Liveness::Alive | Liveness::Suspect(_))
     }
 
     fn rank(&self) -> u8 {
         match self {
-            Standing::Alive => 0,
-            Standing::Suspect(_) => 1,
-            Standing::Dead(_) => 2,
-            Standing::Left => 3,
+            Liveness::Alive => 0,
+            Liveness::Suspect(_) => 1,
+            Liveness::Dead(_) => 2,
+            Liveness::Left => 3,
         }
     }
 }
 
 impl Claim {
     /// True if this claim takes precedence over `other` about the same instance: a later start wins, then a higher
-    /// incarnation, then the worse standing. So only the instance itself can improve its standing, by raising its
+    /// incarnation, then the worse liveness. So only the instance itself can improve its liveness, by raising its
     /// incarnation.
     pub fn overrides(&self, other: &Claim) -> bool {
-        let key = |claim: &Claim| (claim.instance.start, claim.incarnation, claim.standing.rank());
+        let key = |claim: &Claim| (claim.instance.start, claim.incarnation, claim.liveness.rank());
         key(self) > key(other)
     }
 }
--- a/crates/membership/src/doubt.rs
+++ b/crates/membership/src/doubt.rs
@@ -21,7 +21,7 @@
     }
 
     /// The score.
-    pub fn level(self) -> u8 {
+    pub fn score(self) -> u8 {
         self.0
     }
 
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,6 +1,6 @@
 //! State machine of one instance: probes, suspicions, gossip, anti-entropy and reconnection.
 
-mod claims;
+mod learn;
 mod rounds;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -9,7 +9,7 @@
 
 use nanorand::{Rng, WyRand};
 
-use crate::claim::{Claim, Instance, Standing};
+use crate::claim::{Claim, Instance, Liveness};
 use crate::doubt::LocalHealth;
 use crate::gossip_queue::GossipQueue;
 use crate::order::ProbeOrder;
@@ -22,7 +22,7 @@
 /// Maximum number of messages that wait to be pulled. At the bound the oldest is dropped, like a lost datagram.
 const MOST_WAITING: usize = 4_096;
 /// Maximum number of changes that wait to be pulled: room for one suspicion and one death of each instance. At the bound
-/// the oldest is dropped, and [`Change::Missed`] reports it.
+/// the oldest is dropped, and [`Change::ChangesDropped`] reports it.
 const MOST_CHANGES: usize = 2 * MOST_INSTANCES;
 /// Maximum number of concurrent indirect probes for others; a further request is answered with a nack at once.
 const MAX_INDIRECT_PROBES: usize = 256;
@@ -59,25 +59,25 @@
     /// The instance announced that it leaves.
     Left(Name),
     /// This instance's local health score changed to this value (0 to [`LocalHealth::MAX`]).
-    Doubting(u8),
+    LocalHealthChanged(u8),
     /// An earlier run of this instance had a later start, so the start was raised to this one. The host should store its
     /// counter.
-    Raised(Start),
+    StartRaised(Start),
     /// Another process has this name at another address and with a later start: this one stops sending and deciding.
     Superseded(Instance),
     /// The view is full: this instance was not added.
-    Crowded(Name),
+    ViewFull(Name),
     /// This many changes were dropped because they were not pulled in time: read the whole view.
-    Missed(u64),
+    ChangesDropped(u64),
 }
 
 /// One entry of the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen<'a> {
+pub struct ViewEntry<'a> {
     /// Name, start, address and zone.
     pub instance: &'a Instance,
     /// The known state.
-    pub standing: &'a Standing,
+    pub liveness: &'a Liveness,
     /// Time of the last change of the state.
     pub since: Tenths,
 }
@@ -145,7 +145,7 @@
         let (next_probe, next_compare) = (random_offset(plan.period), random_offset(plan.compare));
         let seeds = seeds.iter().filter(|seed| **seed != me.address).copied().collect();
         let mut gossip_queue = GossipQueue::default();
-        gossip_queue.enqueue(Claim { instance: me.clone(), incarnation: 0, standing: Standing::Alive });
+        gossip_queue.enqueue(Claim { instance: me.clone(), incarnation: 0, liveness: Liveness::Alive });
         Ok(Membership {
             plan,
             me,
@@ -183,43 +183,43 @@
     }
 
     /// The local health score of this instance.
-    pub fn doubt(&self) -> LocalHealth {
+    pub fn local_health(&self) -> LocalHealth {
         self.local_health
     }
 
     /// All other known instances in the order of their names, including those that are gone and not yet forgotten.
-    pub fn view(&self) -> impl Iterator<Item = Seen<'_>> {
-        self.peers.values().map(|peer| Seen {
+    pub fn view(&self) -> impl Iterator<Item = ViewEntry<'_>> {
+        self.peers.values().map(|peer| ViewEntry {
             instance: &peer.claim.instance,
-            standing: &peer.claim.standing,
+            liveness: &peer.claim.liveness,
             since: peer.since,
         })
     }
 
     /// The known state of an instance.
-    pub fn liveness_of(&self, name: &Name) -> Option<&Standing> {
-        self.peers.get(name).map(|peer| &peer.claim.standing)
+    pub fn liveness_of(&self, name: &Name) -> Option<&Liveness> {
+        self.peers.get(name).map(|peer| &peer.claim.liveness)
     }
 
     /// Announces to up to eight peers that this instance leaves. The host then pulls the remaining messages and stops.
     pub fn leave(&mut self) {
         let claim =
-            Claim { instance: self.me.clone(), incarnation: self.incarnation, standing: Standing::Left };
+            Claim { instance: self.me.clone(), incarnation: self.incarnation, liveness: Liveness::Left };
         let mut present: Vec<_> = self
             .peers
             .values()
-            .filter(|peer| peer.is_there())
+            .filter(|peer| peer.is_present())
             .map(|peer| peer.claim.instance.address)
             .collect();
         self.rng.shuffle(&mut present);
         for to in present.into_iter().take(8) {
-            self.queue_message(to, Body::News, vec![claim.clone()], false);
+            self.queue_message(to, Body::Gossip, vec![claim.clone()], false);
         }
         self.silent = true;
     }
 
     /// Handles a received message.
-    pub fn heard(&mut self, now: Tenths, message: &Message) {
+    pub fn handle_message(&mut self, now: Tenths, message: &Message) {
         if self.silent || message.fleet != self.plan.fleet {
             return;
         }
@@ -228,7 +228,7 @@
             return;
         }
         let sender_claim =
-            Claim { instance: from.clone(), incarnation: message.incarnation, standing: Standing::Alive };
+            Claim { instance: from.clone(), incarnation: message.incarnation, liveness: Liveness::Alive };
         self.handle_sender(now, sender_claim);
         let page = matches!(message.body, Body::SyncPage { .. });
         for claim in &message.claims {
@@ -238,9 +238,9 @@
             Body::Ping { number, to } if *to == self.me.name => {
                 self.queue_message(from.address, Body::Ack { number: *number }, Vec::new(), true);
             }
-            Body::Ping { .. } | Body::News => {}
+            Body::Ping { .. } | Body::Gossip => {}
             Body::Ack { number } => self.handle_ack(now, *number, &from.name),
-            Body::Errand { number, to, address } => {
+            Body::PingReq { number, to, address } => {
                 self.handle_ping_req(now, from.address, *number, to, *address)
             }
             Body::Nack { number } => {
@@ -267,7 +267,9 @@
         self.adjust_for_late_wake(now);
         loop {
             if self.dropped_changes > 0 {
-                return Some(Decision::Tell(Change::Missed(std::mem::take(&mut self.dropped_changes))));
+                return Some(Decision::Tell(Change::ChangesDropped(std::mem::take(
+                    &mut self.dropped_changes,
+                ))));
             }
             if let Some(change) = self.changes.pop_front() {
                 return Some(Decision::Tell(change));
@@ -330,7 +332,7 @@
         let before = self.local_health;
         self.local_health.improve();
         if before != self.local_health {
-            self.push_change(Change::Doubting(self.local_health.level()));
+            self.push_change(Change::LocalHealthChanged(self.local_health.score()));
         }
     }
 
@@ -338,7 +340,7 @@
         let before = self.local_health;
         self.local_health.degrade(by);
         if before != self.local_health {
-            self.push_change(Change::Doubting(self.local_health.level()));
+            self.push_change(Change::LocalHealthChanged(self.local_health.score()));
         }
     }
 
@@ -395,7 +397,7 @@
             sum.update(&incarnation.to_le_bytes());
         };
         let mut self_added = false;
-        for (name, peer) in self.peers.iter().filter(|(_, peer)| peer.is_there()) {
+        for (name, peer) in self.peers.iter().filter(|(_, peer)| peer.is_present()) {
             if !self_added && *name > self.me.name {
                 self_added = true;
                 add(&self.me, self.incarnation);
@@ -411,7 +413,7 @@
     /// Queues one page of the view: as many entries after `after` as fit into a message.
     fn queue_page(&mut self, to: SocketAddr, after: Option<&Name>) {
         let mine =
-            Claim { instance: self.me.clone(), incarnation: self.incarnation, standing: Standing::Alive };
+            Claim { instance: self.me.clone(), incarnation: self.incarnation, liveness: Liveness::Alive };
         // Reserves space for the number of claims and for the name to continue after.
         let mut room = (LONGEST - 3 - Name::LONGEST - 64).saturating_sub(length(&mine));
         let (mut claims, mut next) = (Vec::new(), None);
@@ -434,7 +436,7 @@
         if self.peers.len() < MOST_INSTANCES {
             return true;
         }
-        let gone = self.peers.iter().filter(|(_, peer)| !peer.is_there());
+        let gone = self.peers.iter().filter(|(_, peer)| !peer.is_present());
         let longest = gone.min_by_key(|(_, peer)| peer.since).map(|(name, _)| name.clone());
         longest.is_some_and(|name| self.peers.remove(&name).is_some())
     }
--- a/crates/membership/src/membership/claims.rs
+++ b/crates/membership/src/membership/learn.rs
@@ -1,7 +1,7 @@
 //! Handling of received claims about instances.
 
 use super::{Change, Membership};
-use crate::claim::{Claim, Standing};
+use crate::claim::{Claim, Liveness};
 use crate::peer::Peer;
 use crate::suspicion::Suspicion;
 use crate::{Body, Name, Tenths};
@@ -33,8 +33,8 @@
             if let Some(peer) = self.peers.get_mut(&known.instance.name) {
                 peer.refutation_requested_at = Some(now);
             }
-            self.queue_message(sender_claim.instance.address, Body::News, vec![known], false);
-        } else if known.standing != Standing::Alive {
+            self.queue_message(sender_claim.instance.address, Body::Gossip, vec![known], false);
+        } else if known.liveness != Liveness::Alive {
             self.refutation_pending.insert(known.instance.name.clone(), known);
         }
     }
@@ -53,7 +53,7 @@
         if claim.instance.start < known.instance.start {
             return;
         }
-        if let (Standing::Suspect(by), Standing::Suspect(_)) = (&claim.standing, &known.standing)
+        if let (Liveness::Suspect(by), Liveness::Suspect(_)) = (&claim.liveness, &known.liveness)
             && claim.incarnation == known.incarnation
         {
             self.confirm_suspicion(name.clone(), by);
@@ -62,27 +62,27 @@
         if !claim.overrides(known) {
             // After a partition each side considers the other dead. Sending the claim now lets the instance refute it at
             // once, without waiting for the next reconnection attempt.
-            if page && claim.standing == Standing::Alive && !peer.is_there() {
+            if page && claim.liveness == Liveness::Alive && !peer.is_present() {
                 self.refutation_pending.insert(name.clone(), known.clone());
             }
             return;
         }
         let unanswered = peer.refutation_requested_at.is_some_and(|at| now > at + 2 * self.plan.period);
-        match &claim.standing {
-            Standing::Alive => self.apply_claim(now, claim, None),
-            Standing::Suspect(by) => self.suspect(now, claim, by.clone(), false),
+        match &claim.liveness {
+            Liveness::Alive => self.apply_claim(now, claim, None),
+            Liveness::Suspect(by) => self.suspect(now, claim, by.clone(), false),
             // Guards against flapping after a partition: the deaths that one side concluded would be applied to live
             // instances of the other side. An instance that is not suspected here first gets time to refute the claim.
-            Standing::Dead(_) if page && peer.is_alive() && !unanswered => {
+            Liveness::Dead(_) if page && peer.is_alive() && !unanswered => {
                 self.refutation_pending.insert(name.clone(), claim.clone());
                 // If it does not refute the claim, the same claim on a later page is applied.
                 self.next_compare = self.next_compare.min(now + 4 * self.plan.period);
             }
-            Standing::Dead(by) if peer.is_alive() => {
-                let standing = Standing::Suspect(by.clone());
-                self.suspect(now, &Claim { standing, ..claim.clone() }, by.clone(), true);
+            Liveness::Dead(by) if peer.is_alive() => {
+                let liveness = Liveness::Suspect(by.clone());
+                self.suspect(now, &Claim { liveness, ..claim.clone() }, by.clone(), true);
             }
-            Standing::Dead(_) | Standing::Left => self.apply_claim(now, claim, None),
+            Liveness::Dead(_) | Liveness::Left => self.apply_claim(now, claim, None),
         }
     }
 
@@ -111,22 +111,22 @@
         if let Some(new) = &suspicion {
             self.suspicion_deadlines.insert((new.deadline(), name.clone()));
         }
-        let change = match (&peer.claim.standing, &claim.standing) {
-            (Standing::Alive, Standing::Alive) => None,
-            (_, Standing::Alive) => Some(Change::Returned(name.clone())),
-            (Standing::Suspect(_), Standing::Suspect(_)) => None,
-            (_, Standing::Suspect(_)) => Some(Change::Suspected(name.clone())),
-            (_, Standing::Dead(_)) => Some(Change::Died(name.clone())),
-            (_, Standing::Left) => Some(Change::Left(name.clone())),
+        let change = match (&peer.claim.liveness, &claim.liveness) {
+            (Liveness::Alive, Liveness::Alive) => None,
+            (_, Liveness::Alive) => Some(Change::Returned(name.clone())),
+            (Liveness::Suspect(_), Liveness::Suspect(_)) => None,
+            (_, Liveness::Suspect(_)) => Some(Change::Suspected(name.clone())),
+            (_, Liveness::Dead(_)) => Some(Change::Died(name.clone())),
+            (_, Liveness::Left) => Some(Change::Left(name.clone())),
         };
         if change.is_some() {
             peer.since = now;
         }
-        let was_there = peer.is_there();
+        let was_there = peer.is_present();
         peer.claim = claim.clone();
         peer.suspicion = suspicion;
         peer.refutation_requested_at = None;
-        let comes_back = !was_there && peer.is_there();
+        let comes_back = !was_there && peer.is_present();
         self.refutation_pending.remove(&name);
         if let Some(change) = change {
             self.push_change(change);
@@ -140,13 +140,13 @@
     fn add_peer(&mut self, now: Tenths, claim: &Claim) {
         // Instances that are gone are not added from claims of others: otherwise two instances would keep re-adding them
         // to each other's views for ever.
-        if !claim.standing.is_there() {
+        if !claim.liveness.is_present() {
             return;
         }
         if !self.make_room() {
-            return self.push_change(Change::Crowded(claim.instance.name.clone()));
+            return self.push_change(Change::ViewFull(claim.instance.name.clone()));
         }
-        let alive = Claim { standing: Standing::Alive, ..claim.clone() };
+        let alive = Claim { liveness: Liveness::Alive, ..claim.clone() };
         self.peers.insert(claim.instance.name.clone(), Peer::new(alive, now));
         self.probe_order.insert(claim.instance.name.clone(), &mut self.rng);
         self.push_change(Change::Joined(claim.instance.clone()));
@@ -159,9 +159,9 @@
         if let Some(old) = peer.suspicion.take() {
             self.suspicion_deadlines.remove(&(old.deadline(), name.clone()));
         }
-        let was_there = peer.is_there();
+        let was_there = peer.is_present();
         // Claims against the previous run do not apply to this one.
-        *peer = Peer::new(Claim { standing: Standing::Alive, ..claim.clone() }, now);
+        *peer = Peer::new(Claim { liveness: Liveness::Alive, ..claim.clone() }, now);
         self.refutation_pending.remove(name);
         if !was_there {
             self.probe_order.insert(name.clone(), &mut self.rng);
@@ -173,14 +173,14 @@
     /// Applies the first claim about a run that was not known. The run starts as alive, so a claim that it is dead only
     /// raises a suspicion.
     fn apply_first_claim(&mut self, now: Tenths, claim: &Claim) {
-        match &claim.standing {
-            Standing::Alive => self.gossip_queue.enqueue(claim.clone()),
-            Standing::Suspect(by) => self.suspect(now, claim, by.clone(), false),
-            Standing::Dead(by) => {
-                let standing = Standing::Suspect(by.clone());
-                self.suspect(now, &Claim { standing, ..claim.clone() }, by.clone(), true);
+        match &claim.liveness {
+            Liveness::Alive => self.gossip_queue.enqueue(claim.clone()),
+            Liveness::Suspect(by) => self.suspect(now, claim, by.clone(), false),
+            Liveness::Dead(by) => {
+                let liveness = Liveness::Suspect(by.clone());
+                self.suspect(now, &Claim { liveness, ..claim.clone() }, by.clone(), true);
             }
-            Standing::Left => self.apply_claim(now, claim, None),
+            Liveness::Left => self.apply_claim(now, claim, None),
         }
     }
 
@@ -191,8 +191,8 @@
         if suspicion.confirm(by) {
             self.suspicion_deadlines.remove(&(before, name.clone()));
             self.suspicion_deadlines.insert((suspicion.deadline(), name));
-            let standing = Standing::Suspect(by.clone());
-            self.gossip_queue.enqueue(Claim { standing, ..peer.claim.clone() });
+            let liveness = Liveness::Suspect(by.clone());
+            self.gossip_queue.enqueue(Claim { liveness, ..peer.claim.clone() });
         }
     }
 
@@ -201,7 +201,7 @@
         if claim.instance.start > self.me.start {
             return self.handle_same_name(claim);
         }
-        if claim.instance.start < self.me.start || claim.standing == Standing::Alive {
+        if claim.instance.start < self.me.start || claim.liveness == Liveness::Alive {
             return;
         }
         if claim.incarnation >= self.incarnation {
@@ -219,7 +219,7 @@
         if claim.instance.start <= self.me.start {
             // Any message tells an older process of this name that it is superseded, as it carries the later start.
             if claim.instance.start < self.me.start && claim.instance.address != self.me.address {
-                self.queue_message(claim.instance.address, Body::News, Vec::new(), false);
+                self.queue_message(claim.instance.address, Body::Gossip, Vec::new(), false);
             }
             return;
         }
@@ -231,7 +231,7 @@
         let start = claim.instance.start;
         self.me.start = crate::Start { at: start.at, count: start.count.saturating_add(1) };
         self.incarnation = 0;
-        self.push_change(Change::Raised(self.me.start));
+        self.push_change(Change::StartRaised(self.me.start));
         self.announce_self();
     }
 
@@ -240,7 +240,7 @@
         self.gossip_queue.enqueue(Claim {
             instance,
             incarnation: self.incarnation,
-            standing: Standing::Alive,
+            liveness: Liveness::Alive,
         });
     }
 }
--- a/crates/membership/src/membership/rounds.rs
+++ b/crates/membership/src/membership/rounds.rs
@@ -5,7 +5,7 @@
 use nanorand::Rng;
 
 use super::{MAX_INDIRECT_PROBES, MAX_LATE_PROBES, Membership};
-use crate::claim::{Claim, Standing};
+use crate::claim::{Claim, Liveness};
 use crate::probe::{IndirectProbe, Probe};
 use crate::wire::Body;
 use crate::{Name, Tenths};
@@ -44,7 +44,7 @@
         if self.next_gossip <= now && !self.gossip_queue.is_empty() {
             self.next_gossip = now + NEWS_EVERY;
             for to in self.random_peers(NEWS_TO) {
-                self.queue_message(to, Body::News, Vec::new(), true);
+                self.queue_message(to, Body::Gossip, Vec::new(), true);
             }
             return true;
         }
@@ -69,7 +69,7 @@
         if self.next_forget <= now {
             self.next_forget = now + self.plan.reach;
             let old = now - self.plan.forget;
-            self.peers.retain(|_, peer| peer.is_there() || peer.since > old);
+            self.peers.retain(|_, peer| peer.is_present() || peer.since > old);
             return true;
         }
         false
@@ -82,7 +82,7 @@
 
     /// The longest RTT-based time-out of all present peers.
     pub(super) fn max_rtt_timeout(&self) -> Tenths {
-        let present = self.peers.values().filter(|peer| peer.is_there());
+        let present = self.peers.values().filter(|peer| peer.is_present());
         present.filter_map(|peer| peer.rtt.timeout()).max().unwrap_or(MIN_PROBE_TIMEOUT).min(self.plan.period)
     }
 
@@ -97,7 +97,7 @@
 
     fn start_probe(&mut self, now: Tenths) {
         let peers = &self.peers;
-        let present = |name: &Name| peers.get(name).is_some_and(|peer| peer.is_there());
+        let present = |name: &Name| peers.get(name).is_some_and(|peer| peer.is_present());
         let Some(name) = self.probe_order.next(peers.keys(), present, &mut self.rng) else { return };
         let Some(peer) = self.peers.get(&name) else { return };
         let (address, start) = (peer.claim.instance.address, peer.claim.instance.start);
@@ -127,7 +127,7 @@
         if let Some(address) = self.peers.get(&probe.peer).map(|peer| peer.claim.instance.address) {
             for to in self.choose_helpers(&probe.peer) {
                 probe.helpers += 1;
-                let body = Body::Errand { number: probe.number, to: probe.peer.clone(), address };
+                let body = Body::PingReq { number: probe.number, to: probe.peer.clone(), address };
                 self.queue_message(to, body, Vec::new(), true);
             }
         }
@@ -143,11 +143,11 @@
         }
         self.late_probes.push_back((probe.number, probe.peer.clone(), probe.sent));
         let Some(peer) = self.peers.get(&probe.peer) else { return };
-        if peer.claim.instance.start != probe.start || !peer.is_there() {
+        if peer.claim.instance.start != probe.start || !peer.is_present() {
             return;
         }
-        let standing = Standing::Suspect(self.me.name.clone());
-        let claim = Claim { standing, ..peer.claim.clone() };
+        let liveness = Liveness::Suspect(self.me.name.clone());
+        let claim = Claim { liveness, ..peer.claim.clone() };
         if peer.is_alive() {
             self.suspect(now, &claim, self.me.name.clone(), false);
         } else {
@@ -251,9 +251,9 @@
     /// Declares an instance dead whose suspicion was not refuted in time.
     fn end_suspicion(&mut self, now: Tenths, name: &Name) {
         let Some(peer) = self.peers.get(name) else { return };
-        if let Standing::Suspect(by) = &peer.claim.standing {
-            let standing = Standing::Dead(by.clone());
-            let claim = Claim { standing, ..peer.claim.clone() };
+        if let Liveness::Suspect(by) = &peer.claim.liveness {
+            let liveness = Liveness::Dead(by.clone());
+            let claim = Claim { liveness, ..peer.claim.clone() };
             self.apply_claim(now, &claim, None);
         }
     }
@@ -272,16 +272,16 @@
     /// joins again after a partition or a start in separate parts.
     fn reconnect(&mut self) {
         let present = |address: &SocketAddr| {
-            self.peers.values().any(|peer| peer.is_there() && peer.claim.instance.address == *address)
+            self.peers.values().any(|peer| peer.is_present() && peer.claim.instance.address == *address)
         };
         let mut targets: Vec<(SocketAddr, Option<Claim>)> =
             self.seeds.iter().filter(|seed| !present(seed)).map(|seed| (*seed, None)).collect();
-        let dead = self.peers.values().filter(|peer| matches!(peer.claim.standing, Standing::Dead(_)));
+        let dead = self.peers.values().filter(|peer| matches!(peer.claim.liveness, Liveness::Dead(_)));
         targets.extend(dead.map(|peer| (peer.claim.instance.address, Some(peer.claim.clone()))));
         if targets.is_empty() {
             return;
         }
-        let alone = !self.peers.values().any(|peer| peer.is_there());
+        let alone = !self.peers.values().any(|peer| peer.is_present());
         // An instance without any present peer tries three targets at a time, otherwise one.
         for _ in 0..if alone { targets.len().min(3) } else { 1 } {
             let (to, claim) = targets.swap_remove(self.rng.generate_range(0..targets.len()));
@@ -303,7 +303,7 @@
         let mut present: Vec<_> = self
             .peers
             .values()
-            .filter(|peer| peer.is_there())
+            .filter(|peer| peer.is_present())
             .map(|peer| peer.claim.instance.address)
             .collect();
         let count = count.min(present.len());
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -3,15 +3,15 @@
 use crate::claim::Claim;
 use crate::suspicion::Suspicion;
 use crate::trip::RttEstimator;
-use crate::{Standing, Tenths};
+use crate::{Liveness, Tenths};
 
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     pub(crate) claim: Claim,
-    /// Set while the standing is `Suspect`.
+    /// Set while the liveness is `Suspect`.
     pub(crate) suspicion: Option<Suspicion>,
     pub(crate) rtt: RttEstimator,
-    /// Time of the last change of the standing.
+    /// Time of the last change of the liveness.
     pub(crate) since: Tenths,
     /// When the claim against it was last sent to it, so that it can refute it.
     pub(crate) refutation_requested_at: Option<Tenths>,
@@ -28,11 +28,11 @@
         }
     }
 
-    pub(crate) fn is_there(&self) -> bool {
-        self.claim.standing.is_there()
+    pub(crate) fn is_present(&self) -> bool {
+        self.claim.liveness.is_present()
     }
 
     pub(crate) fn is_alive(&self) -> bool {
-        self.claim.standing == Standing::Alive
+        self.claim.liveness == Liveness::Alive
     }
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -46,7 +46,7 @@
         number: u64,
     },
     /// Request to a helper for an indirect probe (the `ping-req` of SWIM).
-    Errand {
+    PingReq {
         /// Repeated in the answer.
         number: u64,
         /// The target.
@@ -60,7 +60,7 @@
         number: u64,
     },
     /// Carries claims only.
-    News,
+    Gossip,
     /// Anti-entropy: requests the full view of the receiver, unless its digest equals the sender's.
     SyncRequest {
         /// Checksum over the sender's view; `None` requests an answer in any case.
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -8,7 +8,7 @@
 use nanorand::Rng;
 use rstest::rstest;
 use vetchkeel_membership::{
-    Change, Claim, Decision, Instance, MOST_INSTANCES, Membership, Name, Plan, Standing, Start, Tenths, wire,
+    Change, Claim, Decision, Instance, Liveness, MOST_INSTANCES, Membership, Name, Plan, Start, Tenths, wire,
 };
 use world::{SECOND, World, address, name};
 
@@ -94,7 +94,7 @@
         );
         world.run(SECOND + 1_000);
         assert_eq!(deaths(&world).iter().filter(by_it).count(), 0, "seed {seed}");
-        assert!(world.nodes[4].membership.as_ref().is_some_and(|own| own.doubt().level() > 0));
+        assert!(world.nodes[4].membership.as_ref().is_some_and(|own| own.local_health().score() > 0));
         assert!(world.run_until(5 * SECOND, World::converged).is_some(), "seed {seed}");
         world.run(30 * SECOND);
         assert_eq!(
@@ -126,7 +126,7 @@
         world.run(60 * SECOND);
         assert!(
             (0..12)
-                .all(|by| (12..30).all(|at| matches!(world.liveness_seen(by, at), Some(Standing::Dead(_)))))
+                .all(|by| (12..30).all(|at| matches!(world.liveness_seen(by, at), Some(Liveness::Dead(_)))))
         );
         world.cut_links.clear();
         world.changes.clear();
@@ -174,17 +174,17 @@
 #[test]
 fn received_death_of_live_peer_starts_a_suspicion() {
     let mut world = World::all_started(3, 1, 5 * SECOND);
-    let claim = |at: usize, standing: Standing| Claim {
+    let claim = |at: usize, liveness: Liveness| Claim {
         instance: world.nodes[at].instance.clone(),
         incarnation: 0,
-        standing,
+        liveness,
     };
-    let claims = vec![claim(2, Standing::Dead(name(1)))];
+    let claims = vec![claim(2, Liveness::Dead(name(1)))];
     let from = world.nodes[1].instance.clone();
-    let message = wire::Message { fleet: 0, from, incarnation: 0, body: wire::Body::News, claims };
+    let message = wire::Message { fleet: 0, from, incarnation: 0, body: wire::Body::Gossip, claims };
     let own = world.nodes[0].membership.as_mut().expect("it runs");
-    own.heard(world.now, &message);
-    assert_eq!(own.liveness_of(&name(2)), Some(&Standing::Suspect(name(1))));
+    own.handle_message(world.now, &message);
+    assert_eq!(own.liveness_of(&name(2)), Some(&Liveness::Suspect(name(1))));
 }
 
 #[test]
@@ -227,21 +227,21 @@
 }
 
 /// Feeds claims about the numbered instances, six a message, all sent by the first of them.
-fn feed_claims(own: &mut Membership, numbers: std::ops::Range<u32>, standing: &Standing) {
+fn feed_claims(own: &mut Membership, numbers: std::ops::Range<u32>, liveness: &Liveness) {
     let instance = |at: u32| Instance {
         name: Name::new(&format!("router-of-the-wide-fleet-{at:05}")).expect("short"),
         start: Start { at: u64::MAX, count: u32::MAX },
         address: SocketAddr::from(([127, 1, (at >> 8) as u8, at as u8], u16::MAX)),
         zone: Name::new("a-zone-of-the-longest-name-there").ok(),
     };
-    let claim = |at: u32| Claim { instance: instance(at), incarnation: u32::MAX, standing: standing.clone() };
+    let claim = |at: u32| Claim { instance: instance(at), incarnation: u32::MAX, liveness: liveness.clone() };
     let from = instance(0);
     for at in numbers.step_by(6) {
         let claims = (at..at + 6).map(claim).collect();
         let sent =
-            wire::Message { fleet: 0, from: from.clone(), incarnation: 0, body: wire::Body::News, claims };
+            wire::Message { fleet: 0, from: from.clone(), incarnation: 0, body: wire::Body::Gossip, claims };
         let bytes = wire::encode(&sent).expect("six claims of maximum length fit");
-        own.heard(0, &wire::decode(&bytes).expect("what was sent can be read"));
+        own.handle_message(0, &wire::decode(&bytes).expect("what was sent can be read"));
     }
 }
 
@@ -251,12 +251,12 @@
     let me = Instance { name: name(0), start: Start::default(), address: address(0), zone: None };
     let mut own = Membership::new(Plan::default(), me, &[], 0, 1).expect("a valid plan");
     let mut reported = Vec::new();
-    feed_claims(&mut own, 0..4_098, &Standing::Alive);
+    feed_claims(&mut own, 0..4_098, &Liveness::Alive);
     while let Some(decision) = own.next_decision(0) {
         reported.extend(if let Decision::Tell(change) = decision { Some(change) } else { None });
     }
     let joined = reported.iter().filter(|change| matches!(change, Change::Joined(_))).count();
-    let crowded = reported.iter().filter(|change| matches!(change, Change::Crowded(_))).count();
+    let crowded = reported.iter().filter(|change| matches!(change, Change::ViewFull(_))).count();
     assert_eq!((joined, crowded, own.view().count()), (4_096, 2, MOST_INSTANCES));
 }
 
@@ -265,13 +265,13 @@
 fn sync_pages_fit_a_datagram_and_cover_the_view() {
     let me = Instance { name: name(0), start: Start::default(), address: address(0), zone: None };
     let mut own = Membership::new(Plan::default(), me, &[], 0, 1).expect("a good plan");
-    feed_claims(&mut own, 0..4_098, &Standing::Alive);
+    feed_claims(&mut own, 0..4_098, &Liveness::Alive);
     let asker = Instance { name: name(1), start: Start::default(), address: address(1), zone: None };
     let (mut after, mut listed) = (None, BTreeSet::new());
     loop {
         let body = wire::Body::SyncRequest { digest: None, after };
         let asks = wire::Message { fleet: 0, from: asker.clone(), incarnation: 0, body, claims: vec![] };
-        own.heard(0, &asks);
+        own.handle_message(0, &asks);
         let sent = std::iter::from_fn(|| own.next_decision(0));
         let page = sent.filter_map(|decision| match decision {
             Decision::Send { to, message } if to == address(1) => Some(message),
--- a/crates/membership/tests/world/mod.rs
+++ b/crates/membership/tests/world/mod.rs
@@ -8,7 +8,7 @@
 
 use nanorand::{Rng, WyRand};
 use vetchkeel_membership::{
-    Change, Decision, Instance, Membership, Name, Plan, Standing, Start, Tenths, wire,
+    Change, Decision, Instance, Liveness, Membership, Name, Plan, Start, Tenths, wire,
 };
 
 pub const SECOND: Tenths = 10_000;
@@ -158,7 +158,7 @@
         }
         let message = wire::decode(&bytes).expect("what was sent can be read");
         if let Some(membership) = &mut self.nodes[to].membership {
-            membership.heard(self.now, &message);
+            membership.handle_message(self.now, &message);
         }
         // All messages in the socket buffer are handled before any decision.
         let more = self.net.iter().take_while(|(key, _)| key.0 <= self.now).any(|(_, (at, _))| *at == to);
@@ -211,12 +211,12 @@
     }
 
     /// State of `at` in the view of `by`, if that view has its current start.
-    pub fn liveness_seen(&self, by: usize, at: usize) -> Option<&Standing> {
+    pub fn liveness_seen(&self, by: usize, at: usize) -> Option<&Liveness> {
         let membership = self.nodes[by].membership.as_ref()?;
         let seen = membership.view().find(|seen| seen.instance.name == self.nodes[at].instance.name)?;
         let current_start =
             self.nodes[at].membership.as_ref().map_or(self.nodes[at].instance.start, |own| own.me().start);
-        (seen.instance.start == current_start).then_some(seen.standing)
+        (seen.instance.start == current_start).then_some(seen.liveness)
     }
 
     pub fn running(&self) -> Vec<usize> {
@@ -228,11 +228,11 @@
         let running = self.running();
         running.iter().all(|by| {
             let Some(membership) = self.nodes[*by].membership.as_ref() else { return false };
-            let there = membership.view().filter(|seen| seen.standing.is_there()).count();
+            let there = membership.view().filter(|seen| seen.liveness.is_present()).count();
             there >= running.len() - 1
                 && running
                     .iter()
-                    .all(|at| at == by || self.liveness_seen(*by, *at).is_some_and(Standing::is_there))
+                    .all(|at| at == by || self.liveness_seen(*by, *at).is_some_and(Liveness::is_present))
         })
     }
 
@@ -241,7 +241,7 @@
         self.running().iter().all(|by| {
             let seen =
                 self.nodes[*by].membership.as_ref().and_then(|membership| membership.liveness_of(&name(at)));
-            seen.is_none_or(|standing| !standing.is_there())
+            seen.is_none_or(|liveness| !liveness.is_present())
         })
     }
 }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -18,7 +18,7 @@
 
 /// An error in an operator file and its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wrong {
+pub struct FileError {
     pub file: String,
     /// Line and column count from 1.
     pub line: usize,
@@ -27,14 +27,14 @@
     pub found: String,
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for FileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Wrong { file, line, column, expected, found } = self;
+        let FileError { file, line, column, expected, found } = self;
         write!(f, "{file}:{line}:{column}: expected {expected}, found {found}")
     }
 }
 
-impl std::error::Error for Wrong {}
+impl std::error::Error for FileError {}
 
 /// A parsed file, with values that override its own.
 pub struct OperatorFile {
@@ -46,9 +46,9 @@
 }
 
 impl OperatorFile {
-    pub fn read(path: &Path) -> Result<OperatorFile, Wrong> {
+    pub fn read(path: &Path) -> Result<OperatorFile, FileError> {
         let name = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|e| Wrong {
+        let text = std::fs::read_to_string(path).map_err(|e| FileError {
             file: name.clone(),
             line: 1,
             column: 1,
@@ -58,8 +58,8 @@
         OperatorFile::parse(&name, &text)
     }
 
-    pub fn parse(name: &str, text: &str) -> Result<OperatorFile, Wrong> {
-        let body: Body = text.parse().map_err(|e: hcl_edit::parser::Error| Wrong {
+    pub fn parse(name: &str, text: &str) -> Result<OperatorFile, FileError> {
+        let body: Body = text.parse().map_err(|e: hcl_edit::parser::Error| FileError {
             file: name.to_owned(),
             line: e.location().line(),
             column: e.location().column(),
@@ -97,11 +97,11 @@
         Section::new(self, &self.body, 0..0, String::new())
     }
 
-    fn wrong(&self, at: Range<usize>, expected: impl Into<String>, found: impl Into<String>) -> Wrong {
+    fn wrong(&self, at: Range<usize>, expected: impl Into<String>, found: impl Into<String>) -> FileError {
         let before = &self.text[..at.start.min(self.text.len())];
         let line = before.matches('\n').count() + 1;
         let column = before.rsplit('\n').next().unwrap_or_default().chars().count() + 1;
-        Wrong { file: self.name.clone(), line, column, expected: expected.into(), found: found.into() }
+        FileError { file: self.name.clone(), line, column, expected: expected.into(), found: found.into() }
     }
 }
 
--- a/crates/operator/src/section.rs
+++ b/crates/operator/src/section.rs
@@ -1,6 +1,6 @@
 //! A file or one of its blocks, whose values are requested by name.
 
-use crate::{OperatorFile, Value, Wrong};
+use crate::{FileError, OperatorFile, Value};
 use hcl_edit::Span;
 use hcl_edit::structure::{Body, Structure};
 use std::cell::RefCell;
@@ -37,7 +37,7 @@
     }
 
     /// An error at the position of this block.
-    pub fn wrong(&self, expected: impl Into<String>, found: impl Into<String>) -> Wrong {
+    pub fn wrong(&self, expected: impl Into<String>, found: impl Into<String>) -> FileError {
         self.file.wrong(self.at.clone(), expected, found)
     }
 
@@ -58,37 +58,37 @@
         Some(Value { file: self.file, expression, path, fallback_span })
     }
 
-    pub fn need(&self, name: &str) -> Result<Value<'a>, Wrong> {
+    pub fn require(&self, name: &str) -> Result<Value<'a>, FileError> {
         let missing = || self.wrong(format!("a value for {}", self.full_path(name)), "none");
         self.value(name).ok_or_else(missing)
     }
 
-    pub fn number(&self, name: &str, default: f64, range: RangeInclusive<f64>) -> Result<f64, Wrong> {
+    pub fn number(&self, name: &str, default: f64, range: RangeInclusive<f64>) -> Result<f64, FileError> {
         self.value(name).map_or(Ok(default), |v| v.number(range))
     }
 
-    pub fn whole(&self, name: &str, default: u64, range: RangeInclusive<u64>) -> Result<u64, Wrong> {
+    pub fn whole(&self, name: &str, default: u64, range: RangeInclusive<u64>) -> Result<u64, FileError> {
         self.value(name).map_or(Ok(default), |v| v.whole(range))
     }
 
-    pub fn time(&self, name: &str, default: i64, range: RangeInclusive<i64>) -> Result<i64, Wrong> {
+    pub fn time(&self, name: &str, default: i64, range: RangeInclusive<i64>) -> Result<i64, FileError> {
         self.value(name).map_or(Ok(default), |v| v.time(range))
     }
 
-    pub fn flag(&self, name: &str, default: bool) -> Result<bool, Wrong> {
+    pub fn flag(&self, name: &str, default: bool) -> Result<bool, FileError> {
         self.value(name).map_or(Ok(default), |v| v.flag())
     }
 
-    pub fn text(&self, name: &str, default: &str) -> Result<String, Wrong> {
+    pub fn text(&self, name: &str, default: &str) -> Result<String, FileError> {
         self.value(name).map_or(Ok(default.to_owned()), |v| v.text().map(str::to_owned))
     }
 
-    pub fn choice<T: Copy>(&self, name: &str, default: T, words: &[(&str, T)]) -> Result<T, Wrong> {
+    pub fn choice<T: Copy>(&self, name: &str, default: T, words: &[(&str, T)]) -> Result<T, FileError> {
         self.value(name).map_or(Ok(default), |v| v.choice(words))
     }
 
     /// The blocks of this name, in order. Paths inside one are `name.label.`, or `name.` where it has no label.
-    pub fn blocks(&self, name: &str) -> Result<Vec<Labelled<'a>>, Wrong> {
+    pub fn blocks(&self, name: &str) -> Result<Vec<Labelled<'a>>, FileError> {
         self.requested.borrow_mut().insert(name.to_owned());
         let mut blocks = Vec::new();
         let mut paths = BTreeSet::new();
@@ -113,7 +113,7 @@
     }
 
     /// The one block of this name, if there is one.
-    pub fn block(&self, name: &str) -> Result<Option<Section<'a>>, Wrong> {
+    pub fn block(&self, name: &str) -> Result<Option<Section<'a>>, FileError> {
         let mut blocks = self.blocks(name)?;
         if blocks.len() > 1 {
             return Err(blocks[1].section.wrong(format!("one block {}", self.full_path(name)), "another"));
@@ -121,13 +121,13 @@
         Ok(blocks.pop().map(|b| b.section))
     }
 
-    pub fn need_block(&self, name: &str) -> Result<Section<'a>, Wrong> {
+    pub fn require_block(&self, name: &str) -> Result<Section<'a>, FileError> {
         let missing = || self.wrong(format!("a block {}", self.full_path(name)), "none");
         self.block(name)?.ok_or_else(missing)
     }
 
     /// Returns an error if the block contains a name that was never requested.
-    pub fn done(&self) -> Result<(), Wrong> {
+    pub fn done(&self) -> Result<(), FileError> {
         let requested = self.requested.borrow();
         for structure in self.body.iter() {
             let (name, span) = match structure {
--- a/crates/operator/src/tests.rs
+++ b/crates/operator/src/tests.rs
@@ -3,14 +3,14 @@
 
 const FILE: &str = "top = 3\n\nload \"main\" {\n  rate = 2.5\n  wait = \"250ms\"\n  work = lognormal(\"20ms\", 0.8)\n  on = true\n}\n";
 
-fn check_file(text: &str, read: impl Fn(&Section<'_>) -> Result<(), Wrong>) -> Result<(), Wrong> {
+fn check_file(text: &str, read: impl Fn(&Section<'_>) -> Result<(), FileError>) -> Result<(), FileError> {
     let file = OperatorFile::parse("f.hcl", text)?;
     let root = file.root();
     read(&root)?;
     root.done()
 }
 
-fn load(root: &Section<'_>) -> Result<(), Wrong> {
+fn load(root: &Section<'_>) -> Result<(), FileError> {
     root.whole("top", 0, 0..=10)?;
     for block in root.blocks("load")? {
         block.section.number("rate", 0.0, 0.0..=10.0)?;
@@ -69,13 +69,13 @@
 #[case::unknown_path("load.other.rate", Ok(2.5), 1)]
 fn overrides_replace_values_and_report_unknown_paths(
     #[case] path: &str,
-    #[case] rate: Result<f64, Wrong>,
+    #[case] rate: Result<f64, FileError>,
     #[case] unused: usize,
 ) {
     let file = OperatorFile::parse("f.hcl", FILE).expect("readable");
     let other = OperatorFile::parse("g.hcl", "v = 7").expect("readable");
     let other_root = other.root();
-    let overridden = file.with(&[(path.to_owned(), other_root.need("v").expect("there"))]);
+    let overridden = file.with(&[(path.to_owned(), other_root.require("v").expect("there"))]);
     let root = overridden.root();
     let block = &root.blocks("load").expect("one")[0];
     assert_eq!((block.section.number("rate", 0.0, 0.0..=10.0), overridden.unused().len()), (rate, unused));
@@ -85,7 +85,7 @@
 fn calls_have_a_name_and_arguments() {
     let file = OperatorFile::parse("f.hcl", FILE).expect("readable");
     let root = file.root();
-    let work = root.blocks("load").expect("one")[0].section.need("work").expect("there");
+    let work = root.blocks("load").expect("one")[0].section.require("work").expect("there");
     let (name, arguments) = work.call().expect("a call");
     let time = arguments[0].time(0..=1_000_000);
     assert_eq!((name, time, arguments[1].number(0.0..=1.0)), ("lognormal", Ok(20_000), Ok(0.8)));
@@ -93,6 +93,6 @@
 
 #[rstest]
 fn missing_values_are_named() {
-    let why = check_file("load {\n}\n", |root| root.blocks("load")?[0].section.need("rate").map(|_| ()));
+    let why = check_file("load {\n}\n", |root| root.blocks("load")?[0].section.require("rate").map(|_| ()));
     assert_eq!(why.unwrap_err().to_string(), "f.hcl:1:1: expected a value for load.rate, found none");
 }
--- a/crates/operator/src/value.rs
+++ b/crates/operator/src/value.rs
@@ -1,6 +1,6 @@
 //! One value of a file, with checks of its type and range, and with its position.
 
-use crate::{OperatorFile, Wrong};
+use crate::{FileError, OperatorFile};
 use hcl_edit::Span;
 use hcl_edit::expr::Expression;
 use std::ops::{Range, RangeInclusive};
@@ -69,7 +69,7 @@
         if short.is_empty() { "nothing".into() } else { short }
     }
 
-    pub fn wrong(&self, expected: impl Into<String>) -> Wrong {
+    pub fn wrong(&self, expected: impl Into<String>) -> FileError {
         let expected = format!("{} for {}", expected.into(), self.path);
         self.file.wrong(self.place(), expected, self.shown())
     }
@@ -85,27 +85,27 @@
         }
     }
 
-    pub fn number(&self, range: RangeInclusive<f64>) -> Result<f64, Wrong> {
+    pub fn number(&self, range: RangeInclusive<f64>) -> Result<f64, FileError> {
         let number = self.as_number().filter(|n| n.is_finite() && range.contains(n));
         number.ok_or_else(|| self.wrong(describe_range(&range)))
     }
 
-    pub fn whole(&self, range: RangeInclusive<u64>) -> Result<u64, Wrong> {
+    pub fn whole(&self, range: RangeInclusive<u64>) -> Result<u64, FileError> {
         let number = self.as_number().filter(|n| n.fract() == 0.0 && *n >= 0.0).map(|n| n as u64);
         let expected = || self.wrong(format!("a whole number from {} to {}", range.start(), range.end()));
         number.filter(|n| range.contains(n)).ok_or_else(expected)
     }
 
-    pub fn text(&self) -> Result<&'a str, Wrong> {
+    pub fn text(&self) -> Result<&'a str, FileError> {
         self.expression.as_str().ok_or_else(|| self.wrong("a text in quotes"))
     }
 
-    pub fn flag(&self) -> Result<bool, Wrong> {
+    pub fn flag(&self) -> Result<bool, FileError> {
         self.expression.as_bool().ok_or_else(|| self.wrong("true or false"))
     }
 
     /// A time in microseconds, written as a text such as "250ms".
-    pub fn time(&self, range: RangeInclusive<i64>) -> Result<i64, Wrong> {
+    pub fn time(&self, range: RangeInclusive<i64>) -> Result<i64, FileError> {
         let time = self.expression.as_str().and_then(micros_of).filter(|t| range.contains(t));
         time.ok_or_else(|| {
             let (low, high) = (format_micros(*range.start()), format_micros(*range.end()));
@@ -114,7 +114,7 @@
     }
 
     /// The value that belongs to one of these words.
-    pub fn choice<T: Copy>(&self, words: &[(&str, T)]) -> Result<T, Wrong> {
+    pub fn choice<T: Copy>(&self, words: &[(&str, T)]) -> Result<T, FileError> {
         let found = self.expression.as_str().and_then(|t| words.iter().find(|w| w.0 == t));
         found.map(|w| w.1).ok_or_else(|| {
             let words: Vec<String> = words.iter().map(|w| format!("\"{}\"", w.0)).collect();
@@ -123,7 +123,7 @@
     }
 
     /// The elements of a list.
-    pub fn list(&self) -> Result<Vec<Value<'a>>, Wrong> {
+    pub fn list(&self) -> Result<Vec<Value<'a>>, FileError> {
         let array = self.expression.as_array().ok_or_else(|| self.wrong("a list in brackets"))?;
         Ok(array.iter().map(|e| self.element(e)).collect())
     }
--- a/crates/router/src/capture.rs
+++ b/crates/router/src/capture.rs
@@ -87,8 +87,8 @@
         let operator = OperatorFile::read(file).map_err(|w| w.to_string())?;
         let root = operator.root();
         let settings = || {
-            let capture = root.need_block("capture")?;
-            let path = capture.need("file")?.text()?.replace("{name}", name);
+            let capture = root.require_block("capture")?;
+            let path = capture.require("file")?.text()?.replace("{name}", name);
             let limits = RecorderLimits {
                 frame: capture.whole("frame", 2_048, 16..=65_536)? as usize,
                 waiting: capture.whole("waiting", 8, 1..=1_024)? as usize,
@@ -97,7 +97,7 @@
             root.done()?;
             Ok((path, limits))
         };
-        let (path, limits) = settings().map_err(|w: vetchkeel_operator::Wrong| w.to_string())?;
+        let (path, limits) = settings().map_err(|w: vetchkeel_operator::FileError| w.to_string())?;
         let out = File::create(&path).map_err(|e| format!("expected to write the capture to {path}: {e}"))?;
         Ok(Recorder::new(out, limits))
     }
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -235,11 +235,11 @@
                     c.left += 1;
                     log!("fleet: {name} has left");
                 }
-                Change::Doubting(level) => {
+                Change::LocalHealthChanged(level) => {
                     c.doubted += 1;
                     log!("fleet: local health of this router: {level} of 8 (0 is healthy)");
                 }
-                Change::Raised(start) => {
+                Change::StartRaised(start) => {
                     c.raised += 1;
                     log!(
                         "fleet: an earlier process of this router had a later clock; this one counts as start {start}"
@@ -253,11 +253,11 @@
                         i.start
                     );
                 }
-                Change::Crowded(name) => {
+                Change::ViewFull(name) => {
                     c.crowded += 1;
                     log!("fleet: {name} was not added: the fleet is full");
                 }
-                Change::Missed(_) => {}
+                Change::ChangesDropped(_) => {}
             }
         }
 
--- a/crates/router/src/fleet/configuration/file.rs
+++ b/crates/router/src/fleet/configuration/file.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use vetchkeel_configuration::{Name, Plan};
 use vetchkeel_control::{address, machines, name, plan};
-use vetchkeel_operator::{OperatorFile, Wrong};
+use vetchkeel_operator::{FileError, OperatorFile};
 
 /// The validated contents of the file.
 #[derive(Debug)]
@@ -21,18 +21,18 @@
     pub plan: Plan,
 }
 
-fn parse(file: &OperatorFile) -> Result<ConfigurationSettings, Wrong> {
+fn parse(file: &OperatorFile) -> Result<ConfigurationSettings, FileError> {
     let root = file.root();
-    let section = root.need_block("configuration")?;
+    let section = root.require_block("configuration")?;
     let machines = machines(&section, "machine")?;
     if machines.is_empty() {
         return Err(section.wrong("at least one block machine", "none"));
     }
     let near = match section.value("near") {
         None => Vec::new(),
-        Some(list) => list.list()?.iter().map(name).collect::<Result<Vec<Name>, Wrong>>()?,
+        Some(list) => list.list()?.iter().map(name).collect::<Result<Vec<Name>, FileError>>()?,
     };
-    let state_file = section.need("keep").and_then(|v| v.text().map(PathBuf::from))?;
+    let state_file = section.require("keep").and_then(|v| v.text().map(PathBuf::from))?;
     let settings = ConfigurationSettings {
         address: address(&section)?,
         machines,
--- a/crates/router/src/fleet/configuration/file/tests.rs
+++ b/crates/router/src/fleet/configuration/file/tests.rs
@@ -9,7 +9,7 @@
   plan { beat = "250ms" }
 }"#;
 
-fn parsed(text: &str) -> Result<ConfigurationSettings, Wrong> {
+fn parsed(text: &str) -> Result<ConfigurationSettings, FileError> {
     parse(&OperatorFile::parse("c.hcl", text)?)
 }
 
--- a/crates/router/src/fleet/configuration/host.rs
+++ b/crates/router/src/fleet/configuration/host.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use vetchkeel::{SettingValues, Tenths};
 use vetchkeel_configuration::{Decision, Document, Name, Notice, Subscriber, Version, whole};
-use vetchkeel_control::{Came, Carrier, found, keep};
+use vetchkeel_control::{ConfigurationTransport, Incoming, read_if_exists, replace_file};
 use vetchkeel_link::Waker;
 use vetchkeel_log::log;
 
@@ -48,7 +48,7 @@
 /// The state of the configuration thread.
 pub struct Host {
     clock: Clock,
-    carrier: Carrier,
+    transport: ConfigurationTransport,
     subscriber: Subscriber,
     file: PathBuf,
     /// The version that the loop is applying, or that is in force but not saved yet; and when to retry the save.
@@ -64,7 +64,7 @@
 
 fn load_saved(file: &std::path::Path) -> Option<(Version, Document)> {
     let path = file.display();
-    let read = found(file).map_err(|why| why.to_string()).transpose()?;
+    let read = read_if_exists(file).map_err(|why| why.to_string()).transpose()?;
     match read.and_then(|bytes| whole::unpack(&bytes).map_err(|bad| bad.to_string())) {
         Ok((version, _, document)) => Some((version, document)),
         Err(why) => {
@@ -91,12 +91,13 @@
         let subscriber = Subscriber::new(settings.plan, me.clone(), start, saved, machines, now, seed);
         let mut subscriber = subscriber.map_err(|bad| bad.to_string())?;
         subscriber.prefer_machines(&settings.near);
-        let carrier = Carrier::bind(&me, start, settings.address, settings.machines, now, seed)?;
+        let transport =
+            ConfigurationTransport::bind(&me, start, settings.address, settings.machines, now, seed)?;
         let (applying, save_retry_at, serving) = (None, None, false);
         let (status, sent_status, pending) = (Status::default(), Status::default(), VecDeque::new());
         Ok(Host {
             clock,
-            carrier,
+            transport,
             subscriber,
             file: settings.state_file,
             applying,
@@ -109,7 +110,7 @@
     }
 
     pub fn waker(&self) -> Waker {
-        self.carrier.waker()
+        self.transport.waker()
     }
 
     /// Runs until the loop has ended.
@@ -131,21 +132,21 @@
                 wake();
             }
             let now = self.clock.now();
-            let due = [self.subscriber.wake_at(), self.carrier.wake_at(), self.save_retry_at];
+            let due = [self.subscriber.wake_at(), self.transport.wake_at(), self.save_retry_at];
             let due = due.into_iter().flatten().min();
             let sleep = due.map_or(MAX_SLEEP, |at| at.saturating_sub(now).clamp(0, MAX_SLEEP));
             let sleep = Duration::from_micros(sleep as u64 * 100);
-            self.carrier.wait(sleep).map_err(|e| format!("cannot wait on its sockets: {e}"))?;
+            self.transport.wait(sleep).map_err(|e| format!("cannot wait on its sockets: {e}"))?;
         }
         Ok(())
     }
 
     fn receive(&mut self, now: Tenths) {
-        for came in self.carrier.hear(now) {
+        for came in self.transport.receive(now) {
             match came {
-                Came::Message(from, message) => self.subscriber.handle_message(now, &from, message),
-                Came::Left(machine) => self.subscriber.connection_lost(now, &machine),
-                Came::Unread(why) => log!("configuration: {why}"),
+                Incoming::Message(from, message) => self.subscriber.handle_message(now, &from, message),
+                Incoming::Disconnected(machine) => self.subscriber.connection_lost(now, &machine),
+                Incoming::Rejected(why) => log!("configuration: {why}"),
             }
         }
     }
@@ -153,7 +154,7 @@
     fn run_decisions(&mut self, now: Tenths) {
         while let Some(decision) = self.subscriber.next_decision(now) {
             match decision {
-                Decision::Send { to, message } => self.carrier.send(now, &to, &message),
+                Decision::Send { to, message } => self.transport.send(now, &to, &message),
                 Decision::Apply { version, document } => {
                     let settings = document.clone().into_map();
                     self.applying = Some((version, document));
@@ -192,7 +193,7 @@
     fn save(&mut self, now: Tenths) {
         self.save_retry_at = None;
         let Some((version, document)) = self.applying.take() else { return };
-        match keep(&self.file, &whole::pack(version, 0, &document)) {
+        match replace_file(&self.file, &whole::pack(version, 0, &document)) {
             Ok(()) => self.subscriber.applied(now, version),
             Err(why) => {
                 log!(
--- a/crates/router/src/fleet/file.rs
+++ b/crates/router/src/fleet/file.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use vetchkeel::Tenths;
 use vetchkeel_membership::{MOST_INSTANCES, Name, Plan, Zone};
-use vetchkeel_operator::{OperatorFile, Section, Wrong};
+use vetchkeel_operator::{FileError, OperatorFile, Section};
 
 /// Maximum number of `seed` blocks and of `via` blocks in one file: the size of the whole fleet for each.
 pub const MAX_NAMED_ROUTERS: usize = MOST_INSTANCES;
@@ -21,15 +21,15 @@
     pub plan: Plan,
 }
 
-fn address(section: &Section<'_>) -> Result<SocketAddr, Wrong> {
-    let value = section.need("address")?;
+fn address(section: &Section<'_>) -> Result<SocketAddr, FileError> {
+    let value = section.require("address")?;
     let parsed: Option<SocketAddr> = value.text()?.parse().ok();
     // Danger: this address is announced to the other routers. An unspecified address would lead each of them to itself.
     let usable = parsed.filter(|a| a.port() != 0 && !a.ip().is_unspecified());
     usable.ok_or_else(|| value.wrong("an address and port that others reach, such as \"127.0.0.1:7400\""))
 }
 
-fn named_addresses(section: &Section<'_>, what: &str) -> Result<BTreeMap<Name, SocketAddr>, Wrong> {
+fn named_addresses(section: &Section<'_>, what: &str) -> Result<BTreeMap<Name, SocketAddr>, FileError> {
     let mut all = BTreeMap::new();
     for block in section.blocks(what)? {
         let label = block.label.unwrap_or_default();
@@ -47,11 +47,11 @@
 }
 
 /// Reads a time. The file has microsecond resolution, a plan uses tenths of a millisecond.
-fn time(section: &Section<'_>, name: &str, default: Tenths) -> Result<Tenths, Wrong> {
+fn time(section: &Section<'_>, name: &str, default: Tenths) -> Result<Tenths, FileError> {
     section.time(name, default * 100, 100..=864_000_000_000).map(|micros| micros / 100)
 }
 
-fn plan(section: &Section<'_>, fleet: u32) -> Result<Plan, Wrong> {
+fn plan(section: &Section<'_>, fleet: u32) -> Result<Plan, FileError> {
     let default = Plan::default();
     let plan = Plan {
         fleet,
@@ -71,9 +71,9 @@
     Ok(plan)
 }
 
-fn parse(file: &OperatorFile) -> Result<FleetSettings, Wrong> {
+fn parse(file: &OperatorFile) -> Result<FleetSettings, FileError> {
     let root = file.root();
-    let fleet = root.need_block("fleet")?;
+    let fleet = root.require_block("fleet")?;
     let number = fleet.whole("number", 0, 0..=u64::from(u32::MAX))? as u32;
     let zone = match fleet.value("zone") {
         None => None,
--- a/crates/router/src/fleet/host.rs
+++ b/crates/router/src/fleet/host.rs
@@ -133,7 +133,7 @@
                 Some(Event::Datagram { kind: MEMBERSHIP, body, .. }) => match decode(&body) {
                     Ok(message) => {
                         self.learn_names(&message);
-                        self.membership.heard(now, &message);
+                        self.membership.handle_message(now, &message);
                     }
                     Err(why) => crate::log!("fleet: a message was rejected: {why}"),
                 },
@@ -160,7 +160,7 @@
             self.names_by_address.extend(link_name(name).map(|name| (at, name)));
         };
         message.claims.iter().for_each(|claim| known(&claim.instance.name, claim.instance.address));
-        if let Body::Errand { to, address, .. } = &message.body {
+        if let Body::PingReq { to, address, .. } = &message.body {
             known(to, *address);
         }
         known(&message.from.name, message.from.address);
@@ -174,7 +174,7 @@
             match decision {
                 Decision::Send { to, message } => self.send(now, to, &message),
                 // The full view follows and includes later changes.
-                Decision::Tell(Change::Missed(_)) => self.full_view_due = true,
+                Decision::Tell(Change::ChangesDropped(_)) => self.full_view_due = true,
                 Decision::Tell(_) if self.full_view_due => {}
                 Decision::Tell(change) => {
                     self.full_view_due = thread_side.updates.push(FleetUpdate::Change(change)).is_err();
@@ -183,7 +183,7 @@
             }
         }
         if self.full_view_due || now >= self.next_full_view_at {
-            let view = View::full(self.membership.view(), self.membership.doubt().level());
+            let view = View::full(self.membership.view(), self.membership.local_health().score());
             self.full_view_due = thread_side.updates.push(FleetUpdate::Full(Box::new(view))).is_err();
             self.next_full_view_at = now + FULL_VIEW_INTERVAL;
             wake = true;
@@ -216,7 +216,7 @@
     /// something is sent to them. Danger: a fleet whose routers restart under new names fills the link with names that the
     /// view no longer has.
     fn make_room(&mut self, now: Tenths) {
-        let present = self.membership.view().filter(|s| s.standing.is_there());
+        let present = self.membership.view().filter(|s| s.liveness.is_present());
         let present: BTreeSet<LinkName> = present.filter_map(|s| link_name(&s.instance.name)).collect();
         let (kept, gone) =
             std::mem::take(&mut self.link_peers).into_iter().partition(|name| present.contains(name));
--- a/crates/router/src/fleet/host/tests.rs
+++ b/crates/router/src/fleet/host/tests.rs
@@ -19,7 +19,7 @@
 fn news_of(i: u16) -> Message {
     let address = SocketAddr::from(([127, 0, 0, 1], i));
     let from = Instance { name: name(i), start: Start { at: 1, count: 0 }, address, zone: None };
-    Message { fleet: 0, from, incarnation: 0, body: Body::News, claims: Vec::new() }
+    Message { fleet: 0, from, incarnation: 0, body: Body::Gossip, claims: Vec::new() }
 }
 
 #[rstest]
@@ -29,7 +29,7 @@
     let (_request, requests) = RingBuffer::new(1);
     let mut thread_side = ThreadSide { updates, requests, heartbeat: Heartbeat::new() };
     let now = host.clock.now();
-    (1..=5).for_each(|i| host.membership.heard(now, &news_of(i)));
+    (1..=5).for_each(|i| host.membership.handle_message(now, &news_of(i)));
     host.run_decisions(&mut thread_side);
     let first = [loops.pop(), loops.pop()];
     assert!(first.iter().all(|update| matches!(update, Ok(FleetUpdate::Change(Change::Joined(_))))));
--- a/crates/router/src/fleet/view.rs
+++ b/crates/router/src/fleet/view.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use std::fmt;
-use vetchkeel_membership::{Change, Instance, MOST_INSTANCES, Name, Seen, Standing, Start};
+use vetchkeel_membership::{Change, Instance, Liveness, MOST_INSTANCES, Name, Start, ViewEntry};
 
 /// Maximum number of names: those of the membership, and as many that it has removed since the full view was last sent.
 /// Further names are ignored until the full view is sent again.
@@ -24,13 +24,13 @@
     Left,
 }
 
-impl From<&Standing> for RouterState {
-    fn from(standing: &Standing) -> RouterState {
-        match standing {
-            Standing::Alive => RouterState::Alive,
-            Standing::Suspect(_) => RouterState::Suspect,
-            Standing::Dead(_) => RouterState::Dead,
-            Standing::Left => RouterState::Left,
+impl From<&Liveness> for RouterState {
+    fn from(liveness: &Liveness) -> RouterState {
+        match liveness {
+            Liveness::Alive => RouterState::Alive,
+            Liveness::Suspect(_) => RouterState::Suspect,
+            Liveness::Dead(_) => RouterState::Dead,
+            Liveness::Left => RouterState::Left,
         }
     }
 }
@@ -45,9 +45,9 @@
 
 impl View {
     /// Builds the full view from the membership's.
-    pub fn full<'a>(seen: impl Iterator<Item = Seen<'a>>, local_health: u8) -> View {
+    pub fn full<'a>(seen: impl Iterator<Item = ViewEntry<'a>>, local_health: u8) -> View {
         let others =
-            seen.map(|s| (s.instance.name.clone(), (s.instance.start, RouterState::from(s.standing))));
+            seen.map(|s| (s.instance.name.clone(), (s.instance.start, RouterState::from(s.liveness))));
         View { others: others.collect(), local_health }
     }
 
@@ -71,8 +71,11 @@
             Change::Returned(name) => self.set_state(name, RouterState::Alive),
             Change::Died(name) => self.set_state(name, RouterState::Dead),
             Change::Left(name) => self.set_state(name, RouterState::Left),
-            Change::Doubting(level) => self.local_health = *level,
-            Change::Raised(_) | Change::Superseded(_) | Change::Crowded(_) | Change::Missed(_) => {}
+            Change::LocalHealthChanged(level) => self.local_health = *level,
+            Change::StartRaised(_)
+            | Change::Superseded(_)
+            | Change::ViewFull(_)
+            | Change::ChangesDropped(_) => {}
         }
     }
 
--- a/crates/scale/src/file.rs
+++ b/crates/scale/src/file.rs
@@ -2,7 +2,7 @@
 
 use crate::schedule::{Control, Driver, Event, Links, Region, Schedule, Signals, Size, What};
 use crate::{SECOND, Tenths};
-use vetchkeel_operator::{OperatorFile, Section, Value, Wrong};
+use vetchkeel_operator::{FileError, OperatorFile, Section, Value};
 
 /// The longest play, in microseconds: a day.
 const DAY: i64 = 24 * 3_600 * 1_000_000;
@@ -16,8 +16,8 @@
 pub const MOST_PROCESSES: u64 = 250;
 
 /// # Errors
-/// [`Wrong`]: file, line, column, what was expected and what was found.
-pub fn read(file: &OperatorFile) -> Result<Schedule, Wrong> {
+/// [`FileError`]: file, line, column, what was expected and what was found.
+pub fn read(file: &OperatorFile) -> Result<Schedule, FileError> {
     let root = file.root();
     let driver = root.choice(
         "driver",
@@ -27,8 +27,8 @@
     let mut schedule = Schedule {
         driver,
         seed: root.whole("seed", 1, 0..=(1 << 53))?,
-        length: tenths(root.need("length")?.time(1_000_000..=DAY)?),
-        size: size(&root.need_block("size")?, driver)?,
+        length: tenths(root.require("length")?.time(1_000_000..=DAY)?),
+        size: size(&root.require_block("size")?, driver)?,
         regions: regions(&root)?,
         links: links(root.block("links")?)?,
         control: control(root.block("control")?)?,
@@ -49,14 +49,14 @@
     micros / 100
 }
 
-fn time(section: &Section<'_>, name: &str, or: Tenths, most: Tenths) -> Result<Tenths, Wrong> {
+fn time(section: &Section<'_>, name: &str, or: Tenths, most: Tenths) -> Result<Tenths, FileError> {
     Ok(tenths(section.time(name, or * 100, 0..=most * 100)?))
 }
 
-fn size(section: &Section<'_>, driver: Driver) -> Result<Size, Wrong> {
+fn size(section: &Section<'_>, driver: Driver) -> Result<Size, FileError> {
     let most = if driver == Driver::Loopback { MOST_PROCESSES } else { MOST_ROUTERS };
-    let routers = section.need("routers")?.whole(1..=most)?;
-    let members = section.need("members")?.whole(1..=MOST_MEMBERS)?;
+    let routers = section.require("routers")?.whole(1..=most)?;
+    let members = section.require("members")?.whole(1..=MOST_MEMBERS)?;
     let size = Size {
         routers: routers as usize,
         members: members as usize,
@@ -69,11 +69,11 @@
     Ok(size)
 }
 
-fn regions(root: &Section<'_>) -> Result<Vec<Region>, Wrong> {
+fn regions(root: &Section<'_>) -> Result<Vec<Region>, FileError> {
     let mut regions = Vec::new();
     for block in root.blocks("region")? {
         let name = block.label.clone().ok_or_else(|| block.section.wrong("a label for region", "none"))?;
-        let zones = block.section.need("zones")?;
+        let zones = block.section.require("zones")?;
         let mut names = Vec::new();
         for value in zones.list()? {
             names.push(short(&value)?);
@@ -90,13 +90,13 @@
     Ok(regions)
 }
 
-fn short(value: &Value<'_>) -> Result<String, Wrong> {
+fn short(value: &Value<'_>) -> Result<String, FileError> {
     let text = value.text()?;
     let fits = !text.is_empty() && text.len() <= 32;
     if fits { Ok(text.to_owned()) } else { Err(value.wrong("a name of 1 to 32 bytes")) }
 }
 
-fn links(section: Option<Section<'_>>) -> Result<Links, Wrong> {
+fn links(section: Option<Section<'_>>) -> Result<Links, FileError> {
     let usual = Links { within_zone: 3, within_region: 10, between_regions: 300, jitter: 0.5, loss: 0.001 };
     let Some(section) = section else { return Ok(usual) };
     let links = Links {
@@ -110,17 +110,17 @@
     Ok(links)
 }
 
-fn control(section: Option<Section<'_>>) -> Result<Control, Wrong> {
+fn control(section: Option<Section<'_>>) -> Result<Control, FileError> {
     let usual = Control { machines: 0, keepers: 0, names: 400, value_bytes: 24 };
     let Some(section) = section else { return Ok(usual) };
-    let machines = section.need("machines")?.whole(0..=MOST_MACHINES)?;
+    let machines = section.require("machines")?.whole(0..=MOST_MACHINES)?;
     let or = match machines {
         0 => 0,
         some => (some.min(5) - 1) | 1,
     };
     let keepers = section.whole("keepers", or, 0..=machines.min(9))?;
     if (keepers % 2 == 0) != (machines == 0) {
-        return Err(section.need("keepers")?.wrong("an odd number of keepers"));
+        return Err(section.require("keepers")?.wrong("an odd number of keepers"));
     }
     let control = Control {
         machines: machines as usize,
@@ -132,7 +132,7 @@
     Ok(control)
 }
 
-fn signals(section: Option<Section<'_>>) -> Result<Signals, Wrong> {
+fn signals(section: Option<Section<'_>>) -> Result<Signals, FileError> {
     let Some(section) = section else { return Ok(Signals { topics: 0, judged: 0 }) };
     let topics = section.whole("topics", 1, 0..=64)? as u32;
     let judged = section.whole("judged", 0, 0..=100)? as usize;
@@ -141,7 +141,7 @@
 }
 
 /// The blocks that are events, with what reads each.
-type Reader = fn(&Section<'_>, &Schedule, Tenths) -> Result<What, Wrong>;
+type Reader = fn(&Section<'_>, &Schedule, Tenths) -> Result<What, FileError>;
 const KINDS: [(&str, Reader); 9] = [
     ("restart", restart),
     ("zone_lost", zone_lost),
@@ -157,7 +157,7 @@
 /// Events that the player on loopback has no means for.
 const SIMULATED_ALONE: [&str; 5] = ["cut", "machine_killed", "machine_stopped", "changes", "broken_change"];
 
-fn events(root: &Section<'_>, schedule: &mut Schedule) -> Result<(), Wrong> {
+fn events(root: &Section<'_>, schedule: &mut Schedule) -> Result<(), FileError> {
     let mut events = Vec::new();
     for (kind, read) in KINDS {
         for block in root.blocks(kind)? {
@@ -165,7 +165,7 @@
             if schedule.driver == Driver::Loopback && SIMULATED_ALONE.contains(&kind) {
                 return Err(section.wrong(format!("driver = \"simulated\" for {kind}"), "\"loopback\""));
             }
-            let at = tenths(section.need("at")?.time(0..=schedule.length * 100)?);
+            let at = tenths(section.require("at")?.time(0..=schedule.length * 100)?);
             let what = read(&section, schedule, at)?;
             section.done()?;
             let name = block.label.unwrap_or_else(|| kind.to_owned());
@@ -180,17 +180,17 @@
 }
 
 /// A time after `at` and inside the play.
-fn until(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<Option<Tenths>, Wrong> {
+fn until(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<Option<Tenths>, FileError> {
     let range = (at + 1) * 100..=schedule.length * 100;
     section.value("until").map(|value| value.time(range).map(tenths)).transpose()
 }
 
-fn need_until(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<Tenths, Wrong> {
-    section.need("until")?;
+fn need_until(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<Tenths, FileError> {
+    section.require("until")?;
     Ok(until(section, schedule, at)?.unwrap_or(schedule.length))
 }
 
-fn restart(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<What, Wrong> {
+fn restart(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<What, FileError> {
     let all = schedule.size.routers as u64;
     let routers = section.whole("routers", all, 1..=all)? as usize;
     let left = schedule.length - at;
@@ -205,17 +205,17 @@
     Ok(What::Restart { routers, over, away: time(section, "away", 2 * SECOND, left)? })
 }
 
-fn zone_lost(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<What, Wrong> {
-    let value = section.need("zone")?;
+fn zone_lost(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<What, FileError> {
+    let value = section.require("zone")?;
     let text = value.text()?;
     let zone = schedule.zones().position(|(_, zone)| zone == text);
     let zone = zone.ok_or_else(|| value.wrong("one of the regions' zones"))?;
     Ok(What::ZoneLost { zone, until: need_until(section, schedule, at)? })
 }
 
-fn cut(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<What, Wrong> {
-    let some = |name: &str| -> Result<Vec<usize>, Wrong> {
-        let value = section.need(name)?;
+fn cut(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<What, FileError> {
+    let some = |name: &str| -> Result<Vec<usize>, FileError> {
+        let value = section.require(name)?;
         let region = |value: &Value<'_>| {
             let text = value.text()?;
             let found = schedule.regions.iter().position(|region| region.name == text);
@@ -230,33 +230,33 @@
 }
 
 /// Control machines are counted from 1.
-fn machine(section: &Section<'_>, schedule: &Schedule) -> Result<usize, Wrong> {
-    let value = section.need("machine")?;
+fn machine(section: &Section<'_>, schedule: &Schedule) -> Result<usize, FileError> {
+    let value = section.require("machine")?;
     match schedule.control.machines as u64 {
         0 => Err(value.wrong("a block control with machines")),
         most => Ok(value.whole(1..=most)? as usize - 1),
     }
 }
 
-fn machine_killed(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<What, Wrong> {
+fn machine_killed(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<What, FileError> {
     Ok(What::Killed { machine: machine(section, schedule)?, until: until(section, schedule, at)? })
 }
 
-fn machine_stopped(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<What, Wrong> {
+fn machine_stopped(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<What, FileError> {
     Ok(What::Stopped { machine: machine(section, schedule)?, until: until(section, schedule, at)? })
 }
 
 /// How many, how often: the last is due inside the play.
-fn series(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<(usize, Tenths), Wrong> {
+fn series(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<(usize, Tenths), FileError> {
     let every = time(section, "every", 0, schedule.length)?;
     let count = section.whole("count", 1, 1..=MOST_CHANGES)? as usize;
     if at + every * (count as Tenths - 1) > schedule.length {
-        return Err(section.need("count")?.wrong("as many as are due inside the play"));
+        return Err(section.require("count")?.wrong("as many as are due inside the play"));
     }
     Ok((count, every))
 }
 
-fn changes(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<What, Wrong> {
+fn changes(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<What, FileError> {
     if schedule.control.machines == 0 {
         return Err(section.wrong("a block control with machines", "none"));
     }
@@ -265,20 +265,20 @@
     Ok(What::Changes { count, every, names })
 }
 
-fn broken_change(section: &Section<'_>, schedule: &Schedule, _: Tenths) -> Result<What, Wrong> {
+fn broken_change(section: &Section<'_>, schedule: &Schedule, _: Tenths) -> Result<What, FileError> {
     if schedule.control.machines == 0 {
         return Err(section.wrong("a block control with machines", "none"));
     }
     Ok(What::Broken)
 }
 
-fn list_changes(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<What, Wrong> {
+fn list_changes(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<What, FileError> {
     let (count, every) = series(section, schedule, at)?;
     let rows = section.whole("rows", 1, 1..=schedule.size.members as u64)? as usize;
     Ok(What::ListChanges { count, every, rows })
 }
 
-fn agents_silent(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<What, Wrong> {
+fn agents_silent(section: &Section<'_>, schedule: &Schedule, at: Tenths) -> Result<What, FileError> {
     let all = schedule.size.routers as u64;
     let routers = section.whole("routers", all, 1..=all)? as usize;
     let answers = section.flag("answers", false)?;
--- a/crates/scale/src/simulated/fleet.rs
+++ b/crates/scale/src/simulated/fleet.rs
@@ -51,7 +51,7 @@
                     Decision::Send { to, message } => {
                         out.extend(wire::encode(&message).map(|bytes| (to, bytes)))
                     }
-                    Decision::Tell(Change::Doubting(_)) => {}
+                    Decision::Tell(Change::LocalHealthChanged(_)) => {}
                     Decision::Tell(_) => changed = true,
                 }
             }
@@ -95,7 +95,7 @@
         let membership = &mut hollow.membership;
         self.costs.of(Role::Membership, || {
             if let Ok(message) = wire::decode::<Message>(bytes) {
-                membership.heard(now, &message);
+                membership.handle_message(now, &message);
             }
         });
     }
@@ -175,7 +175,7 @@
         for seen in hollow.membership.view() {
             let number = router_number(&seen.instance.name).and_then(|number| self.routers.get(number));
             let lives = number.and_then(Option::as_ref).map(|hollow| hollow.started_ms);
-            match (lives, seen.standing.is_there()) {
+            match (lives, seen.liveness.is_present()) {
                 (Some(started), true) if started == seen.instance.start.at => right += 1,
                 (None, true) => wrong += 1,
                 _ => {}
--- a/crates/scale/src/simulated/hollow.rs
+++ b/crates/scale/src/simulated/hollow.rs
@@ -136,7 +136,7 @@
         if !std::mem::take(&mut self.view_changed) {
             return;
         }
-        let there = self.membership.view().filter(|seen| seen.standing.is_there());
+        let there = self.membership.view().filter(|seen| seen.liveness.is_present());
         let live: BTreeSet<Name> = there.map(|seen| seen.instance.name.clone()).collect();
         if let Some(judgements) = &mut self.judgements {
             judgements.live(now, live.clone());
--- a/crates/scale/src/tests/schedule.rs
+++ b/crates/scale/src/tests/schedule.rs
@@ -1,11 +1,11 @@
 use crate::file::read;
 use crate::schedule::{Deed, Schedule, Step};
 use rstest::rstest;
-use vetchkeel_operator::{OperatorFile, Wrong};
+use vetchkeel_operator::{FileError, OperatorFile};
 
 const HEAD: &str = "length = \"60s\"\nsize {\n  routers = 10\n  members = 20\n}\nregion \"r\" { zones = [\"a\", \"b\"] }\nregion \"s\" { zones = [\"c\"] }\n";
 
-fn parsed(tail: &str) -> Result<Schedule, Wrong> {
+fn parsed(tail: &str) -> Result<Schedule, FileError> {
     read(&OperatorFile::parse("s.hcl", &format!("{HEAD}{tail}"))?)
 }
 
--- a/crates/slopes/src/membership.rs
+++ b/crates/slopes/src/membership.rs
@@ -136,7 +136,7 @@
         let Some(membership) = &mut self.instances[at] else { return Ok(()) };
         let from = processor::of_thread();
         let message = wire::decode(bytes).map_err(|e| format!("{e:?}"))?;
-        membership.heard(self.now, &message);
+        membership.handle_message(self.now, &message);
         if sampled {
             self.spent += processor::of_thread() - from;
         }
@@ -164,7 +164,7 @@
     /// How many of those there see all others.
     fn complete(&self) -> usize {
         let sees_all = |m: &&Membership| {
-            m.view().filter(|seen| seen.standing.is_there()).count() >= self.instances.len() - 1
+            m.view().filter(|seen| seen.liveness.is_present()).count() >= self.instances.len() - 1
         };
         self.instances.iter().flatten().filter(sees_all).count()
     }
--- a/crates/slopes/src/table.rs
+++ b/crates/slopes/src/table.rs
@@ -3,7 +3,7 @@
 use crate::fit::Fit;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
-use vetchkeel_operator::{OperatorFile, Section, Wrong};
+use vetchkeel_operator::{FileError, OperatorFile, Section};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
@@ -48,15 +48,16 @@
     if plain.len() > 20 { format!("{value:e}") } else { plain }
 }
 
-fn text(section: &Section, name: &str) -> Result<String, Wrong> {
-    Ok(section.need(name)?.text()?.to_owned())
+fn text(section: &Section, name: &str) -> Result<String, FileError> {
+    Ok(section.require(name)?.text()?.to_owned())
 }
 
-fn read_slope(name: &str, section: &Section) -> Result<Slope, Wrong> {
-    let figure = |name: &str| section.need(name)?.number(-MOST..=MOST);
-    let sizes = section.need("sizes")?;
-    let sizes = sizes.list()?.iter().map(|s| s.number(0.0..=MOST)).collect::<Result<Vec<f64>, Wrong>>()?;
-    let largest = section.need("largest")?;
+fn read_slope(name: &str, section: &Section) -> Result<Slope, FileError> {
+    let figure = |name: &str| section.require(name)?.number(-MOST..=MOST);
+    let sizes = section.require("sizes")?;
+    let sizes =
+        sizes.list()?.iter().map(|s| s.number(0.0..=MOST)).collect::<Result<Vec<f64>, FileError>>()?;
+    let largest = section.require("largest")?;
     if sizes.iter().copied().fold(0.0, f64::max) != largest.number(0.0..=MOST)? {
         return Err(largest.wrong("the largest of sizes"));
     }
@@ -65,28 +66,28 @@
         value: figure("value")?,
         low: figure("low")?,
         high: figure("high")?,
-        residual: section.need("residual")?.number(0.0..=MOST)?,
+        residual: section.require("residual")?.number(0.0..=MOST)?,
         sizes,
-        runs: section.need("runs")?.whole(1..=1_000)? as u32,
+        runs: section.require("runs")?.whole(1..=1_000)? as u32,
     };
     if fit.low > fit.high {
-        return Err(section.need("low")?.wrong("no more than high"));
+        return Err(section.require("low")?.wrong("no more than high"));
     }
     let slope = Slope {
         name: name.to_owned(),
         unit: text(section, "unit")?,
         per: text(section, "per")?,
         fit,
-        kind: section.need("kind")?.choice(&Kind::WORDS)?,
+        kind: section.require("kind")?.choice(&Kind::WORDS)?,
         command: text(section, "command")?,
-        cores: section.need("cores")?.whole(1..=100_000)?,
+        cores: section.require("cores")?.whole(1..=100_000)?,
     };
     section.done()?;
     Ok(slope)
 }
 
 impl SlopeTable {
-    pub fn read(file: &OperatorFile) -> Result<SlopeTable, Wrong> {
+    pub fn read(file: &OperatorFile) -> Result<SlopeTable, FileError> {
         let root = file.root();
         let mut table = BTreeMap::new();
         for block in root.blocks("slope")? {
