--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -8,13 +8,13 @@
 
 mod claim;
 mod doubt;
-mod gossip_queue;
 mod identity;
 mod membership;
 mod order;
 mod peer;
 mod plan;
 mod probe;
+mod rumours;
 mod suspicion;
 mod trip;
 pub mod wire;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -11,11 +11,11 @@
 
 use crate::claim::{Claim, Instance, Liveness};
 use crate::doubt::LocalHealth;
-use crate::gossip_queue::GossipQueue;
 use crate::order::ProbeOrder;
 use crate::peer::Peer;
 use crate::plan::{BadPlan, MOST_INSTANCES, Plan};
 use crate::probe::{IndirectProbe, Probe};
+use crate::rumours::GossipQueue;
 use crate::wire::{Body, LONGEST, Message, length};
 use crate::{Name, Start, Tenths};
 
