--- a/crates/bounds/src/clock.rs
+++ b/crates/bounds/src/clock.rs
@@ -1,25 +1,25 @@
 //! Bounds of the true time, kept by one host.
 
 use crate::agree::agree;
-use crate::interval::{Interval, Moment, Reading, Sample, SourceId, Tenths, widening};
+use crate::interval::{Interval, Moment, Reading, Sample, SourceId, Tenths, drift_allowance};
 use std::collections::BTreeMap;
 
 /// Assumptions that the operator guarantees. If one of them does not hold, no bound holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct Assumptions {
     /// Maximum drift of the monotonic clock in parts per million, including slewing of the wall clock.
     pub drift_ppm: i64,
     /// How far the difference between the wall and the monotonic clock may vary merely because the two are not read at
     /// the same instant. A larger change is a clock step or a sleep.
-    pub tolerance: Tenths,
+    pub step_tolerance: Tenths,
     /// Maximum number of sources that may be faulty at once.
-    pub liars: usize,
+    pub max_faulty: usize,
     /// Maximum number of sources; samples of further ones are rejected.
-    pub sources: usize,
+    pub max_sources: usize,
     /// A source without a sample for this long is dropped. Also the longest round trip accepted.
-    pub heard_within: Tenths,
+    pub max_age: Tenths,
     /// An interval wider than this is treated as unbounded.
-    pub widest: Tenths,
+    pub max_width: Tenths,
 }
 
 /// Events for the host to log.
@@ -50,7 +50,7 @@
     SentInFuture,
     /// The maximum number of sources is already known.
     TooManySources,
-    /// The round trip took longer than `heard_within`.
+    /// The round trip took longer than `max_age`.
     TooOld,
 }
 
@@ -69,7 +69,7 @@
 /// Tracks the true time of one host as an interval.
 #[derive(Clone, Debug)]
 pub struct Clock {
-    terms: Terms,
+    assumptions: Assumptions,
     mono: Tenths,
     /// Sum of all forward jumps of the wall clock against the monotonic clock.
     forward_jumps: Tenths,
@@ -81,10 +81,10 @@
 }
 
 impl Clock {
-    pub fn new(terms: Terms, reading: Reading) -> Self {
+    pub fn new(assumptions: Assumptions, reading: Reading) -> Self {
         let max_offset = reading.wall.saturating_sub(reading.mono);
         Clock {
-            terms,
+            assumptions,
             mono: reading.mono,
             forward_jumps: 0,
             max_offset,
@@ -95,7 +95,7 @@
     }
 
     /// Updates the bounds to this reading. Must be called before each use, since the bounds are wrong after a sleep.
-    pub fn read(&mut self, reading: Reading) -> Moment {
+    pub fn update(&mut self, reading: Reading) -> Moment {
         if reading.mono < self.mono {
             self.record_event(ClockEvent::MonotonicWentBack { by: self.mono - reading.mono });
         } else {
@@ -116,10 +116,10 @@
         if by > 0 {
             self.forward_jumps = self.forward_jumps.saturating_add(by).min(MAX_INSTANT);
             self.max_offset = offset;
-            if by > self.terms.tolerance {
+            if by > self.assumptions.step_tolerance {
                 self.record_event(ClockEvent::SteppedForward { by });
             }
-        } else if -by > self.terms.tolerance {
+        } else if -by > self.assumptions.step_tolerance {
             // Danger: if the maximum were kept, a sleep as long as the step back would go undetected.
             self.max_offset = offset;
             self.record_event(ClockEvent::SteppedBack { by: -by });
@@ -128,24 +128,27 @@
 
     /// Adds the answer of a source, received at the last reading. The source answered at some instant within the round
     /// trip, so the present time is not before its answer and at most the whole round trip after it.
-    pub fn heard(&mut self, source: SourceId, sample: Sample) -> Result<(), SampleError> {
-        let theirs = sample.theirs;
-        if theirs.earliest > theirs.latest || theirs.earliest < -MAX_INSTANT || theirs.latest > MAX_INSTANT {
+    pub fn add_sample(&mut self, source: SourceId, sample: Sample) -> Result<(), SampleError> {
+        let answer = sample.answer;
+        if answer.earliest > answer.latest || answer.earliest < -MAX_INSTANT || answer.latest > MAX_INSTANT {
             return Err(SampleError::InvalidInterval);
         }
         let now = self.moment();
-        let round_trip = now.count - sample.asked_count;
-        if sample.asked_mono > now.mono || round_trip < 0 {
+        let round_trip = now.count - sample.sent_count;
+        if sample.sent_mono > now.mono || round_trip < 0 {
             return Err(SampleError::SentInFuture);
         }
-        if round_trip > self.terms.heard_within {
+        if round_trip > self.assumptions.max_age {
             return Err(SampleError::TooOld);
         }
-        if !self.sources.contains_key(&source) && self.sources.len() >= self.terms.sources {
+        if !self.sources.contains_key(&source) && self.sources.len() >= self.assumptions.max_sources {
             return Err(SampleError::TooManySources);
         }
-        let latest = theirs.latest + round_trip + widening(round_trip, self.terms.drift_ppm) + self.slack();
-        let sampled = Interval { earliest: theirs.earliest, latest };
+        let latest = answer.latest
+            + round_trip
+            + drift_allowance(round_trip, self.assumptions.drift_ppm)
+            + self.slack();
+        let sampled = Interval { earliest: answer.earliest, latest };
         let previous = self.sources.get(&source).copied();
         let disagrees = previous.is_some_and(|o| o.disagrees);
         // Keep the tighter of the two intervals, unless they contradict each other: then the source was wrong or the
@@ -185,30 +188,30 @@
 
     /// Covers a sleep that stays below the tolerance, and the granularity of a reading.
     fn slack(&self) -> Tenths {
-        self.terms.tolerance + 1
+        self.assumptions.step_tolerance + 1
     }
 
     fn extrapolate(&self, state: &SourceState) -> Interval {
         // Readings are truncated to a tenth, so the elapsed time may be shorter by one.
         let min_elapsed = (self.mono - state.mono - 1).max(0);
         let max_elapsed = self.mono.saturating_add(self.forward_jumps) - state.count;
-        let ppm = self.terms.drift_ppm;
+        let ppm = self.assumptions.drift_ppm;
         Interval {
-            earliest: state.interval.earliest + min_elapsed - widening(min_elapsed, ppm),
+            earliest: state.interval.earliest + min_elapsed - drift_allowance(min_elapsed, ppm),
             latest: state
                 .interval
                 .latest
                 .saturating_add(max_elapsed)
-                .saturating_add(widening(max_elapsed, ppm)),
+                .saturating_add(drift_allowance(max_elapsed, ppm)),
         }
     }
 
     fn recompute(&mut self) {
-        let (mono, within) = (self.mono, self.terms.heard_within);
-        self.sources.retain(|_, state| mono - state.mono <= within);
+        let (mono, max_age) = (self.mono, self.assumptions.max_age);
+        self.sources.retain(|_, state| mono - state.mono <= max_age);
         let aged: Vec<(SourceId, Interval)> =
             self.sources.iter().map(|(id, h)| (*id, self.extrapolate(h))).collect();
-        let agreement = agree(&aged, self.terms.liars);
+        let agreement = agree(&aged, self.assumptions.max_faulty);
         let mut changed = Vec::new();
         if let Some(agreement) = &agreement {
             for (id, state) in &mut self.sources {
@@ -223,7 +226,7 @@
                 }
             }
         }
-        let time = agreement.map(|a| a.interval).filter(|i| i.width() <= self.terms.widest);
+        let time = agreement.map(|a| a.interval).filter(|i| i.width() <= self.assumptions.max_width);
         match (self.time, time) {
             (Some(_), None) => changed.push(ClockEvent::Unbounded),
             (None, Some(found)) => changed.push(ClockEvent::Bounded { width: found.width() }),
--- a/crates/bounds/src/interval.rs
+++ b/crates/bounds/src/interval.rs
@@ -33,12 +33,12 @@
     }
 
     /// Whether `instant` is in the past for every time in the interval.
-    pub fn passed(&self, instant: Tenths) -> bool {
+    pub fn is_past(&self, instant: Tenths) -> bool {
         self.earliest > instant
     }
 
     /// Whether `instant` may have been reached. Only if this is false is `instant` certainly in the future.
-    pub fn reached(&self, instant: Tenths) -> bool {
+    pub fn may_have_reached(&self, instant: Tenths) -> bool {
         self.latest >= instant
     }
 
@@ -77,7 +77,7 @@
     /// Upper bound of the true time at `moment`, which belongs to the same clock; the clock drifts by at most `ppm`.
     pub fn latest(&self, moment: &Moment, ppm: i64) -> Tenths {
         let elapsed = moment.count - self.count + 1;
-        let carried = self.latest.saturating_add(elapsed).saturating_add(widening(elapsed, ppm));
+        let carried = self.latest.saturating_add(elapsed).saturating_add(drift_allowance(elapsed, ppm));
         moment.time.map_or(carried, |time| time.latest.min(carried))
     }
 }
@@ -86,15 +86,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sample {
     /// [`Moment::mono`] when the request was sent.
-    pub asked_mono: Tenths,
+    pub sent_mono: Tenths,
     /// [`Moment::count`] when the request was sent.
-    pub asked_count: Tenths,
+    pub sent_count: Tenths,
     /// The interval that the source gave for the time of its answer.
-    pub theirs: Interval,
+    pub answer: Interval,
 }
 
 /// The most that a clock with a drift of at most `ppm` parts per million gains or loses over `elapsed`, rounded up.
-pub fn widening(elapsed: Tenths, ppm: i64) -> Tenths {
+pub fn drift_allowance(elapsed: Tenths, ppm: i64) -> Tenths {
     let exact = i128::from(elapsed.max(0)) * i128::from(ppm.max(0));
     ((exact + 999_999) / 1_000_000).min(i128::from(i64::MAX / 4)) as Tenths
 }
--- a/crates/bounds/src/lib.rs
+++ b/crates/bounds/src/lib.rs
@@ -11,8 +11,8 @@
 mod interval;
 
 pub use agree::{Agreement, agree};
-pub use clock::{Clock, ClockEvent, SampleError, Terms};
-pub use interval::{Anchor, Interval, Moment, Reading, SECOND, Sample, SourceId, Tenths, widening};
+pub use clock::{Assumptions, Clock, ClockEvent, SampleError};
+pub use interval::{Anchor, Interval, Moment, Reading, SECOND, Sample, SourceId, Tenths, drift_allowance};
 
 #[cfg(test)]
 mod tests;
--- a/crates/bounds/src/tests.rs
+++ b/crates/bounds/src/tests.rs
@@ -33,13 +33,13 @@
     assert_eq!(named, outliers);
 }
 
-const TERMS: Terms = Terms {
+const ASSUMPTIONS: Assumptions = Assumptions {
     drift_ppm: 200,
-    tolerance: 50,
-    liars: 1,
-    sources: 4,
-    heard_within: 60 * SECOND,
-    widest: 5 * SECOND,
+    step_tolerance: 50,
+    max_faulty: 1,
+    max_sources: 4,
+    max_age: 60 * SECOND,
+    max_width: 5 * SECOND,
 };
 
 /// Plays the clock of a machine with the maximum assumed drift, with sleep and clock steps, and four sources of which
@@ -54,7 +54,7 @@
         let mut draw = |most: i64| chance.generate_range(0..most as u64) as i64;
         let (mut now, mut mono, mut wall) = (1_000_000_000_i64, 5_000.0_f64, 77_000_000.0_f64);
         let read = |mono: f64, wall: f64| Reading { mono: mono as i64, wall: wall as i64 };
-        let mut clock = Clock::new(TERMS, read(mono, wall));
+        let mut clock = Clock::new(ASSUMPTIONS, read(mono, wall));
         for _ in 0..200 {
             let passed = draw(2 * SECOND);
             now += passed;
@@ -68,7 +68,7 @@
                 }
                 _ => mono += passed as f64 * rate,
             }
-            let asked = clock.read(read(mono, wall));
+            let asked = clock.update(read(mono, wall));
             if let Some(time) = asked.time {
                 known += 1;
                 assert!(time.earliest <= now && now <= time.latest, "seed {seed}: {time:?}, true {now}");
@@ -81,13 +81,13 @@
             now += there + back;
             mono += (there + back) as f64 * rate;
             wall += (there + back) as f64 * rate;
-            clock.read(read(mono, wall));
+            clock.update(read(mono, wall));
             for source in 0..4 {
                 let off = if source == 3 { draw(40 * SECOND) - 20 * SECOND } else { 0 };
                 let (below, above) = (draw(20), draw(20));
-                let theirs = Interval { earliest: answered + off - below, latest: answered + off + above };
-                let sample = Sample { asked_mono: asked.mono, asked_count: asked.count, theirs };
-                let _ = clock.heard(SourceId(source), sample);
+                let answer = Interval { earliest: answered + off - below, latest: answered + off + above };
+                let sample = Sample { sent_mono: asked.mono, sent_count: asked.count, answer };
+                let _ = clock.add_sample(SourceId(source), sample);
             }
             if let Some(time) = clock.moment().time {
                 assert!(time.earliest <= now && now <= time.latest, "seed {seed}: {time:?}, true {now}");
@@ -99,12 +99,12 @@
 
 /// A clock with one sample of each of three correct sources, at a round trip of 10 ms.
 fn clock_with_one_sample_each() -> Clock {
-    let mut clock = Clock::new(TERMS, Reading { mono: 0, wall: 0 });
-    clock.read(Reading { mono: 100, wall: 100 });
+    let mut clock = Clock::new(ASSUMPTIONS, Reading { mono: 0, wall: 0 });
+    clock.update(Reading { mono: 100, wall: 100 });
     for source in 0..3 {
-        let theirs = Interval { earliest: 5_000_000, latest: 5_000_010 };
-        let sample = Sample { asked_mono: 0, asked_count: 0, theirs };
-        clock.heard(SourceId(source), sample).unwrap();
+        let answer = Interval { earliest: 5_000_000, latest: 5_000_010 };
+        let sample = Sample { sent_mono: 0, sent_count: 0, answer };
+        clock.add_sample(SourceId(source), sample).unwrap();
     }
     clock
 }
@@ -120,7 +120,7 @@
     #[case] wall: i64,
     #[case] expected: Option<(i64, i64)>,
 ) {
-    let time = clock_with_one_sample_each().read(Reading { mono, wall }).time;
+    let time = clock_with_one_sample_each().update(Reading { mono, wall }).time;
     assert_eq!(time.map(|t| (t.earliest, t.latest)), expected);
 }
 
@@ -132,7 +132,7 @@
 fn clock_faults_are_reported(#[case] reading: Reading, #[case] expected: ClockEvent) {
     let mut clock = clock_with_one_sample_each();
     clock.take_events();
-    clock.read(reading);
+    clock.update(reading);
     assert_eq!(clock.take_events(), [expected]);
 }
 
@@ -143,25 +143,25 @@
 #[case::too_many_sources(9, Interval { earliest: 0, latest: 9 }, 0, SampleError::TooManySources)]
 fn invalid_samples_are_rejected(
     #[case] source: u32,
-    #[case] theirs: Interval,
+    #[case] answer: Interval,
     #[case] asked: i64,
     #[case] expected: SampleError,
 ) {
     let mut clock = clock_with_one_sample_each();
-    let sample = Sample { asked_mono: asked, asked_count: asked, theirs };
+    let sample = Sample { sent_mono: asked, sent_count: asked, answer };
     clock
-        .heard(
+        .add_sample(
             SourceId(3),
-            Sample { asked_mono: 0, asked_count: 0, theirs: Interval { earliest: 0, latest: 9 } },
+            Sample { sent_mono: 0, sent_count: 0, answer: Interval { earliest: 0, latest: 9 } },
         )
         .unwrap();
-    assert_eq!(clock.heard(SourceId(source), sample), Err(expected));
+    assert_eq!(clock.add_sample(SourceId(source), sample), Err(expected));
 }
 
 #[test]
 fn disagreeing_source_is_reported() {
     let mut clock = clock_with_one_sample_each();
-    let theirs = Interval { earliest: 9_000_000, latest: 9_000_010 };
-    clock.heard(SourceId(3), Sample { asked_mono: 0, asked_count: 0, theirs }).unwrap();
+    let answer = Interval { earliest: 9_000_000, latest: 9_000_010 };
+    clock.add_sample(SourceId(3), Sample { sent_mono: 0, sent_count: 0, answer }).unwrap();
     assert_eq!(clock.take_events().last(), Some(&ClockEvent::Disagrees { source: SourceId(3) }));
 }
--- a/crates/embargo/src/gate.rs
+++ b/crates/embargo/src/gate.rs
@@ -3,7 +3,7 @@
 
 use crate::words::*;
 use std::collections::{BTreeMap, VecDeque};
-use vetchkeel_bounds::{Anchor, Interval, Moment, Tenths, widening};
+use vetchkeel_bounds::{Anchor, Interval, Moment, Tenths, drift_allowance};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct GateTerms {
@@ -101,7 +101,7 @@
     /// clock that lies far back would stretch it, so the count since the ask must bear it out.
     fn leased(&self, moment: &Moment) -> Option<Interval> {
         let (lease, time) = (self.lease?, moment.time?);
-        (!time.reached(lease.until) && moment.count < lease.count).then_some(time)
+        (!time.may_have_reached(lease.until) && moment.count < lease.count).then_some(time)
     }
 
     /// Danger: opening at any later end of the interval than the earliest would open before the release on a clock that is
@@ -109,7 +109,7 @@
     fn opens(&self, known: &Known, moment: &Moment) -> bool {
         let Release::At(release) = known.schedule.release else { return false };
         let leased = self.leased(moment);
-        known.opened.is_none() && leased.is_some_and(|time| time.passed(release))
+        known.opened.is_none() && leased.is_some_and(|time| time.is_past(release))
     }
 
     fn serves(&self, known: &Known, moment: &Moment, ppm: i64) -> bool {
@@ -120,8 +120,8 @@
         let Unheard::For(stays) = known.schedule.unheard else { return true };
         let Some(longest) = self.longest else { return false };
         let over = longest.until.saturating_add(stays);
-        let count = longest.count.saturating_add(stays - widening(stays, ppm));
-        moment.time.is_some_and(|time| !time.reached(over)) && moment.count < count
+        let count = longest.count.saturating_add(stays - drift_allowance(stays, ppm));
+        moment.time.is_some_and(|time| !time.may_have_reached(over)) && moment.count < count
     }
 }
 
@@ -201,7 +201,7 @@
         if reply.through > office.applied {
             return;
         }
-        let count = asked.saturating_add(grant.length - widening(grant.length, ppm));
+        let count = asked.saturating_add(grant.length - drift_allowance(grant.length, ppm));
         let lease = Lease { until: grant.until, count };
         let longer =
             |old: &Option<Lease>| old.is_none_or(|o| (o.until, o.count) < (lease.until, lease.count));
@@ -279,7 +279,7 @@
         }
         if let Some(time) = moment.time {
             let before = office.known.len();
-            office.known.retain(|_, k| !time.passed(k.schedule.ends));
+            office.known.retain(|_, k| !time.is_past(k.schedule.ends));
             if office.full && office.known.len() < before {
                 (office.full, office.full_told) = (false, false);
             }
@@ -309,7 +309,7 @@
         let known = office.known.get(&bulletin)?;
         let time = office.leased(moment)?;
         match (known.schedule.notice, known.schedule.release) {
-            (Notice::Announced, Release::At(release)) if !time.passed(release) => {
+            (Notice::Announced, Release::At(release)) if !time.is_past(release) => {
                 Some(moment.mono + release - time.earliest + 1)
             }
             _ => None,
@@ -331,7 +331,7 @@
             }
             for known in office.known.values().filter(|k| k.opened.is_none()) {
                 if let Release::At(release) = known.schedule.release
-                    && !time.passed(release)
+                    && !time.is_past(release)
                 {
                     at(moment.mono + release - time.earliest + 1);
                 }
--- a/crates/embargo/src/publisher.rs
+++ b/crates/embargo/src/publisher.rs
@@ -530,12 +530,12 @@
         let Some(time) = moment.time else { return };
         let entries = &self.record.entries;
         let serves = |until: Tenths| {
-            let shown = |e: &&Entry| until > e.floor && !time.passed(e.schedule.ends);
+            let shown = |e: &&Entry| until > e.floor && !time.is_past(e.schedule.ends);
             entries.values().any(|e| shown(&e))
         };
         let owing = &self.owing;
         self.held
-            .retain(|holder, held| !time.passed(held.until) || owing.contains(holder) || serves(held.until));
+            .retain(|holder, held| !time.is_past(held.until) || owing.contains(holder) || serves(held.until));
     }
 
     /// An answer that is owed, or a change that an edge has not acknowledged.
--- a/crates/embargo/tests/world/mod.rs
+++ b/crates/embargo/tests/world/mod.rs
@@ -5,7 +5,7 @@
 
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, BTreeSet};
-use vetchkeel_bounds::{Clock, Interval, Moment, Reading, SECOND, Sample, SourceId, Tenths, Terms};
+use vetchkeel_bounds::{Assumptions, Clock, Interval, Moment, Reading, SECOND, Sample, SourceId, Tenths};
 use vetchkeel_embargo::*;
 
 pub mod audit {
@@ -211,7 +211,7 @@
         if !self.wall {
             reading.wall = reading.mono;
         }
-        self.clock.read(reading)
+        self.clock.update(reading)
     }
 }
 
@@ -278,14 +278,14 @@
     played: Played,
 }
 
-fn terms(outvoting: bool) -> Terms {
-    Terms {
+fn terms(outvoting: bool) -> Assumptions {
+    Assumptions {
         drift_ppm: PPM,
-        tolerance: 50,
-        liars: usize::from(outvoting),
-        sources: 16,
-        heard_within: 60 * SECOND,
-        widest: 5 * SECOND,
+        step_tolerance: 50,
+        max_faulty: usize::from(outvoting),
+        max_sources: 16,
+        max_age: 60 * SECOND,
+        max_width: 5 * SECOND,
     }
 }
 
@@ -521,8 +521,8 @@
                 let lies = self.liar == Some(source as u32);
                 let off = if lies { self.within(40 * SECOND) - 20 * SECOND } else { 0 };
                 let (below, above) = (1 + self.within(20), 1 + self.within(20));
-                let theirs = Interval { earliest: self.now + off - below, latest: self.now + off + above };
-                let sample = Sample { asked_mono: mono, asked_count: count, theirs };
+                let answer = Interval { earliest: self.now + off - below, latest: self.now + off + above };
+                let sample = Sample { sent_mono: mono, sent_count: count, answer };
                 self.send(node, from, Packet::Time { source: source as u32, sample });
             }
             return;
@@ -554,7 +554,7 @@
                 edge.heard(reply, &moment);
             }
             (Packet::Time { source, sample }, _) => {
-                let _ = process.host.clock.heard(SourceId(source), sample);
+                let _ = process.host.clock.add_sample(SourceId(source), sample);
             }
             _ => {}
         }
--- a/crates/scale/src/simulated/agents.rs
+++ b/crates/scale/src/simulated/agents.rs
@@ -138,7 +138,7 @@
         if let Some(judgements) = &mut hollow.judgements {
             for entry in entries.iter().filter(|entry| entry.phase == Phase::Up && entry.started > 0) {
                 if let Ok(name) = Name::new(&entry.node) {
-                    judgements.seen(&name, entry.started as u64 / 10);
+                    judgements.observe_incarnation(&name, entry.started as u64 / 10);
                 }
             }
         }
--- a/crates/scale/src/simulated/fleet.rs
+++ b/crates/scale/src/simulated/fleet.rs
@@ -5,7 +5,7 @@
 use crate::{SECOND, Tenths};
 use std::collections::BTreeMap;
 use vetchkeel_membership::{Change, Decision, Message, Name, wire};
-use vetchkeel_shared::judgements::Ruling;
+use vetchkeel_shared::judgements::Output;
 use vetchkeel_shared::wire::Decision as Shared;
 
 /// Bytes of the headers of IP and UDP.
@@ -106,8 +106,8 @@
         let (counts, judgements) = (&mut hollow.counts, &mut hollow.judgements);
         self.costs.of(Role::Signals, || {
             let Ok(message) = vetchkeel_shared::wire::decode(bytes) else { return };
-            let _ = counts.as_mut().is_some_and(|counts| counts.heard(now, &message))
-                || judgements.as_mut().is_some_and(|judgements| judgements.heard(now, &message));
+            let _ = counts.as_mut().is_some_and(|counts| counts.handle_message(now, &message))
+                || judgements.as_mut().is_some_and(|judgements| judgements.handle_message(now, &message));
         });
     }
 
@@ -201,11 +201,11 @@
         if let Some(judgements) = &mut self.judgements {
             while let Some(ruling) = judgements.next_decision(now) {
                 match ruling {
-                    Ruling::Send(Shared::Send { to, message }) => {
+                    Output::Send(Shared::Send { to, message }) => {
                         sends.extend(vetchkeel_shared::wire::encode(&message).map(|bytes| (to, bytes)));
                     }
-                    Ruling::Dark(member, _) => dark.push(member),
-                    Ruling::Light(..) => {}
+                    Output::Down(member, _) => dark.push(member),
+                    Output::Recovered(..) => {}
                 }
             }
         }
--- a/crates/scale/src/simulated/hollow.rs
+++ b/crates/scale/src/simulated/hollow.rs
@@ -11,7 +11,7 @@
 use vetchkeel::{Decision, MemberEntry};
 use vetchkeel_membership::{Instance, Membership, Name, Plan, Start};
 use vetchkeel_shared::counts::Counts;
-use vetchkeel_shared::judgements::{Judgements, Part, Rules};
+use vetchkeel_shared::judgements::{Judgements, QuorumFraction, Rules};
 
 /// Counts lose half in a minute; news of counts and judgements goes out once a second.
 const HALF_LIFE: Tenths = 60 * SECOND;
@@ -139,10 +139,10 @@
         let there = self.membership.view().filter(|seen| seen.liveness.is_present());
         let live: BTreeSet<Name> = there.map(|seen| seen.instance.name.clone()).collect();
         if let Some(judgements) = &mut self.judgements {
-            judgements.live(now, live.clone());
+            judgements.set_live(now, live.clone());
         }
         if let Some(counts) = &mut self.counts {
-            counts.live(live);
+            counts.set_live(live);
         }
     }
 }
@@ -164,8 +164,13 @@
     let counts = || Counts::new(name.clone(), start, HALF_LIFE, NEWS_EVERY, now, chance.generate());
     let counts = (signals.topics > 0).then(counts);
     let judgements = (signals.judged > 0).then(|| {
-        let part = Part { of: 1, in_all: 2 };
-        let rules = Rules { part, lasts: JUDGED_FOR, lingers: 600 * SECOND, every: NEWS_EVERY };
+        let quorum = QuorumFraction { numerator: 1, denominator: 2 };
+        let rules = Rules {
+            quorum,
+            judgement_ttl: JUDGED_FOR,
+            departed_ttl: 600 * SECOND,
+            gossip_interval: NEWS_EVERY,
+        };
         Judgements::new(name.clone(), start, rules, now, chance.generate())
     });
     Ok((counts, judgements.transpose().map_err(|bad| bad.to_string())?))
--- a/crates/scale/src/simulated/outcome.rs
+++ b/crates/scale/src/simulated/outcome.rs
@@ -151,7 +151,7 @@
         let readings = observers.filter_map(|router| {
             let counts = self.routers[router].as_ref()?.counts.as_ref()?;
             let reading = counts.read(self.now, 0);
-            Some((reading.heard, reading.live, reading.oldest))
+            Some((reading.included, reading.live, reading.oldest))
         });
         readings.min_by_key(|(heard, ..)| *heard).unwrap_or_default()
     }
--- a/crates/shared/src/budgets/budget.rs
+++ b/crates/shared/src/budgets/budget.rs
@@ -78,7 +78,7 @@
     }
 
     /// Handles a received message. Returns false if the message is not for this module.
-    pub fn heard(&mut self, now: Tenths, message: &Message) -> bool {
+    pub fn handle_message(&mut self, now: Tenths, message: &Message) -> bool {
         self.advance(now);
         match &message.body {
             Body::LoanRequest(request) => {
--- a/crates/shared/src/budgets/lender.rs
+++ b/crates/shared/src/budgets/lender.rs
@@ -8,7 +8,7 @@
 
 /// Maximum number of borrowers of one lender. Further ones get nothing until one has sent no request for the duration
 /// of a loan.
-pub const MOST_BORROWERS: usize = MOST_INSTANCES;
+pub const MAX_BORROWERS: usize = MOST_INSTANCES;
 /// Maximum number of unexpired loans to one borrower. At the limit it gets no new loan until one expires.
 const MAX_LOANS: usize = 6;
 
@@ -90,7 +90,7 @@
         if now < self.lends_from || request.terms != self.terms || self.lendable == 0 {
             return None;
         }
-        if !self.borrowers.contains_key(from) && self.borrowers.len() >= MOST_BORROWERS {
+        if !self.borrowers.contains_key(from) && self.borrowers.len() >= MAX_BORROWERS {
             return None;
         }
         let fresh = BorrowerState { start, number: 0, want: 0, last_request: now, loans: Vec::new() };
--- a/crates/shared/src/budgets/terms.rs
+++ b/crates/shared/src/budgets/terms.rs
@@ -8,7 +8,7 @@
 use super::Rate;
 
 /// Maximum number of routers in the terms of one budget: one for each instance that a fleet may have.
-pub const MOST_SEATS: usize = MOST_INSTANCES;
+pub const MAX_ALLOTMENTS: usize = MOST_INSTANCES;
 /// Maximum clock drift in parts per million.
 pub const MAX_DRIFT_PPM: i64 = 100_000;
 /// Maximum budget in thousandths of a token per second, so that products with times stay far below 63 bits.
@@ -47,7 +47,7 @@
     },
     /// The budget is not within 0 and [`MAX_TOTAL`], or a floor or lendable rate is negative or too high.
     Rate(Rate),
-    /// More routers than [`MOST_SEATS`].
+    /// More routers than [`MAX_ALLOTMENTS`].
     Allotments(usize),
     /// The loan duration is not between 100 ms and 1 h.
     LoanDuration(Tenths),
@@ -65,7 +65,7 @@
             }
             TermsError::Rate(rate) => write!(out, "rate {rate}, expected 0 to {MAX_TOTAL}"),
             TermsError::Allotments(allotments) => {
-                write!(out, "{allotments} routers in the terms, expected at most {MOST_SEATS}")
+                write!(out, "{allotments} routers in the terms, expected at most {MAX_ALLOTMENTS}")
             }
             TermsError::LoanDuration(loan_duration) => write!(
                 out,
@@ -108,7 +108,7 @@
         if sum > i128::from(total) {
             return Err(TermsError::AboveBudget { sum, total });
         }
-        if allotments.len() > MOST_SEATS {
+        if allotments.len() > MAX_ALLOTMENTS {
             return Err(TermsError::Allotments(allotments.len()));
         }
         if !(1_000..=36_000_000).contains(&loan_duration) {
@@ -128,7 +128,7 @@
     ///
     /// # Errors
     /// [`TermsError`] names the invalid value.
-    pub fn even(
+    pub fn split_evenly(
         version: u32,
         total: Rate,
         names: &[Name],
--- a/crates/shared/src/counts.rs
+++ b/crates/shared/src/counts.rs
@@ -17,10 +17,10 @@
 
 /// Maximum number of tallies kept. At the limit the tally of another router that was updated longest ago is evicted,
 /// never one of this router.
-pub const MOST: usize = 16_384;
+pub const MAX_TALLIES: usize = 16_384;
 /// Maximum number of topics of one router. Events of a further topic are not counted, and [`Counts::add`] returns
 /// false.
-pub const MOST_TOPICS: usize = 256;
+pub const MAX_TOPICS: usize = 256;
 /// Number of peers that receive each update round.
 const FANOUT: usize = 2;
 /// Decay ticks per half-life; 62757 / 65536 = 2^(-1/16) of the value remains after each tick.
@@ -54,7 +54,7 @@
     /// The part of them counted by this router.
     pub own: u64,
     /// Live routers whose tally is included, this one among them.
-    pub heard: usize,
+    pub included: usize,
     /// Number of live routers.
     pub live: usize,
     /// Age of the oldest tally of a live router; a lower bound.
@@ -75,7 +75,7 @@
     me: Name,
     start: Start,
     tick: Tenths,
-    every: Tenths,
+    gossip_interval: Tenths,
     live: BTreeSet<Name>,
     held: BTreeMap<Key, StoredTally>,
     gossip: GossipQueue<Key>,
@@ -86,26 +86,33 @@
 }
 
 impl Counts {
-    /// The counts of `me` in its incarnation `start`. A count halves every `half_life`, and updates are sent `every` so
-    /// often.
-    pub fn new(me: Name, start: Start, half_life: Tenths, every: Tenths, now: Tenths, seed: u64) -> Counts {
+    /// The counts of `me` in its incarnation `start`. A count halves every `half_life`, and updates are sent every
+    /// `gossip_interval`.
+    pub fn new(
+        me: Name,
+        start: Start,
+        half_life: Tenths,
+        gossip_interval: Tenths,
+        now: Tenths,
+        seed: u64,
+    ) -> Counts {
         Counts {
             live: BTreeSet::from([me.clone()]),
             me,
             start,
             tick: (half_life / TICKS_PER_HALF_LIFE).max(1),
-            every: every.max(1),
+            gossip_interval: gossip_interval.max(1),
             held: BTreeMap::new(),
             gossip: GossipQueue::new(),
             changed: BTreeSet::new(),
-            next_round: now + every.max(1),
+            next_round: now + gossip_interval.max(1),
             outbox: Vec::new(),
             chance: WyRand::new_seed(seed),
         }
     }
 
     /// Sets the live routers according to the membership.
-    pub fn live(&mut self, mut live: BTreeSet<Name>) {
+    pub fn set_live(&mut self, mut live: BTreeSet<Name>) {
         live.insert(self.me.clone());
         self.live = live;
     }
@@ -114,7 +121,7 @@
     pub fn add(&mut self, now: Tenths, topic: Topic, times: u32) -> bool {
         let key = (topic, self.me.clone(), self.start);
         let topics = self.held.keys().filter(|key| key.1 == self.me && key.2 == self.start).count();
-        if !self.held.contains_key(&key) && topics >= MOST_TOPICS {
+        if !self.held.contains_key(&key) && topics >= MAX_TOPICS {
             return false;
         }
         let tick = self.tick;
@@ -128,7 +135,7 @@
     }
 
     /// Handles a received message. Returns false if the message is not for this module.
-    pub fn heard(&mut self, now: Tenths, message: &Message) -> bool {
+    pub fn handle_message(&mut self, now: Tenths, message: &Message) -> bool {
         let Body::Counts(tallies) = &message.body else { return false };
         for tally in tallies {
             self.merge(now, tally);
@@ -138,8 +145,8 @@
 
     /// The count of `topic`, from the tallies known to this router.
     pub fn read(&self, now: Tenths, topic: Topic) -> Reading {
-        let mut reading = Reading { total: 0, own: 0, heard: 0, live: self.live.len(), oldest: 0 };
-        let mut heard = BTreeSet::new();
+        let mut reading = Reading { total: 0, own: 0, included: 0, live: self.live.len(), oldest: 0 };
+        let mut included = BTreeSet::new();
         let own_key = (topic, self.me.clone(), self.start);
         let from = self.held.range(..).filter(|(key, _)| key.0 == own_key.0);
         for ((_, router, _), held) in from {
@@ -149,12 +156,12 @@
                 reading.own += value;
             }
             if self.live.contains(router) {
-                heard.insert(router);
+                included.insert(router);
                 let age = if *router == self.me { 0 } else { now - held.at };
                 reading.oldest = reading.oldest.max(age);
             }
         }
-        reading.heard = heard.len();
+        reading.included = included.len();
         reading.total = (reading.total + UNITS_PER_EVENT / 2) / UNITS_PER_EVENT;
         reading.own = (reading.own + UNITS_PER_EVENT / 2) / UNITS_PER_EVENT;
         reading
@@ -163,7 +170,7 @@
     /// The next decision; the host calls this until it returns `None`.
     pub fn next_decision(&mut self, now: Tenths) -> Option<Decision> {
         if now >= self.next_round {
-            self.next_round = now + self.every;
+            self.next_round = now + self.gossip_interval;
             self.publish(now);
         }
         self.outbox.pop().map(|(to, message)| Decision::Send { to, message })
@@ -217,7 +224,7 @@
             return;
         }
         let at = now - tally.age.clamp(0, self.tick * TICKS_PER_HALF_LIFE * MAX_HALF_LIVES);
-        if !self.held.contains_key(&key) && self.held.len() >= MOST {
+        if !self.held.contains_key(&key) && self.held.len() >= MAX_TALLIES {
             let others = self.held.iter().filter(|(key, _)| key.1 != self.me);
             let Some(oldest) = others.min_by_key(|(_, held)| held.at).map(|(key, _)| key.clone()) else {
                 return;
--- a/crates/shared/src/judgements.rs
+++ b/crates/shared/src/judgements.rs
@@ -16,10 +16,10 @@
 
 /// Maximum number of judgements kept. At the limit a new one of another router is rejected; those of this router are
 /// always kept.
-pub const MOST: usize = 65_536;
+pub const MAX_JUDGEMENTS: usize = 65_536;
 /// Maximum number of members whose incarnation is remembered, chosen above 4,900 members. At the limit a further
 /// member's incarnation is not remembered, and judgements about it count for the incarnation they name.
-pub const MOST_MEMBERS: usize = 8_192;
+pub const MAX_MEMBERS: usize = 8_192;
 /// Number of peers that receive each update round.
 const FANOUT: usize = 3;
 
@@ -42,29 +42,29 @@
     pub ttl: Tenths,
 }
 
-/// A quorum: more than `of` / `in_all` of the electorate must agree.
+/// A quorum: more than `numerator` / `denominator` of the electorate must agree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct QuorumFraction {
     /// Numerator.
-    pub of: usize,
+    pub numerator: usize,
     /// Denominator.
-    pub in_all: usize,
+    pub denominator: usize,
 }
 
 /// The rules by which judgements mark a member down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rules {
     /// The fraction that must be exceeded; at least one half.
-    pub part: Part,
+    pub quorum: QuorumFraction,
     /// Time to live of a judgement unless it is repeated.
-    pub lasts: Tenths,
+    pub judgement_ttl: Tenths,
     /// How long a departed router still counts in the electorate.
     ///
     /// Danger: a router that is partitioned with a few others sees all the rest as dead. If the electorate shrank with
     /// its view, this minority would at once be a majority of its own view.
-    pub lingers: Tenths,
+    pub departed_ttl: Tenths,
     /// Time between two update rounds.
-    pub every: Tenths,
+    pub gossip_interval: Tenths,
 }
 
 /// Invalid rules: the fraction is below one half or not below one, or a time is not above zero.
@@ -83,7 +83,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verdict {
     /// Whether the member is down for the whole fleet.
-    pub dark: bool,
+    pub down: bool,
     /// Number of routers of the electorate with unexpired evidence against it.
     pub against: usize,
     /// Size of the electorate.
@@ -92,13 +92,13 @@
 
 /// A message to send or a change of a member's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ruling {
+pub enum Output {
     /// Send a message.
     Send(Decision),
     /// The incarnation of the member is down from now on.
-    Dark(Name, u64),
+    Down(Name, u64),
     /// The incarnation of the member is no longer down.
-    Light(Name, u64),
+    Recovered(Name, u64),
 }
 
 type Key = (Name, Name);
@@ -126,10 +126,10 @@
     /// Members whose verdict must be evaluated again.
     to_evaluate: BTreeSet<Name>,
     incarnations: BTreeMap<Name, u64>,
-    dark: BTreeSet<(Name, u64)>,
+    down: BTreeSet<(Name, u64)>,
     gossip: GossipQueue<Key>,
     next_round: Tenths,
-    outbox: Vec<Ruling>,
+    outbox: Vec<Output>,
     chance: WyRand,
 }
 
@@ -145,8 +145,13 @@
         now: Tenths,
         seed: u64,
     ) -> Result<Judgements, InvalidRules> {
-        let Rules { part, lasts, lingers, every } = rules;
-        if 2 * part.of < part.in_all || part.of >= part.in_all || lasts <= 0 || lingers <= 0 || every <= 0 {
+        let Rules { quorum, judgement_ttl, departed_ttl, gossip_interval } = rules;
+        if 2 * quorum.numerator < quorum.denominator
+            || quorum.numerator >= quorum.denominator
+            || judgement_ttl <= 0
+            || departed_ttl <= 0
+            || gossip_interval <= 0
+        {
             return Err(InvalidRules);
         }
         Ok(Judgements {
@@ -160,16 +165,16 @@
             count: 0,
             to_evaluate: BTreeSet::new(),
             incarnations: BTreeMap::new(),
-            dark: BTreeSet::new(),
+            down: BTreeSet::new(),
             gossip: GossipQueue::new(),
-            next_round: now + every,
+            next_round: now + gossip_interval,
             outbox: Vec::new(),
             chance: WyRand::new_seed(seed),
         })
     }
 
     /// Sets the live routers according to the membership.
-    pub fn live(&mut self, now: Tenths, mut live: BTreeSet<Name>) {
+    pub fn set_live(&mut self, now: Tenths, mut live: BTreeSet<Name>) {
         live.insert(self.me.clone());
         for (name, departed) in &mut self.electorate {
             match (live.contains(name), &departed) {
@@ -195,8 +200,8 @@
 
     /// Records that this router has seen this incarnation of the member itself. Judgements about earlier incarnations
     /// are dropped.
-    pub fn seen(&mut self, member: &Name, member_start: u64) {
-        if !self.incarnations.contains_key(member) && self.incarnations.len() >= MOST_MEMBERS {
+    pub fn observe_incarnation(&mut self, member: &Name, member_start: u64) {
+        if !self.incarnations.contains_key(member) && self.incarnations.len() >= MAX_MEMBERS {
             return;
         }
         let incarnation = self.incarnations.entry(member.clone()).or_insert(member_start);
@@ -212,13 +217,13 @@
         }
         self.version += 1;
         let key = (member.clone(), self.me.clone());
-        let until = now + self.rules.lasts;
+        let until = now + self.rules.judgement_ttl;
         let (observer_start, version) = (self.start, self.version);
         self.store(key, StoredJudgement { member_start, observer_start, version, against, until });
     }
 
     /// Handles a received message. Returns false if the message is not for this module.
-    pub fn heard(&mut self, now: Tenths, message: &Message) -> bool {
+    pub fn handle_message(&mut self, now: Tenths, message: &Message) -> bool {
         let Body::Judgements(judgements) = &message.body else { return false };
         for judgement in judgements {
             self.merge(now, judgement);
@@ -238,19 +243,20 @@
         let against = against.count();
         // A single router never decides for the fleet, not even for a fleet of one router, which has its own circuit
         // breakers.
-        let dark = against >= 2 && against * self.rules.part.in_all > electorate * self.rules.part.of;
-        Verdict { dark, against, electorate }
+        let down = against >= 2
+            && against * self.rules.quorum.denominator > electorate * self.rules.quorum.numerator;
+        Verdict { down, against, electorate }
     }
 
     /// The next output; the host calls this until it returns `None`.
-    pub fn next_decision(&mut self, now: Tenths) -> Option<Ruling> {
+    pub fn next_decision(&mut self, now: Tenths) -> Option<Output> {
         if now >= self.next_round {
-            self.next_round = now + self.rules.every;
+            self.next_round = now + self.rules.gossip_interval;
             self.publish(now);
             // Judgements that expired without a message are found here.
-            self.to_evaluate.extend(self.dark.iter().map(|(member, _)| member.clone()));
-            let (before, lingers) = (self.electorate.len(), self.rules.lingers);
-            self.electorate.retain(|_, departed| departed.is_none_or(|since| now < since + lingers));
+            self.to_evaluate.extend(self.down.iter().map(|(member, _)| member.clone()));
+            let (before, departed_ttl) = (self.electorate.len(), self.rules.departed_ttl);
+            self.electorate.retain(|_, departed| departed.is_none_or(|since| now < since + departed_ttl));
             if before != self.electorate.len() {
                 self.to_evaluate.extend(self.held.keys().cloned());
             }
@@ -276,14 +282,14 @@
             self.judgements_of(member).filter(|(_, held)| held.against).map(|(_, held)| held.member_start);
         let mut incarnations: BTreeSet<u64> = against.collect();
         incarnations
-            .extend(self.dark.iter().filter(|(of, _)| of == member).map(|(_, incarnation)| *incarnation));
+            .extend(self.down.iter().filter(|(of, _)| of == member).map(|(_, incarnation)| *incarnation));
         for incarnation in incarnations {
-            let dark = self.verdict(now, member, incarnation).dark;
+            let down = self.verdict(now, member, incarnation).down;
             let of = (member.clone(), incarnation);
-            if dark && self.dark.insert(of.clone()) {
-                self.outbox.push(Ruling::Dark(of.0, incarnation));
-            } else if !dark && self.dark.remove(&of) {
-                self.outbox.push(Ruling::Light(of.0, incarnation));
+            if down && self.down.insert(of.clone()) {
+                self.outbox.push(Output::Down(of.0, incarnation));
+            } else if !down && self.down.remove(&of) {
+                self.outbox.push(Output::Recovered(of.0, incarnation));
             }
         }
     }
@@ -313,8 +319,8 @@
 
     fn publish(&mut self, now: Tenths) {
         // An expired judgement is kept for its time to live once more, so that a late message does not restore it.
-        let lasts = self.rules.lasts;
-        self.remove_where(|_, _, held| now >= held.until + lasts);
+        let judgement_ttl = self.rules.judgement_ttl;
+        self.remove_where(|_, _, held| now >= held.until + judgement_ttl);
         if self.gossip.is_empty() {
             return;
         }
@@ -327,7 +333,7 @@
         message.body =
             Body::Judgements(selected.iter().filter_map(|key| judgement(key, held, now)).collect());
         for to in random_peers(&self.live, &self.me, FANOUT, &mut self.chance) {
-            self.outbox.push(Ruling::Send(Decision::Send { to, message: message.clone() }));
+            self.outbox.push(Output::Send(Decision::Send { to, message: message.clone() }));
         }
     }
 
@@ -344,10 +350,10 @@
         let age = |held: &StoredJudgement| (held.observer_start, held.version);
         match self.held.get(&key.0).and_then(|by| by.get(&key.1)) {
             Some(held) if age(held) >= (received.observer_start, received.version) => return,
-            None if self.count >= MOST => return,
+            None if self.count >= MAX_JUDGEMENTS => return,
             _ => {}
         }
-        let until = now + received.ttl.clamp(0, self.rules.lasts);
+        let until = now + received.ttl.clamp(0, self.rules.judgement_ttl);
         let Judgement { member_start, observer_start, version, against, .. } = *received;
         self.store(key, StoredJudgement { member_start, observer_start, version, against, until });
     }
--- a/crates/shared/src/turns.rs
+++ b/crates/shared/src/turns.rs
@@ -16,7 +16,7 @@
 use crate::wire::{Body, Decision, Message};
 
 /// Maximum number of open turns. At the limit a further one is not opened, and [`Turns::open`] returns false.
-pub const MOST: usize = 4_096;
+pub const MAX_TURNS: usize = 4_096;
 /// Number of candidates for a turn. If all of them fail, the turn expires, and its next round draws other candidates.
 pub const CANDIDATES: usize = 8;
 
@@ -132,7 +132,8 @@
 
     /// Opens a turn whose cause this router has learned of. Returns false if the turn is closed or there is no room.
     pub fn open(&mut self, now: Tenths, turn: Turn) -> bool {
-        if self.closed.contains_key(&turn) || (!self.open.contains_key(&turn) && self.open.len() >= MOST) {
+        if self.closed.contains_key(&turn) || (!self.open.contains_key(&turn) && self.open.len() >= MAX_TURNS)
+        {
             return false;
         }
         let live = &self.live;
@@ -155,7 +156,7 @@
                 self.broadcast(turn, Progress::Done);
                 // Danger: on a link that loses a tenth of its messages, in half of all turns one of the seven other
                 // candidates misses the message, and would act again.
-                if self.resends.len() < MOST {
+                if self.resends.len() < MAX_TURNS {
                     self.resends.insert(turn.clone(), (now + self.step / 2, DONE_RESENDS));
                 }
             }
@@ -163,7 +164,7 @@
     }
 
     /// Handles a received message. Returns false if the message is not for this module.
-    pub fn heard(&mut self, now: Tenths, message: &Message) -> bool {
+    pub fn handle_message(&mut self, now: Tenths, message: &Message) -> bool {
         let Body::Turn(turn, progress) = &message.body else { return false };
         match progress {
             Progress::Done => {
@@ -236,7 +237,7 @@
     }
 
     fn close(&mut self, now: Tenths, turn: Turn) {
-        if self.closed.len() >= MOST
+        if self.closed.len() >= MAX_TURNS
             && let Some(first) =
                 self.closed.iter().min_by_key(|(_, until)| **until).map(|(turn, _)| turn.clone())
         {
--- a/crates/shared/tests/shared.rs
+++ b/crates/shared/tests/shared.rs
@@ -7,7 +7,7 @@
 use nanorand::Rng;
 use rstest::rstest;
 use vetchkeel_shared::counts::{Counts, Reading};
-use vetchkeel_shared::judgements::{Judgements, Part, Rules, Ruling};
+use vetchkeel_shared::judgements::{Judgements, Output, QuorumFraction, Rules};
 use vetchkeel_shared::turns::{Action, Kind, Turn, Turns};
 use vetchkeel_shared::wire::{self, Decision};
 use vetchkeel_shared::{Name, Start, Tenths};
@@ -37,7 +37,7 @@
 fn counting_routers(count: usize) -> Vec<Counts> {
     let one = |(at, name): (usize, Name)| {
         let mut counts = Counts::new(name, Start::default(), 10 * SECOND, SECOND / 4, 0, at as u64);
-        counts.live(all(count));
+        counts.set_live(all(count));
         counts
     };
     names(count).into_iter().enumerate().map(one).collect()
@@ -46,7 +46,7 @@
 fn run_counts(routers: &mut [Counts], net: &mut Net, from: Tenths, to: Tenths) {
     for now in (from..to).step_by(STEP as usize) {
         while let Some((at, message)) = net.receive(now) {
-            routers[at].heard(now, &message);
+            routers[at].handle_message(now, &message);
         }
         for (at, router) in routers.iter_mut().enumerate() {
             while let Some(Decision::Send { to, message }) = router.next_decision(now) {
@@ -69,8 +69,8 @@
     // One half-life has passed, less at most one tick per tally.
     let expected = 500 * count as u64;
     for router in &routers {
-        let Reading { total, heard, live, .. } = router.read(now, 1);
-        assert_eq!((heard, live), (count, count));
+        let Reading { total, included, live, .. } = router.read(now, 1);
+        assert_eq!((included, live), (count, count));
         assert!(total.abs_diff(expected) * 100 <= expected * 5, "{total} of {expected}");
     }
 }
@@ -88,30 +88,34 @@
     }
     let reading = routers[0].read(22 * SECOND, 1);
     assert!(reading.oldest >= 20 * SECOND && reading.oldest < 23 * SECOND, "{reading:?}");
-    routers[0].live(all(2));
+    routers[0].set_live(all(2));
     let reading = routers[0].read(22 * SECOND, 1);
-    assert_eq!((reading.heard, reading.live), (2, 2));
+    assert_eq!((reading.included, reading.live), (2, 2));
     assert!(reading.oldest < 3 * SECOND, "{reading:?}");
 }
 
-const RULES: Rules =
-    Rules { part: Part { of: 1, in_all: 2 }, lasts: 10 * SECOND, lingers: 60 * SECOND, every: SECOND / 4 };
+const RULES: Rules = Rules {
+    quorum: QuorumFraction { numerator: 1, denominator: 2 },
+    judgement_ttl: 10 * SECOND,
+    departed_ttl: 60 * SECOND,
+    gossip_interval: SECOND / 4,
+};
 
 struct JudgingFleet {
     routers: Vec<Judgements>,
     net: Net,
     now: Tenths,
-    rulings: Vec<(usize, Ruling)>,
+    outputs: Vec<(usize, Output)>,
 }
 
 fn judging_fleet(count: usize) -> JudgingFleet {
     let one = |(at, name): (usize, Name)| {
         let mut one = Judgements::new(name, Start::default(), RULES, 0, at as u64).expect("valid rules");
-        one.live(0, all(count));
+        one.set_live(0, all(count));
         one
     };
     let routers = names(count).into_iter().enumerate().map(one).collect();
-    JudgingFleet { routers, net: Net::new(count, 3, UNRELIABLE), now: 0, rulings: Vec::new() }
+    JudgingFleet { routers, net: Net::new(count, 3, UNRELIABLE), now: 0, outputs: Vec::new() }
 }
 
 impl JudgingFleet {
@@ -124,15 +128,15 @@
                 against.iter().for_each(|at| self.routers[*at].judge(self.now, member, incarnation, true));
             }
             while let Some((at, message)) = self.net.receive(self.now) {
-                self.routers[at].heard(self.now, &message);
+                self.routers[at].handle_message(self.now, &message);
             }
             for at in 0..self.routers.len() {
-                while let Some(ruling) = self.routers[at].next_decision(self.now) {
-                    match ruling {
-                        Ruling::Send(Decision::Send { to, message }) => {
+                while let Some(output) = self.routers[at].next_decision(self.now) {
+                    match output {
+                        Output::Send(Decision::Send { to, message }) => {
                             self.net.send(self.now, at, index(&to), &message);
                         }
-                        other => self.rulings.push((at, other)),
+                        other => self.outputs.push((at, other)),
                     }
                 }
             }
@@ -140,8 +144,8 @@
         }
     }
 
-    fn dark(&self, member: &Name, incarnation: u64) -> Vec<bool> {
-        self.routers.iter().map(|router| router.verdict(self.now, member, incarnation).dark).collect()
+    fn down(&self, member: &Name, incarnation: u64) -> Vec<bool> {
+        self.routers.iter().map(|router| router.verdict(self.now, member, incarnation).down).collect()
     }
 }
 
@@ -150,15 +154,16 @@
 #[case::one_observer(&[4], false)]
 #[case::half_of_the_electorate(&[0, 2, 4, 6, 8], false)]
 #[case::majority_of_the_electorate(&[0, 2, 4, 6, 8, 9], true)]
-fn only_a_majority_marks_a_member_down(#[case] against: &[usize], #[case] dark: bool) {
+fn only_a_majority_marks_a_member_down(#[case] against: &[usize], #[case] down: bool) {
     let member = Name::new("set-3/replica-1").expect("short");
     let mut fleet = judging_fleet(10);
     fleet.run(30 * SECOND, against, &member, 5);
-    assert_eq!(fleet.dark(&member, 5), vec![dark; 10]);
+    assert_eq!(fleet.down(&member, 5), vec![down; 10]);
     fleet.run(12 * SECOND, &[], &member, 5);
-    assert_eq!(fleet.dark(&member, 5), vec![false; 10], "judgements that are not repeated expire");
-    let recoveries = fleet.rulings.iter().filter(|(_, ruling)| matches!(ruling, Ruling::Light(..))).count();
-    assert_eq!(recoveries, if dark { 10 } else { 0 });
+    assert_eq!(fleet.down(&member, 5), vec![false; 10], "judgements that are not repeated expire");
+    let recoveries =
+        fleet.outputs.iter().filter(|(_, output)| matches!(output, Output::Recovered(..))).count();
+    assert_eq!(recoveries, if down { 10 } else { 0 });
 }
 
 #[test]
@@ -167,14 +172,14 @@
     let mut fleet = judging_fleet(9);
     let minority: BTreeSet<Name> = names(3).into_iter().collect();
     for at in 0..3 {
-        fleet.routers[at].live(0, minority.clone());
+        fleet.routers[at].set_live(0, minority.clone());
     }
     fleet.run(50 * SECOND, &[0, 1, 2], &member, 5);
-    assert_eq!(fleet.dark(&member, 5), vec![false; 9]);
+    assert_eq!(fleet.down(&member, 5), vec![false; 9]);
     fleet.run(30 * SECOND, &[0, 1, 2], &member, 5);
     // Once the departed routers no longer count, the minority is the whole electorate in its own view; the other
     // routers are not affected.
-    assert_eq!(fleet.dark(&member, 5), [[true; 3], [false; 3], [false; 3]].concat());
+    assert_eq!(fleet.down(&member, 5), [[true; 3], [false; 3], [false; 3]].concat());
 }
 
 #[test]
@@ -182,12 +187,12 @@
     let member = Name::new("set-3/replica-1").expect("short");
     let mut fleet = judging_fleet(5);
     fleet.run(20 * SECOND, &[0, 1, 2, 3], &member, 5);
-    assert_eq!(fleet.dark(&member, 5), vec![true; 5]);
-    assert_eq!(fleet.dark(&member, 6), vec![false; 5]);
+    assert_eq!(fleet.down(&member, 5), vec![true; 5]);
+    assert_eq!(fleet.down(&member, 6), vec![false; 5]);
     let now = fleet.now;
-    fleet.routers[4].seen(&member, 6);
+    fleet.routers[4].observe_incarnation(&member, 6);
     fleet.routers[4].next_decision(now);
-    assert!(!fleet.routers[4].verdict(now, &member, 5).dark);
+    assert!(!fleet.routers[4].verdict(now, &member, 5).down);
 }
 
 fn turn(target: &str, round: u32) -> Turn {
@@ -233,7 +238,7 @@
             !due
         });
         while let Some((at, message)) = net.receive(now) {
-            routers[at].heard(now, &message);
+            routers[at].handle_message(now, &message);
         }
         for at in (0..count).filter(|at| !dead.contains(at)) {
             while let Some(action) = routers[at].next_decision(now) {
@@ -302,7 +307,7 @@
         }
     }
     let holder = holder.expect("the first candidate acts at once");
-    taken.iter().for_each(|(to, message)| assert!(routers[*to].heard(1, message)));
+    taken.iter().for_each(|(to, message)| assert!(routers[*to].handle_message(1, message)));
     let mut left = live;
     left.remove(&names(5)[holder]);
     let mut acts = 0;
--- a/crates/shared/tests/world/mod.rs
+++ b/crates/shared/tests/world/mod.rs
@@ -217,7 +217,7 @@
             }
             let clock = router.clock(now);
             if let Some(budget) = &mut router.budget {
-                budget.heard(clock, &message);
+                budget.handle_message(clock, &message);
             }
         }
         for (at, router) in routers.iter_mut().enumerate() {
@@ -268,6 +268,6 @@
 /// Terms for a budget of `total` thousandths per second over `count` routers, `lenders` of them lenders, with loans of
 /// 1.5 s and clocks that drift by at most `drift_ppm` parts per million (50,000 for 5%).
 pub fn terms(total: Rate, count: usize, lenders: usize, drift_ppm: i64) -> Terms {
-    let even = Terms::even(1, total, &names(count), lenders, 20, 15_000).expect("good terms");
+    let even = Terms::split_evenly(1, total, &names(count), lenders, 20, 15_000).expect("good terms");
     Terms::new(1, total, even.allotments().clone(), 15_000, drift_ppm, 1_000).expect("good terms")
 }
--- a/crates/slopes/src/shared.rs
+++ b/crates/slopes/src/shared.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use vetchkeel_shared::budgets::{Budget, Rate, Terms};
 use vetchkeel_shared::counts::Counts;
-use vetchkeel_shared::judgements::{Judgements, Part, Rules, Ruling};
+use vetchkeel_shared::judgements::{Judgements, Output, QuorumFraction, Rules};
 use vetchkeel_shared::wire::{self, Decision, Message};
 use vetchkeel_shared::{Name, Start, Tenths};
 
@@ -178,7 +178,7 @@
     }
 
     fn heard(&mut self, now: Tenths, message: &Message) {
-        self.0.heard(now, message);
+        self.0.handle_message(now, message);
     }
 
     fn next(&mut self, now: Tenths) -> Option<Decision> {
@@ -193,7 +193,7 @@
     let part = |(at, name): (usize, Name)| {
         let seed = at as u64 + u64::from(run) * 10_000;
         let mut counts = Counts::new(name, Start::default(), 10 * SECOND, SECOND / 4, 0, seed);
-        counts.live(all.clone());
+        counts.set_live(all.clone());
         Counting(counts, seed)
     };
     let parts = names.into_iter().enumerate().map(part).collect();
@@ -211,14 +211,14 @@
     }
 
     fn heard(&mut self, now: Tenths, message: &Message) {
-        self.0.heard(now, message);
+        self.0.handle_message(now, message);
     }
 
     fn next(&mut self, now: Tenths) -> Option<Decision> {
         loop {
             match self.0.next_decision(now)? {
-                Ruling::Send(decision) => return Some(decision),
-                Ruling::Dark(..) | Ruling::Light(..) => {}
+                Output::Send(decision) => return Some(decision),
+                Output::Down(..) | Output::Recovered(..) => {}
             }
         }
     }
@@ -229,14 +229,15 @@
     let names = names(count)?;
     let all: BTreeSet<Name> = names.iter().cloned().collect();
     let member = Name::new("db-00700").map_err(|e| format!("{e:?}"))?;
-    let part = Part { of: 1, in_all: 2 };
-    let rules = Rules { part, lasts: 10 * SECOND, lingers: 60 * SECOND, every: SECOND / 4 };
+    let quorum = QuorumFraction { numerator: 1, denominator: 2 };
+    let rules =
+        Rules { quorum, judgement_ttl: 10 * SECOND, departed_ttl: 60 * SECOND, gossip_interval: SECOND / 4 };
     let part = |(at, name): (usize, Name)| {
         let seed = at as u64 + u64::from(run) * 10_000;
         let judging = Judgements::new(name, Start::default(), rules, 0, seed);
         let mut judging = judging.map_err(|e| e.to_string())?;
-        judging.live(0, all.clone());
-        judging.seen(&member, 1);
+        judging.set_live(0, all.clone());
+        judging.observe_incarnation(&member, 1);
         Ok(Judging(judging, member.clone(), seed))
     };
     let parts: Result<Vec<Judging>, String> = names.into_iter().enumerate().map(part).collect();
@@ -256,7 +257,7 @@
     }
 
     fn heard(&mut self, now: Tenths, message: &Message) {
-        self.0.heard(now, message);
+        self.0.handle_message(now, message);
     }
 
     fn next(&mut self, now: Tenths) -> Option<Decision> {
@@ -268,7 +269,7 @@
 fn budgets(_: &Means, count: usize, run: u32) -> Result<Vec<f64>, String> {
     let names = names(count)?;
     let total = TOKENS_EACH * 1_000 * count as Rate;
-    let terms = Terms::even(1, total, &names, LENDERS, 20, 15_000).map_err(|e| e.to_string())?;
+    let terms = Terms::split_evenly(1, total, &names, LENDERS, 20, 15_000).map_err(|e| e.to_string())?;
     let part = |(at, name): (usize, Name)| {
         let seed = at as u64 + u64::from(run) * 10_000;
         Spending(Budget::new(terms.clone(), name, Start::default(), 0, seed), 0)
