--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -1,24 +1,25 @@
-//! A batch: operations that are applied together or not at all.
+//! Batches: operations that are applied atomically.
 
 use crate::StoreError;
 
-/// Bytes of a log's name or a record's key.
+/// Maximum bytes of a log's name or a record's key.
 pub const NAME_BYTES: usize = 128;
-/// Bytes of one entry's payload.
+/// Maximum bytes of one entry's payload.
 pub const ENTRY_BYTES: usize = 64 << 10;
-/// Bytes of one record's value.
+/// Maximum bytes of one record's value.
 pub const RECORD_BYTES: usize = 4 << 10;
-/// Operations in one batch.
+/// Maximum number of operations in one batch.
 pub const BATCH_OPERATIONS: usize = 16_384;
-/// Bytes of one batch's payloads, names and values.
+/// Maximum total bytes of payloads, names and values in one batch.
 pub const BATCH_BYTES: usize = 8 << 20;
-/// Logs in one store.
+/// Maximum number of logs in one store.
 pub const LOGS: usize = 4_096;
-/// Records in one store.
+/// Maximum number of records in one store.
 pub const RECORDS: usize = 65_536;
-/// Bytes that an entry is reckoned at beyond its payload, when the room is counted.
+/// Overhead bytes that each entry counts towards the capacity in addition to its payload.
 pub const ENTRY_COST: u64 = 64;
 
+/// One change to a log or a record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
     /// Appends one entry; `at` must be the log's next position.
@@ -27,17 +28,18 @@
         at: u64,
         payload: Vec<u8>,
     },
-    /// Drops all entries below a position (at most the next one; further up is an error). Going back does nothing.
+    /// Removes all entries below a position. A position above the next one is an error; one below the first has no
+    /// effect.
     Trim {
         log: String,
         below: u64,
     },
-    /// Empties a log and lets it go on from a position: the first append after it is there.
+    /// Empties a log and sets its next position: the following append must be at `at`.
     Begin {
         log: String,
         at: u64,
     },
-    /// Drops a log with its name.
+    /// Removes a log and its name.
     Drop {
         log: String,
     },
@@ -50,6 +52,7 @@
     },
 }
 
+/// Operations that are applied in order, all or none.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Batch {
     operations: Vec<Operation>,
@@ -102,7 +105,7 @@
         self.operations.is_empty()
     }
 
-    /// Sizes and counts against their bounds.
+    /// Checks sizes and the number of operations against their bounds.
     pub(crate) fn sized(&self) -> Result<(), StoreError> {
         if self.operations.len() > BATCH_OPERATIONS {
             return Err(StoreError::TooMany { what: "operations in a batch", bound: BATCH_OPERATIONS });
--- a/crates/store/src/embedded.rs
+++ b/crates/store/src/embedded.rs
@@ -1,7 +1,7 @@
-//! The contract on an embedded store: one redb file, a batch a transaction.
+//! Store on an embedded database: one redb file, one transaction for each batch.
 //!
-//! redb checks its pages when it recovers from a cut, not when it reads. So every value carries a CRC-32 over its table,
-//! its key and itself, and opening reads the file through once: a file that opens is whole.
+//! redb verifies its pages when it recovers from a crash, not when it reads. So every value carries a CRC-32 over its
+//! table, key and contents, and opening reads the whole file once: a file that opens was intact at that time.
 
 use crate::heads::Heads;
 use crate::{Batch, ENTRY_COST, Head, Limit, Medium, Operation, Page, Store, StoreError};
@@ -14,17 +14,17 @@
 const ENTRIES: TableDefinition<(&str, u64), &[u8]> = TableDefinition::new("entries");
 const RECORDS: TableDefinition<&str, &[u8]> = TableDefinition::new("records");
 
-/// Version of what is written; others are refused by name.
+/// Version of the file format; a file of another version is rejected with an error that names it.
 pub const VERSION: u32 = 1;
 const MAGIC: &[u8] = b"vetchkeel-store";
 
-/// A file.
+/// A store file on disk.
 #[derive(Clone, Debug)]
 pub struct EmbeddedMedium {
     pub path: PathBuf,
-    /// Bytes of entries that it may hold: payloads and [`ENTRY_COST`] each.
+    /// Capacity for entries in bytes: each counts its payload plus [`ENTRY_COST`].
     pub room: u64,
-    /// Bytes of the embedded store's own cache.
+    /// Cache size of the embedded database in bytes.
     pub cache: usize,
 }
 
@@ -35,11 +35,12 @@
     }
 }
 
+/// A store opened on a redb database.
 pub struct EmbeddedStore {
     database: Database,
     heads: Heads,
     room: u64,
-    /// After a failed write nothing more is taken: what is kept is known only after opening again.
+    /// A write has failed, so further batches are rejected: what was stored is known only after reopening.
     failed: bool,
 }
 
@@ -56,13 +57,14 @@
     }
 }
 
-/// Danger: the embedded store asserts what it takes for granted about its pages, and flipped bits break that. What it
-/// says by a panic is told as damage.
+/// Runs a database call and turns a panic into [`StoreError::Damaged`]. Without this, flipped bits would crash the process,
+/// because redb asserts invariants of its pages.
 fn guarded<T>(work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
     catch_unwind(AssertUnwindSafe(work))
-        .unwrap_or_else(|_| Err(StoreError::Damaged("the embedded store gave up on a page".to_owned())))
+        .unwrap_or_else(|_| Err(StoreError::Damaged("the embedded database panicked on an invalid page".to_owned())))
 }
 
+/// CRC-32 over table, key, position (0 where there is none) and value.
 fn crc(table: &str, key: &str, at: u64, value: &[u8]) -> [u8; 4] {
     let mut hasher = crc32fast::Hasher::new();
     for part in [table.as_bytes(), &[0], key.as_bytes(), &[0], &at.to_le_bytes(), value] {
@@ -71,6 +73,7 @@
     hasher.finalize().to_le_bytes()
 }
 
+/// The stored form of a value: its checksum, then the value.
 fn sealed(table: &str, key: &str, at: u64, value: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(value.len() + 4);
     bytes.extend_from_slice(&crc(table, key, at, value));
@@ -78,10 +81,11 @@
     bytes
 }
 
+/// Verifies the checksum of a stored value and returns the value.
 fn unsealed<'a>(table: &str, key: &str, at: u64, bytes: &'a [u8]) -> Result<&'a [u8], StoreError> {
     match bytes.split_first_chunk::<4>() {
         Some((sum, value)) if *sum == crc(table, key, at, value) => Ok(value),
-        _ => Err(StoreError::Damaged(format!("{table} {key} {at}: not what was written"))),
+        _ => Err(StoreError::Damaged(format!("{table} {key} {at}: checksum mismatch"))),
     }
 }
 
@@ -90,12 +94,12 @@
     let number = |part: Option<&[u8]>| part.and_then(|p| p.try_into().ok()).map(u64::from_le_bytes);
     match (number(value.get(..8)), number(value.get(8..16))) {
         (Some(first), Some(next)) if first <= next => Ok(Head { first, next }),
-        _ => Err(StoreError::Damaged(format!("heads {log}: not two positions in order"))),
+        _ => Err(StoreError::Damaged(format!("heads {log}: expected two positions in ascending order"))),
     }
 }
 
 impl EmbeddedStore {
-    /// Opens a store on anything that the embedded store writes to.
+    /// Opens a store on any backend of the embedded database.
     pub fn on(backend: impl StorageBackend, room: u64, cache: usize) -> Result<EmbeddedStore, StoreError> {
         EmbeddedStore::opened(room, || builder(cache).create_with_backend(backend))
     }
@@ -106,7 +110,7 @@
     ) -> Result<EmbeddedStore, StoreError> {
         guarded(|| {
             let mut database = create().map_err(storage)?;
-            // Every page against its sum, from the root down: after this no page leads astray.
+            // Verifies the checksum of every page from the root down, so that no page refers to a wrong one afterwards.
             database.check_integrity().map_err(storage)?;
             let write = database.begin_write().map_err(storage)?;
             header(&write)?;
@@ -147,6 +151,7 @@
     }
 }
 
+/// Checks the file header, and writes it to a new file.
 fn header(write: &WriteTransaction) -> Result<(), StoreError> {
     let mut table = write.open_table(HEADER).map_err(storage)?;
     let found = table.get("header").map_err(storage)?.map(|v| v.value().to_vec());
@@ -163,7 +168,7 @@
     }
 }
 
-/// Reads everything once: sums, and no hole in any log.
+/// Reads all tables once, verifies every checksum and that no log has gaps, and returns the heads.
 fn read_through(database: &Database) -> Result<Heads, StoreError> {
     let read = database.begin_read().map_err(storage)?;
     let mut heads = Heads::default();
@@ -186,10 +191,10 @@
         heads.held += payload.len() as u64 + ENTRY_COST;
         counted += 1;
     }
-    // Each entry lies in its log and no key is there twice: as many as told means that no log has a hole.
+    // Every entry lies within its log's bounds and keys are unique, so an equal count means that no log has a gap.
     let told: u64 = heads.logs.values().map(|h| h.next - h.first).sum();
     if told != counted {
-        return Err(StoreError::Damaged(format!("{counted} entries where the heads tell {told}")));
+        return Err(StoreError::Damaged(format!("found {counted} entries, expected {told} by the heads")));
     }
     for entry in read.open_table(RECORDS).map_err(storage)?.iter().map_err(storage)? {
         let (key, value) = entry.map_err(storage)?;
@@ -202,6 +207,7 @@
 type Entries<'a> = redb::Table<'a, (&'static str, u64), &'static [u8]>;
 type Records<'a> = redb::Table<'a, &'static str, &'static [u8]>;
 
+/// Applies one operation and returns the bytes that it freed.
 fn operate(operation: &Operation, entries: &mut Entries, records: &mut Records) -> Result<u64, StoreError> {
     match operation {
         Operation::Append { log, at, payload } => {
@@ -222,6 +228,7 @@
     }
 }
 
+/// Removes a log's entries below a position and returns the bytes that they held.
 fn dropped(entries: &mut Entries, log: &str, below: u64) -> Result<u64, StoreError> {
     let mut freed = 0;
     for entry in entries.extract_from_if((log, 0)..(log, below), |_, _| true).map_err(storage)? {
@@ -234,7 +241,7 @@
 impl Store for EmbeddedStore {
     fn apply(&mut self, batch: &Batch) -> Result<(), StoreError> {
         if self.failed {
-            return Err(StoreError::Storage("a write failed before: open it again".to_owned()));
+            return Err(StoreError::Storage("an earlier write failed: reopen the store".to_owned()));
         }
         let change = self.heads.change(batch, self.room)?;
         match guarded(|| self.write(batch, &change)) {
@@ -260,7 +267,7 @@
                 let (key, value) = entry.map_err(storage)?;
                 let at = key.value().1;
                 if at != page.next() {
-                    return Err(StoreError::Damaged(format!("entries {log}: {at} follows {}", page.next())));
+                    return Err(StoreError::Damaged(format!("entries {log}: found position {at}, expected {}", page.next())));
                 }
                 let payload = unsealed("entries", log, at, value.value())?;
                 bytes += payload.len();
@@ -271,7 +278,7 @@
                 page.entries.push(payload.to_vec());
             }
             if page.entries.is_empty() && from < head.next {
-                return Err(StoreError::Damaged(format!("entries {log} {from}: not there")));
+                return Err(StoreError::Damaged(format!("entries {log} {from}: missing")));
             }
             Ok(page)
         })
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,26 +1,26 @@
-//! What may go wrong, in words an operator can act on.
+//! Errors of a store, with messages that an operator can act on.
 
 use std::fmt;
 
 #[derive(Debug, PartialEq, Eq)]
 pub enum StoreError {
-    /// An append that is not at the log's next position: the writer's idea of the log is not the store's.
+    /// An append that is not at the log's next position: the writer and the store disagree about the log.
     Position { log: String, next: u64, told: u64 },
-    /// Asked for what was trimmed; `first` is the oldest that is held.
+    /// The requested position was trimmed; `first` is the oldest that is held.
     Trimmed { log: String, first: u64, asked: u64 },
-    /// Asked for what is not there yet, beyond the next position.
+    /// The requested position is above the next one and not written yet.
     Beyond { log: String, next: u64, asked: u64 },
-    /// A name, a payload or a batch over its bound, in bytes.
+    /// A name, payload, value or batch exceeds its bound, in bytes.
     TooLarge { what: &'static str, bytes: usize, bound: usize },
-    /// More operations, logs or records than their bound.
+    /// The number of operations, logs or records exceeds its bound.
     TooMany { what: &'static str, bound: usize },
-    /// The store's room is used up; trim first. Bytes.
+    /// The batch would exceed the store's capacity, in bytes; trim first.
     Full { room: u64, wanted: u64 },
-    /// The file is of another program or of a version that this one doesn't know.
+    /// The file was written by another program or in an unsupported version.
     Version { found: String, known: u32 },
-    /// What is kept is not what was written; the place is named.
+    /// Stored data differs from what was written; names the location.
     Damaged(String),
-    /// The disk or the embedded store refused.
+    /// The disk or the embedded database returned an error.
     Storage(String),
 }
 
@@ -28,26 +28,26 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             StoreError::Position { log, next, told } => {
-                write!(f, "log {log}: append at {told}, but its next position is {next}")
+                write!(f, "log {log}: append at position {told}, expected the next position {next}")
             }
             StoreError::Trimmed { log, first, asked } => {
-                write!(f, "log {log}: {asked} was trimmed, the oldest held is {first}")
+                write!(f, "log {log}: position {asked} was trimmed; the oldest held is {first}")
             }
             StoreError::Beyond { log, next, asked } => {
-                write!(f, "log {log}: {asked} is not there yet, the next position is {next}")
+                write!(f, "log {log}: position {asked} is not written yet; the next position is {next}")
             }
             StoreError::TooLarge { what, bytes, bound } => {
-                write!(f, "{what} of {bytes} bytes, at most {bound}")
+                write!(f, "{what} has {bytes} bytes, at most {bound} expected")
             }
-            StoreError::TooMany { what, bound } => write!(f, "more {what} than {bound}"),
+            StoreError::TooMany { what, bound } => write!(f, "too many {what}: at most {bound} expected"),
             StoreError::Full { room, wanted } => {
-                write!(f, "the store has room for {room} bytes and would hold {wanted}: trim first")
+                write!(f, "the store is full: its capacity is {room} bytes and the batch needs {wanted}; trim first")
             }
             StoreError::Version { found, known } => {
-                write!(f, "the store is of version {found}; this program knows version {known}")
+                write!(f, "unsupported store version {found}: this program supports version {known}")
             }
             StoreError::Damaged(place) => write!(f, "the store is damaged: {place}"),
-            StoreError::Storage(why) => write!(f, "the store: {why}"),
+            StoreError::Storage(why) => write!(f, "storage error: {why}"),
         }
     }
 }
--- a/crates/store/src/heads.rs
+++ b/crates/store/src/heads.rs
@@ -1,26 +1,27 @@
-//! Where the logs stand, and whether a batch may be applied: the same answer in every implementation, given before
+//! Heads of the logs, and the validation of a batch against them. All implementations share it and run it before
 //! anything is written.
 
 use crate::{Batch, ENTRY_COST, LOGS, Operation, RECORDS, StoreError};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where a log stands: it holds `first..next`.
+/// First and next position of a log, which holds `first..next`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Head {
     pub first: u64,
     pub next: u64,
 }
 
-/// Heads of all logs, keys of all records, and what is held against the room.
+/// Heads of all logs, keys of all records, and the bytes that count towards the capacity.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Heads {
     pub(crate) logs: BTreeMap<String, Head>,
     pub(crate) keys: BTreeSet<String>,
-    /// Bytes held by entries: payloads and [`ENTRY_COST`] each.
+    /// Bytes held by entries: each payload plus [`ENTRY_COST`].
     pub(crate) held: u64,
 }
 
-/// What an allowed batch changes among the heads: those of the logs it names (none: dropped), and what is appended.
+/// Changes that a valid batch makes to [`Heads`]: new heads by log (`None`: the log is dropped), keys that are put (`true`)
+/// or removed (`false`), and the bytes that it appends.
 #[derive(Debug, Default)]
 pub(crate) struct Change {
     pub(crate) logs: BTreeMap<String, Option<Head>>,
@@ -33,7 +34,7 @@
         self.logs.get(log).copied().unwrap_or_default()
     }
 
-    /// What the batch would change.
+    /// Validates a batch and returns the changes that it makes.
     pub(crate) fn change(&self, batch: &Batch, room: u64) -> Result<Change, StoreError> {
         batch.sized()?;
         let mut change = Change::default();
@@ -67,7 +68,8 @@
             }
         }
         self.counted(&change)?;
-        // What the same batch trims is not reckoned: a batch that makes its own room is two batches.
+        // Space that this batch itself frees by trimming does not count: a caller that needs it must trim in an earlier
+        // batch.
         match self.held + change.added {
             wanted if change.added > 0 && wanted > room => Err(StoreError::Full { room, wanted }),
             _ => Ok(change),
@@ -91,7 +93,7 @@
         Ok(())
     }
 
-    /// Takes a change over, once it is kept; `freed` are the bytes of the entries that it dropped.
+    /// Applies a change after its batch has been stored; `freed` is the bytes of the entries that the batch removed.
     pub(crate) fn take(&mut self, change: Change, freed: u64) {
         for (log, head) in change.logs {
             match head {
@@ -109,7 +111,7 @@
         self.held = (self.held + change.added).saturating_sub(freed);
     }
 
-    /// Whether a read may begin there.
+    /// Checks that a read may start at a position.
     pub(crate) fn readable(&self, log: &str, from: u64) -> Result<Head, StoreError> {
         let head = self.head(log);
         if from < head.first {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,9 +1,9 @@
-//! What a process keeps: named logs, each in order from a first position to the next, and small keyed records beside them
-//! (cursors, epochs). One contract, [`Store`]; implementations in memory ([`MemoryMedium`]) and in an embedded store
-//! ([`EmbeddedMedium`], one redb file); one suite, [`contract`], that each of them passes.
+//! Durable storage of a process: named logs with consecutive positions, and small keyed records (cursors, epochs).
+//! [`Store`] is the interface; it is implemented in memory ([`MemoryMedium`]) and on an embedded database
+//! ([`EmbeddedMedium`], one redb file). Each implementation passes the conformance suite in [`contract`].
 //!
-//! A batch is applied whole or not at all, and is kept when [`Store::apply`] has returned, whatever happens to the process
-//! then. What can't be read as it was written is an error with the place, never a guess and never a panic.
+//! A batch is atomic, and it is durable once [`Store::apply`] has returned, even if the process crashes afterwards. Data
+//! that fails verification on reading gives an error that names its location, never a guess and never a panic.
 
 mod batch;
 pub mod contract;
@@ -21,61 +21,62 @@
 pub use heads::Head;
 pub use memory::{MemoryMedium, MemoryStore};
 
-/// How much one read may bring: it ends before the bound that is met first, but brings one entry at least.
+/// Limits of one read. It stops before whichever limit would be exceeded first, but returns at least one entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limit {
     pub entries: usize,
-    /// Bytes of payloads.
+    /// Total payload bytes.
     pub bytes: usize,
 }
 
-/// Entries of a log in order, without a hole.
+/// Consecutive entries of a log, without gaps.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    /// Position of the first one.
+    /// Position of the first entry.
     pub from: u64,
     pub entries: Vec<Vec<u8>>,
 }
 
 impl Page {
-    /// The position after the last one: where the next read goes on.
+    /// The position after the last entry, where the next read continues.
     pub fn next(&self) -> u64 {
         self.from + self.entries.len() as u64
     }
 }
 
-/// The contract. Positions count from where a log was begun (0, unless told); a log that was never written stands at 0.
+/// Logs and records with atomic batches. Positions start at 0, or where [`Batch::begin`] set them; the head of a log that
+/// was never written is 0.
 pub trait Store: Send {
-    /// Applies all operations in their order, or none. Kept when this returns `Ok`.
+    /// Applies all operations in order, or none. The batch is durable when this returns `Ok`.
     ///
     /// # Errors
-    /// `Position`, `TooLarge`, `TooMany` and `Full` leave everything as it was and the store usable. After `Storage` or
-    /// `Damaged` the store is to be opened again: the batch may be whole in it or not there, never in part.
+    /// After `Position`, `TooLarge`, `TooMany` and `Full` the contents are unchanged and the store stays usable. After
+    /// `Storage` or `Damaged` the store must be reopened; it then holds the whole batch or nothing of it, never a part.
     fn apply(&mut self, batch: &Batch) -> Result<(), StoreError>;
 
-    /// Entries from a position on; an empty page where there is nothing yet.
+    /// Reads entries from a position on; the page is empty at the end of the log.
     ///
     /// # Errors
-    /// `Trimmed` below the first position that is held, `Beyond` above the next one: neither is an empty page, because a
-    /// reader that takes a hole for quiet goes past entries.
+    /// `Trimmed` below the first position that is held, `Beyond` above the next one. Neither returns an empty page,
+    /// because a reader that takes a gap for the end of the log would skip entries.
     fn read(&self, log: &str, from: u64, limit: Limit) -> Result<Page, StoreError>;
 
-    /// Where a log stands.
+    /// First and next position of a log.
     fn head(&self, log: &str) -> Head;
 
-    /// Names of all logs, in order.
+    /// Names of all logs, sorted.
     fn logs(&self) -> Vec<String>;
 
-    /// A record's value.
+    /// Value of a record, if it exists.
     fn record(&self, key: &str) -> Result<Option<Vec<u8>>, StoreError>;
 
-    /// All records whose keys begin so, in the order of their keys.
+    /// All records whose keys start with the prefix, sorted by key.
     fn records(&self, prefix: &str) -> Result<Vec<(String, Vec<u8>)>, StoreError>;
 }
 
-/// What outlives a process: opening it again shows what a restarted process finds.
+/// Storage that outlives a process. Opening it again gives what a restarted process finds.
 pub trait Medium {
-    /// Opens what is there, or begins anew.
+    /// Opens the existing store, or creates an empty one.
     fn open(&mut self) -> Result<Box<dyn Store>, StoreError>;
 }
 
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -1,4 +1,4 @@
-//! The contract by memory: for simulations and tests. The medium outlives the store as a disk does.
+//! In-memory store for simulations and tests. The medium outlives the store, as a disk does.
 
 use crate::heads::Heads;
 use crate::{Batch, ENTRY_COST, Head, Limit, Medium, Operation, Page, Store, StoreError};
@@ -13,7 +13,7 @@
     room: u64,
 }
 
-/// A medium by memory with room for so many bytes.
+/// An in-memory medium with a capacity in bytes.
 #[derive(Clone, Debug)]
 pub struct MemoryMedium(Arc<Mutex<Contents>>);
 
@@ -29,6 +29,7 @@
     }
 }
 
+/// A store opened on a [`MemoryMedium`].
 #[derive(Debug)]
 pub struct MemoryStore(Arc<Mutex<Contents>>);
 
@@ -39,6 +40,7 @@
 }
 
 impl Contents {
+    /// Applies one operation and returns the bytes that it freed.
     fn operate(&mut self, operation: &Operation) -> u64 {
         let cost =
             |dropped: BTreeMap<u64, Vec<u8>>| dropped.values().map(|p| p.len() as u64 + ENTRY_COST).sum();
--- a/crates/store/src/tests.rs
+++ b/crates/store/src/tests.rs
@@ -18,7 +18,7 @@
     Box::new(Removed(EmbeddedMedium { path, room: contract::ROOM, cache: CACHE }))
 }
 
-/// A file that goes with its test.
+/// A store file that is removed at the end of its test.
 struct Removed(EmbeddedMedium);
 
 impl Medium for Removed {
@@ -51,7 +51,7 @@
     RoomNeverBack,
 }
 
-/// A store by memory that breaks one thing.
+/// An in-memory medium whose stores violate one clause.
 struct Half(MemoryMedium, Fault);
 
 struct HalfStore(Box<dyn Store>, Fault, Option<Batch>);
@@ -83,7 +83,7 @@
                 self.0.apply(&moved)
             }
             Fault::LosesTheLast => {
-                // Applied only when the next one comes.
+                // Applied only when the next batch arrives.
                 let held = self.2.replace(batch.clone());
                 held.map_or(Ok(()), |b| self.0.apply(&b))
             }
@@ -135,21 +135,21 @@
 }
 
 #[rstest]
-#[case(Fault::PartOfABatch, "a refused batch")]
-#[case(Fault::AnyPosition, "an append elsewhere")]
-#[case(Fault::HoleAsEmpty, "trimmed is said")]
-#[case(Fault::LosesTheLast, "what was applied is there")]
-#[case(Fault::OneTooMany, "what was appended is read in order")]
-#[case(Fault::BeginsAtZero, "a log begun anew")]
-#[case(Fault::RoomNeverBack, "bounds refuse")]
+#[case(Fault::PartOfABatch, "a rejected batch")]
+#[case(Fault::AnyPosition, "an append at a wrong position")]
+#[case(Fault::HoleAsEmpty, "reading a trimmed position")]
+#[case(Fault::LosesTheLast, "applied batches survive")]
+#[case(Fault::OneTooMany, "entries are read in order")]
+#[case(Fault::BeginsAtZero, "a log that is begun again")]
+#[case(Fault::RoomNeverBack, "bounds are enforced")]
 fn a_half_broken_store_fails_by_the_clause(#[case] fault: Fault, #[case] clause: &str) {
     let broken = contract::held(&mut || Box::new(Half(MemoryMedium::new(contract::ROOM), fault)));
     let broken = broken.expect_err("the fault is found");
     assert!(broken.iter().any(|b| b.starts_with(clause)), "{broken:?}");
 }
 
-/// A disk by memory: after its last write that still gets through it takes a part of one, then nothing. What was not
-/// synced is lost in part, by chance.
+/// An in-memory disk that fails after a number of writes. Writes since the last sync are lost at random, wholly or in
+/// part.
 #[derive(Clone, Debug, Default)]
 struct Disk(Arc<Mutex<Platter>>);
 
@@ -170,7 +170,7 @@
         self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// What is found after the power is back: all that was synced, and any of the writes since.
+    /// Contents after a power failure: everything that was synced, and a random part of each write since then.
     fn after_a_cut(&self, chance: &mut WyRand) -> Vec<u8> {
         let platter = self.platter();
         let mut bytes = platter.synced.clone();
@@ -231,18 +231,18 @@
     }
 }
 
-/// Batch `n` appends three entries, trims behind itself and keeps its own number.
+/// Batch `n` appends three entries, trims old ones and stores its own number as the cursor.
 fn batch(n: u64) -> Batch {
     let appended = (3 * n..3 * n + 3).fold(Batch::new(), |b, at| b.append("feed", at, &[at as u8; 700]));
     appended.trim("feed", (3 * n).saturating_sub(30)).put("cursor", &n.to_le_bytes())
 }
 
-/// Which batch a store stands after; panics where it stands between two, or holds what nobody wrote.
+/// Number of the last batch in a store; panics where a batch is there in part or an entry was never written.
 fn whole(store: &dyn Store) -> Result<Option<u64>, StoreError> {
     let cursor = store.record("cursor")?;
     let n = cursor.map(|c| u64::from_le_bytes(c.try_into().expect("eight bytes")));
     let head = store.head("feed");
-    assert_eq!(head.next, n.map_or(0, |n| 3 * n + 3), "log and record of one batch");
+    assert_eq!(head.next, n.map_or(0, |n| 3 * n + 3), "log and record come from the same batch");
     let page = store.read("feed", head.first, ALL)?;
     assert_eq!(page.next(), head.next);
     for (at, entry) in (page.from..).zip(&page.entries) {
@@ -251,6 +251,7 @@
     Ok(n)
 }
 
+/// Guards against a batch that is lost after `apply` returned, or stored in part, when power fails between writes.
 #[rstest]
 fn a_disk_cut_mid_write_holds_the_last_whole_batch() {
     let mut chance = WyRand::new_seed(7);
@@ -267,15 +268,16 @@
                 let next = Some(kept.map_or(0, |n: u64| n + 1));
                 assert!(
                     stands == kept || stands == next,
-                    "cut after {left} writes: {stands:?}, kept {kept:?}"
+                    "failure after {left} writes: found {stands:?}, expected {kept:?} or the next"
                 );
             }
-            // Only a store that was never told as opened may be unreadable.
-            Err(e) => assert!(kept.is_none(), "cut after {left} writes: {e}"),
+            // Only a store that had stored no batch may be unreadable.
+            Err(e) => assert!(kept.is_none(), "failure after {left} writes: {e}"),
         }
     }
 }
 
+/// Guards against wrong data or a panic from a file that was truncated or has flipped bits.
 #[rstest]
 fn a_file_with_flipped_bits_or_cut_short_is_told_or_whole() {
     let disk = Disk::with(Vec::new(), None);
@@ -289,7 +291,7 @@
         if round % 6 == 0 {
             bytes.truncate(chance.generate_range(0..bytes.len()));
         }
-        // Half of the flips in the first pages, where the roots are.
+        // Half of the rounds flip bits in the first pages, which hold the roots.
         for _ in 0..chance.generate_range(1..4_u32) {
             let within = if round % 2 == 0 { bytes.len() } else { bytes.len().min(8 << 10) };
             if within > 0 {
@@ -302,9 +304,10 @@
             Err(_) => told += 1,
         }
     }
-    assert!(told > 0, "no damage met anything that is read");
+    assert!(told > 0, "no flipped bit was detected");
 }
 
+/// Guards against wrong data from bits that flip while the store is open, where redb does not verify pages on reading.
 #[rstest]
 fn bits_that_flip_under_an_open_store_are_told() {
     let disk = Disk::with(Vec::new(), None);
@@ -317,5 +320,5 @@
         told += u32::from(whole(&store).is_err());
         disk.platter().now[at] = sound[at];
     }
-    assert!(told > 0, "no damage met anything that is read");
+    assert!(told > 0, "no flipped bit was detected");
 }
