--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -3,21 +3,21 @@
 use crate::StoreError;
 
 /// Maximum bytes of a log's name or a record's key.
-pub const NAME_BYTES: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 /// Maximum bytes of one entry's payload.
-pub const ENTRY_BYTES: usize = 64 << 10;
+pub const MAX_ENTRY_BYTES: usize = 64 << 10;
 /// Maximum bytes of one record's value.
-pub const RECORD_BYTES: usize = 4 << 10;
+pub const MAX_RECORD_BYTES: usize = 4 << 10;
 /// Maximum number of operations in one batch.
-pub const BATCH_OPERATIONS: usize = 16_384;
+pub const MAX_BATCH_OPERATIONS: usize = 16_384;
 /// Maximum total bytes of payloads, names and values in one batch.
-pub const BATCH_BYTES: usize = 8 << 20;
+pub const MAX_BATCH_BYTES: usize = 8 << 20;
 /// Maximum number of logs in one store.
 pub const LOGS: usize = 4_096;
 /// Maximum number of records in one store.
-pub const RECORDS: usize = 65_536;
+pub const MAX_RECORDS: usize = 65_536;
 /// Overhead bytes that each entry counts towards the capacity in addition to its payload.
-pub const ENTRY_COST: u64 = 64;
+pub const ENTRY_OVERHEAD_BYTES: u64 = 64;
 
 /// One change to a log or a record.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -106,28 +106,28 @@
     }
 
     /// Checks sizes and the number of operations against their bounds.
-    pub(crate) fn sized(&self) -> Result<(), StoreError> {
-        if self.operations.len() > BATCH_OPERATIONS {
-            return Err(StoreError::TooMany { what: "operations in a batch", bound: BATCH_OPERATIONS });
+    pub(crate) fn check_sizes(&self) -> Result<(), StoreError> {
+        if self.operations.len() > MAX_BATCH_OPERATIONS {
+            return Err(StoreError::TooMany { what: "operations in a batch", bound: MAX_BATCH_OPERATIONS });
         }
-        let mut all = 0;
+        let mut total = 0;
         for operation in &self.operations {
             let (name, what, bytes, bound) = match operation {
-                Operation::Append { log, payload, .. } => (log, "an entry", payload.len(), ENTRY_BYTES),
-                Operation::Put { key, value } => (key, "a record", value.len(), RECORD_BYTES),
+                Operation::Append { log, payload, .. } => (log, "an entry", payload.len(), MAX_ENTRY_BYTES),
+                Operation::Put { key, value } => (key, "a record", value.len(), MAX_RECORD_BYTES),
                 Operation::Trim { log, .. } | Operation::Begin { log, .. } | Operation::Drop { log } => {
-                    (log, "an entry", 0, ENTRY_BYTES)
+                    (log, "an entry", 0, MAX_ENTRY_BYTES)
                 }
-                Operation::Remove { key } => (key, "a record", 0, RECORD_BYTES),
+                Operation::Remove { key } => (key, "a record", 0, MAX_RECORD_BYTES),
             };
-            within("a name", name.len(), NAME_BYTES)?;
-            within(what, bytes, bound)?;
-            all += name.len() + bytes;
+            check_size("a name", name.len(), MAX_NAME_BYTES)?;
+            check_size(what, bytes, bound)?;
+            total += name.len() + bytes;
         }
-        within("a batch", all, BATCH_BYTES)
+        check_size("a batch", total, MAX_BATCH_BYTES)
     }
 }
 
-fn within(what: &'static str, bytes: usize, bound: usize) -> Result<(), StoreError> {
+fn check_size(what: &'static str, bytes: usize, bound: usize) -> Result<(), StoreError> {
     if bytes > bound { Err(StoreError::TooLarge { what, bytes, bound }) } else { Ok(()) }
 }
--- a/crates/store/src/contract.rs
+++ b/crates/store/src/contract.rs
@@ -1,150 +1,160 @@
 //! Conformance suite for stores. Each clause starts on an empty medium, opens it, uses it and reopens it. A new
 //! implementation needs one line in a test: `check(&mut || Box::new(medium()))`.
 
-use crate::{Batch, ENTRY_BYTES, Head, Limit, Medium, Page, Store, StoreError};
+use crate::{Batch, Head, Limit, MAX_ENTRY_BYTES, Medium, Page, Store, StoreError};
 
 type Clause = fn(&mut dyn Medium) -> Result<(), String>;
 
 /// Names and functions of the clauses.
 pub const CLAUSES: [(&str, Clause); 7] = [
-    ("entries are read in order and within limits", order),
-    ("an append at a wrong position changes nothing", next_position),
-    ("a rejected batch is not applied in part", atomic),
-    ("reading a trimmed position is an error, not an empty page", trimmed),
-    ("applied batches survive reopening", reopened),
-    ("a log that is begun again continues at the given position", begun),
-    ("bounds are enforced, and trimming frees capacity", bounded),
+    ("entries are read in order and within limits", reads_in_order),
+    ("an append at a wrong position changes nothing", rejects_wrong_position),
+    ("a rejected batch is not applied in part", batches_are_atomic),
+    ("reading a trimmed position is an error, not an empty page", trimmed_is_an_error),
+    ("applied batches survive reopening", survives_reopening),
+    ("a log that is begun again continues at the given position", begins_at_position),
+    ("bounds are enforced, and trimming frees capacity", enforces_bounds),
 ];
 
 /// Capacity in bytes of the media that the suite runs on.
-pub const ROOM: u64 = 1 << 20;
+pub const CAPACITY: u64 = 1 << 20;
 const ALL: Limit = Limit { entries: usize::MAX, bytes: usize::MAX };
 
 /// Runs all clauses, each on a new medium, and returns the names of those that fail with the reasons.
-pub fn held(fresh: &mut dyn FnMut() -> Box<dyn Medium>) -> Result<(), Vec<String>> {
-    let mut broken = Vec::new();
+pub fn check(new_medium: &mut dyn FnMut() -> Box<dyn Medium>) -> Result<(), Vec<String>> {
+    let mut failures = Vec::new();
     for (name, clause) in CLAUSES {
-        if let Err(why) = clause(fresh().as_mut()) {
-            broken.push(format!("{name}: {why}"));
+        if let Err(reason) = clause(new_medium().as_mut()) {
+            failures.push(format!("{name}: {reason}"));
         }
     }
-    if broken.is_empty() { Ok(()) } else { Err(broken) }
+    if failures.is_empty() { Ok(()) } else { Err(failures) }
 }
 
-fn opened(medium: &mut dyn Medium) -> Result<Box<dyn Store>, String> {
+fn open(medium: &mut dyn Medium) -> Result<Box<dyn Store>, String> {
     medium.open().map_err(|e| e.to_string())
 }
 
-fn done(store: &mut dyn Store, batch: &Batch) -> Result<(), String> {
+fn apply(store: &mut dyn Store, batch: &Batch) -> Result<(), String> {
     store.apply(batch).map_err(|e| e.to_string())
 }
 
-fn same<T: PartialEq + std::fmt::Debug>(what: &str, found: T, wanted: T) -> Result<(), String> {
-    if found == wanted { Ok(()) } else { Err(format!("{what}: {found:?}, expected {wanted:?}")) }
+fn expect_eq<T: PartialEq + std::fmt::Debug>(what: &str, found: T, expected: T) -> Result<(), String> {
+    if found == expected { Ok(()) } else { Err(format!("{what}: {found:?}, expected {expected:?}")) }
 }
 
-fn numbered(log: &str, from: u64, to: u64) -> Batch {
+fn numbered_entries(log: &str, from: u64, to: u64) -> Batch {
     (from..to).fold(Batch::new(), |b, at| b.append(log, at, at.to_string().as_bytes()))
 }
 
-fn page(from: u64, to: u64) -> Result<Page, StoreError> {
+fn expected_page(from: u64, to: u64) -> Result<Page, StoreError> {
     Ok(Page { from, entries: (from..to).map(|at| at.to_string().into_bytes()).collect() })
 }
 
-fn order(medium: &mut dyn Medium) -> Result<(), String> {
-    let mut store = opened(medium)?;
+fn reads_in_order(medium: &mut dyn Medium) -> Result<(), String> {
+    let mut store = open(medium)?;
     // Names that share a prefix, and positions whose order as text differs from their numeric order.
-    done(store.as_mut(), &numbered("a", 0, 300))?;
-    done(store.as_mut(), &numbered("ab", 0, 3).put("k/2", b"x").put("k/1", b"y").put("l", b"z"))?;
-    same("all", store.read("a", 0, ALL), page(0, 300))?;
-    same("a log whose name shares a prefix", store.read("ab", 0, ALL), page(0, 3))?;
-    same("limited by entries", store.read("a", 250, Limit { entries: 10, ..ALL }), page(250, 260))?;
-    same("limited by bytes", store.read("a", 98, Limit { bytes: 7, ..ALL }), page(98, 101))?;
-    same("at least one entry", store.read("a", 100, Limit { entries: 0, bytes: 0 }), page(100, 101))?;
-    same("at the end", store.read("a", 300, ALL), page(300, 300))?;
-    let beyond = StoreError::Beyond { log: "a".to_owned(), next: 300, asked: 301 };
-    same("beyond the end", store.read("a", 301, ALL), Err(beyond))?;
-    same("a log that does not exist", store.read("none", 0, ALL), page(0, 0))?;
-    same("log names", store.logs(), vec!["a".to_owned(), "ab".to_owned()])?;
+    apply(store.as_mut(), &numbered_entries("a", 0, 300))?;
+    apply(store.as_mut(), &numbered_entries("ab", 0, 3).put("k/2", b"x").put("k/1", b"y").put("l", b"z"))?;
+    expect_eq("all", store.read("a", 0, ALL), expected_page(0, 300))?;
+    expect_eq("a log whose name shares a prefix", store.read("ab", 0, ALL), expected_page(0, 3))?;
+    expect_eq(
+        "limited by entries",
+        store.read("a", 250, Limit { entries: 10, ..ALL }),
+        expected_page(250, 260),
+    )?;
+    expect_eq("limited by bytes", store.read("a", 98, Limit { bytes: 7, ..ALL }), expected_page(98, 101))?;
+    expect_eq(
+        "at least one entry",
+        store.read("a", 100, Limit { entries: 0, bytes: 0 }),
+        expected_page(100, 101),
+    )?;
+    expect_eq("at the end", store.read("a", 300, ALL), expected_page(300, 300))?;
+    let beyond = StoreError::Beyond { log: "a".to_owned(), next: 300, requested: 301 };
+    expect_eq("beyond the end", store.read("a", 301, ALL), Err(beyond))?;
+    expect_eq("a log that does not exist", store.read("none", 0, ALL), expected_page(0, 0))?;
+    expect_eq("log names", store.logs(), vec!["a".to_owned(), "ab".to_owned()])?;
     let records = vec![("k/1".to_owned(), b"y".to_vec()), ("k/2".to_owned(), b"x".to_vec())];
-    same("records by prefix", store.records("k/"), Ok(records))
+    expect_eq("records by prefix", store.records("k/"), Ok(records))
 }
 
-fn next_position(medium: &mut dyn Medium) -> Result<(), String> {
-    let mut store = opened(medium)?;
-    done(store.as_mut(), &numbered("a", 0, 5))?;
-    for told in [0, 4, 6] {
-        let refused = StoreError::Position { log: "a".to_owned(), next: 5, told };
-        same("rejected", store.apply(&Batch::new().append("a", told, b"no")), Err(refused))?;
+fn rejects_wrong_position(medium: &mut dyn Medium) -> Result<(), String> {
+    let mut store = open(medium)?;
+    apply(store.as_mut(), &numbered_entries("a", 0, 5))?;
+    for given in [0, 4, 6] {
+        let rejected = StoreError::Position { log: "a".to_owned(), next: 5, given };
+        expect_eq("rejected", store.apply(&Batch::new().append("a", given, b"no")), Err(rejected))?;
     }
-    same("unchanged", store.read("a", 0, ALL), page(0, 5))
+    expect_eq("unchanged", store.read("a", 0, ALL), expected_page(0, 5))
 }
 
-fn atomic(medium: &mut dyn Medium) -> Result<(), String> {
-    let mut store = opened(medium)?;
-    done(store.as_mut(), &numbered("a", 0, 5).put("k", b"old"))?;
-    let batch = numbered("a", 5, 7).trim("a", 3).put("k", b"new").put("m", b"new").append("b", 0, b"0");
-    let refused = batch.remove("k").append("b", 7, b"no");
-    same("rejected", store.apply(&refused).is_err(), true)?;
+fn batches_are_atomic(medium: &mut dyn Medium) -> Result<(), String> {
+    let mut store = open(medium)?;
+    apply(store.as_mut(), &numbered_entries("a", 0, 5).put("k", b"old"))?;
+    let batch =
+        numbered_entries("a", 5, 7).trim("a", 3).put("k", b"new").put("m", b"new").append("b", 0, b"0");
+    let rejected = batch.remove("k").append("b", 7, b"no");
+    expect_eq("rejected", store.apply(&rejected).is_err(), true)?;
     for _ in 0..2 {
-        same("the log", store.read("a", 0, ALL), page(0, 5))?;
-        same("the other log", store.head("b"), Head::default())?;
-        same("the record", store.record("k"), Ok(Some(b"old".to_vec())))?;
-        same("the new record", store.record("m"), Ok(None))?;
+        expect_eq("the log", store.read("a", 0, ALL), expected_page(0, 5))?;
+        expect_eq("the other log", store.head("b"), Head::default())?;
+        expect_eq("the record", store.record("k"), Ok(Some(b"old".to_vec())))?;
+        expect_eq("the new record", store.record("m"), Ok(None))?;
         drop(store);
-        store = opened(medium)?;
+        store = open(medium)?;
     }
     Ok(())
 }
 
-fn trimmed(medium: &mut dyn Medium) -> Result<(), String> {
-    let mut store = opened(medium)?;
-    done(store.as_mut(), &numbered("a", 0, 10))?;
-    done(store.as_mut(), &Batch::new().trim("a", 4).trim("a", 2))?;
-    let told = || Err(StoreError::Trimmed { log: "a".to_owned(), first: 4, asked: 3 });
-    same("below", store.read("a", 3, ALL), told())?;
-    same("remaining entries", store.read("a", 4, ALL), page(4, 10))?;
-    same("trim above the next position", store.apply(&Batch::new().trim("a", 11)).is_err(), true)?;
-    done(store.as_mut(), &Batch::new().trim("a", 10))?;
+fn trimmed_is_an_error(medium: &mut dyn Medium) -> Result<(), String> {
+    let mut store = open(medium)?;
+    apply(store.as_mut(), &numbered_entries("a", 0, 10))?;
+    apply(store.as_mut(), &Batch::new().trim("a", 4).trim("a", 2))?;
+    let trimmed = || Err(StoreError::Trimmed { log: "a".to_owned(), first: 4, requested: 3 });
+    expect_eq("below", store.read("a", 3, ALL), trimmed())?;
+    expect_eq("remaining entries", store.read("a", 4, ALL), expected_page(4, 10))?;
+    expect_eq("trim above the next position", store.apply(&Batch::new().trim("a", 11)).is_err(), true)?;
+    apply(store.as_mut(), &Batch::new().trim("a", 10))?;
     drop(store);
-    let mut store = opened(medium)?;
-    same("head of a log without entries", store.head("a"), Head { first: 10, next: 10 })?;
-    done(store.as_mut(), &numbered("a", 10, 11))?;
-    same("append to a log without entries", store.read("a", 10, ALL), page(10, 11))
+    let mut store = open(medium)?;
+    expect_eq("head of a log without entries", store.head("a"), Head { first: 10, next: 10 })?;
+    apply(store.as_mut(), &numbered_entries("a", 10, 11))?;
+    expect_eq("append to a log without entries", store.read("a", 10, ALL), expected_page(10, 11))
 }
 
-fn reopened(medium: &mut dyn Medium) -> Result<(), String> {
+fn survives_reopening(medium: &mut dyn Medium) -> Result<(), String> {
     for round in 0..4_u64 {
-        let mut store = opened(medium)?;
-        same("the head", store.head("a"), Head { first: 0, next: 3 * round })?;
+        let mut store = open(medium)?;
+        expect_eq("the head", store.head("a"), Head { first: 0, next: 3 * round })?;
         let epoch = (round > 0).then(|| round.to_le_bytes().to_vec());
-        same("the record", store.record("epoch"), Ok(epoch))?;
-        let batch = numbered("a", 3 * round, 3 * (round + 1)).put("epoch", &(round + 1).to_le_bytes());
-        done(store.as_mut(), &batch)?;
+        expect_eq("the record", store.record("epoch"), Ok(epoch))?;
+        let batch =
+            numbered_entries("a", 3 * round, 3 * (round + 1)).put("epoch", &(round + 1).to_le_bytes());
+        apply(store.as_mut(), &batch)?;
     }
-    let mut store = opened(medium)?;
-    same("all", store.read("a", 0, ALL), page(0, 12))?;
-    done(store.as_mut(), &Batch::new().remove("epoch").drop_log("a"))?;
+    let mut store = open(medium)?;
+    expect_eq("all", store.read("a", 0, ALL), expected_page(0, 12))?;
+    apply(store.as_mut(), &Batch::new().remove("epoch").drop_log("a"))?;
     drop(store);
-    let store = opened(medium)?;
-    same("removed", (store.record("epoch"), store.logs()), (Ok(None), Vec::new()))
+    let store = open(medium)?;
+    expect_eq("removed", (store.record("epoch"), store.logs()), (Ok(None), Vec::new()))
 }
 
-fn begun(medium: &mut dyn Medium) -> Result<(), String> {
-    let mut store = opened(medium)?;
-    done(store.as_mut(), &numbered("a", 0, 5))?;
-    done(store.as_mut(), &Batch::new().begin("a", 900).append("a", 900, b"900"))?;
+fn begins_at_position(medium: &mut dyn Medium) -> Result<(), String> {
+    let mut store = open(medium)?;
+    apply(store.as_mut(), &numbered_entries("a", 0, 5))?;
+    apply(store.as_mut(), &Batch::new().begin("a", 900).append("a", 900, b"900"))?;
     drop(store);
-    let store = opened(medium)?;
-    same("the head", store.head("a"), Head { first: 900, next: 901 })?;
-    same("new entries", store.read("a", 900, ALL), page(900, 901))?;
-    same("old entries", store.read("a", 4, ALL).is_err(), true)
+    let store = open(medium)?;
+    expect_eq("the head", store.head("a"), Head { first: 900, next: 901 })?;
+    expect_eq("new entries", store.read("a", 900, ALL), expected_page(900, 901))?;
+    expect_eq("old entries", store.read("a", 4, ALL).is_err(), true)
 }
 
-fn bounded(medium: &mut dyn Medium) -> Result<(), String> {
-    let mut store = opened(medium)?;
-    let large = vec![7; ENTRY_BYTES];
-    same(
+fn enforces_bounds(medium: &mut dyn Medium) -> Result<(), String> {
+    let mut store = open(medium)?;
+    let large = vec![7; MAX_ENTRY_BYTES];
+    expect_eq(
         "one byte above the maximum",
         store.apply(&Batch::new().append("a", 0, &[large.as_slice(), &[7]].concat())).is_err(),
         true,
@@ -153,18 +163,18 @@
     let full = loop {
         match store.apply(&Batch::new().append("a", next, &large)) {
             Ok(()) if next < 64 => next += 1,
-            Ok(()) => return Err(format!("{next} large entries fit into {ROOM} bytes")),
+            Ok(()) => return Err(format!("{next} large entries fit into {CAPACITY} bytes")),
             Err(e) => break e,
         }
     };
-    same("the error is Full", matches!(full, StoreError::Full { room: ROOM, .. }), true)?;
-    same("number of entries that fit", next, ROOM / (ENTRY_BYTES as u64 + 64))?;
-    done(store.as_mut(), &Batch::new().put("cursor", b"7").trim("a", 5))?;
+    expect_eq("the error is Full", matches!(full, StoreError::Full { capacity: CAPACITY, .. }), true)?;
+    expect_eq("number of entries that fit", next, CAPACITY / (MAX_ENTRY_BYTES as u64 + 64))?;
+    apply(store.as_mut(), &Batch::new().put("cursor", b"7").trim("a", 5))?;
     drop(store);
-    let mut store = opened(medium)?;
+    let mut store = open(medium)?;
     for _ in 0..5 {
-        done(store.as_mut(), &Batch::new().append("a", next, &large))?;
+        apply(store.as_mut(), &Batch::new().append("a", next, &large))?;
         next += 1;
     }
-    same("full again", store.apply(&Batch::new().append("a", next, &large)).is_err(), true)
+    expect_eq("full again", store.apply(&Batch::new().append("a", next, &large)).is_err(), true)
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -13,10 +13,10 @@
 mod memory;
 
 pub use batch::{
-    BATCH_BYTES, BATCH_OPERATIONS, Batch, ENTRY_BYTES, ENTRY_COST, LOGS, NAME_BYTES, Operation, RECORD_BYTES,
-    RECORDS,
+    Batch, ENTRY_OVERHEAD_BYTES, LOGS, MAX_BATCH_BYTES, MAX_BATCH_OPERATIONS, MAX_ENTRY_BYTES,
+    MAX_NAME_BYTES, MAX_RECORD_BYTES, MAX_RECORDS, Operation,
 };
-pub use embedded::{EmbeddedMedium, EmbeddedStore, VERSION};
+pub use embedded::{EmbeddedMedium, EmbeddedStore, FORMAT_VERSION};
 pub use error::StoreError;
 pub use heads::Head;
 pub use memory::{MemoryMedium, MemoryStore};
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -1,7 +1,7 @@
 //! In-memory store for simulations and tests. The medium outlives the store, as a disk does.
 
 use crate::heads::Heads;
-use crate::{Batch, ENTRY_COST, Head, Limit, Medium, Operation, Page, Store, StoreError};
+use crate::{Batch, ENTRY_OVERHEAD_BYTES, Head, Limit, Medium, Operation, Page, Store, StoreError};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -10,7 +10,7 @@
     heads: Heads,
     logs: BTreeMap<String, BTreeMap<u64, Vec<u8>>>,
     records: BTreeMap<String, Vec<u8>>,
-    room: u64,
+    capacity: u64,
 }
 
 /// An in-memory medium with a capacity in bytes.
@@ -18,8 +18,8 @@
 pub struct MemoryMedium(Arc<Mutex<Contents>>);
 
 impl MemoryMedium {
-    pub fn new(room: u64) -> MemoryMedium {
-        MemoryMedium(Arc::new(Mutex::new(Contents { room, ..Contents::default() })))
+    pub fn new(capacity: u64) -> MemoryMedium {
+        MemoryMedium(Arc::new(Mutex::new(Contents { capacity, ..Contents::default() })))
     }
 }
 
@@ -41,9 +41,10 @@
 
 impl Contents {
     /// Applies one operation and returns the bytes that it freed.
-    fn operate(&mut self, operation: &Operation) -> u64 {
-        let cost =
-            |dropped: BTreeMap<u64, Vec<u8>>| dropped.values().map(|p| p.len() as u64 + ENTRY_COST).sum();
+    fn apply_operation(&mut self, operation: &Operation) -> u64 {
+        let cost = |dropped: BTreeMap<u64, Vec<u8>>| {
+            dropped.values().map(|p| p.len() as u64 + ENTRY_OVERHEAD_BYTES).sum()
+        };
         match operation {
             Operation::Append { log, at, payload } => {
                 self.logs.entry(log.clone()).or_default().insert(*at, payload.clone());
@@ -70,21 +71,21 @@
 impl Store for MemoryStore {
     fn apply(&mut self, batch: &Batch) -> Result<(), StoreError> {
         let mut contents = self.contents();
-        let change = contents.heads.change(batch, contents.room)?;
-        let freed = batch.operations().iter().map(|o| contents.operate(o)).sum();
-        contents.heads.take(change, freed);
+        let change = contents.heads.validate(batch, contents.capacity)?;
+        let freed_bytes = batch.operations().iter().map(|o| contents.apply_operation(o)).sum();
+        contents.heads.commit(change, freed_bytes);
         Ok(())
     }
 
     fn read(&self, log: &str, from: u64, limit: Limit) -> Result<Page, StoreError> {
         let contents = self.contents();
-        contents.heads.readable(log, from)?;
+        contents.heads.check_readable(log, from)?;
         let mut page = Page { from, entries: Vec::new() };
         let mut bytes = 0;
         for payload in contents.logs.get(log).into_iter().flat_map(|l| l.range(from..)).map(|(_, p)| p) {
             bytes += payload.len();
-            let over = page.entries.len() >= limit.entries || bytes > limit.bytes;
-            if over && !page.entries.is_empty() {
+            let over_limit = page.entries.len() >= limit.entries || bytes > limit.bytes;
+            if over_limit && !page.entries.is_empty() {
                 break;
             }
             page.entries.push(payload.clone());
--- a/crates/store/src/tests.rs
+++ b/crates/store/src/tests.rs
@@ -8,97 +8,97 @@
 
 const ALL: Limit = Limit { entries: usize::MAX, bytes: usize::MAX };
 
-const CACHE: usize = 1 << 20;
+const CACHE_BYTES: usize = 1 << 20;
 
-fn file() -> Box<dyn Medium> {
+fn temporary_file() -> Box<dyn Medium> {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let name = format!("vetchkeel-store-{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
     let path = std::env::temp_dir().join(name);
     let _ = std::fs::remove_file(&path);
-    Box::new(Removed(EmbeddedMedium { path, room: contract::ROOM, cache: CACHE }))
+    Box::new(TemporaryFile(EmbeddedMedium { path, capacity: contract::CAPACITY, cache: CACHE_BYTES }))
 }
 
 /// A store file that is removed at the end of its test.
-struct Removed(EmbeddedMedium);
+struct TemporaryFile(EmbeddedMedium);
 
-impl Medium for Removed {
+impl Medium for TemporaryFile {
     fn open(&mut self) -> Result<Box<dyn Store>, StoreError> {
         self.0.open()
     }
 }
 
-impl Drop for Removed {
+impl Drop for TemporaryFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0.path);
     }
 }
 
 #[rstest]
-#[case::memory(&mut || Box::new(MemoryMedium::new(contract::ROOM)) as Box<dyn Medium>)]
-#[case::embedded(&mut file)]
-fn every_store_holds_the_contract(#[case] fresh: &mut dyn FnMut() -> Box<dyn Medium>) {
-    assert_eq!(contract::held(fresh), Ok(()));
+#[case::memory(&mut || Box::new(MemoryMedium::new(contract::CAPACITY)) as Box<dyn Medium>)]
+#[case::embedded(&mut temporary_file)]
+fn every_store_passes_the_contract_suite(#[case] new_medium: &mut dyn FnMut() -> Box<dyn Medium>) {
+    assert_eq!(contract::check(new_medium), Ok(()));
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    PartOfABatch,
-    AnyPosition,
-    HoleAsEmpty,
-    LosesTheLast,
-    OneTooMany,
-    BeginsAtZero,
-    RoomNeverBack,
+    PartialBatch,
+    AnyPositionAccepted,
+    TrimmedAsEmpty,
+    LastBatchLost,
+    LimitExceeded,
+    BeginAtZero,
+    TrimIgnored,
 }
 
 /// An in-memory medium whose stores violate one clause.
-struct Half(MemoryMedium, Fault);
+struct FaultyMedium(MemoryMedium, Fault);
 
-struct HalfStore(Box<dyn Store>, Fault, Option<Batch>);
+struct FaultyStore(Box<dyn Store>, Fault, Option<Batch>);
 
-impl Medium for Half {
+impl Medium for FaultyMedium {
     fn open(&mut self) -> Result<Box<dyn Store>, StoreError> {
-        Ok(Box::new(HalfStore(self.0.open()?, self.1, None)))
+        Ok(Box::new(FaultyStore(self.0.open()?, self.1, None)))
     }
 }
 
-impl Store for HalfStore {
+impl Store for FaultyStore {
     fn apply(&mut self, batch: &Batch) -> Result<(), StoreError> {
         let each = || batch.operations().iter().cloned();
         let next = |log: &str| self.0.head(log).next;
         match self.1 {
-            Fault::PartOfABatch => each().try_for_each(|o| {
+            Fault::PartialBatch => each().try_for_each(|o| {
                 let mut one = Batch::new();
                 one.push(o);
                 self.0.apply(&one)
             }),
-            Fault::AnyPosition if batch.operations().len() == 1 => {
-                let mut moved = Batch::new();
+            Fault::AnyPositionAccepted if batch.operations().len() == 1 => {
+                let mut changed = Batch::new();
                 each().for_each(|o| match o {
                     Operation::Append { log, payload, .. } => {
-                        moved.push(Operation::Append { at: next(&log), log, payload })
+                        changed.push(Operation::Append { at: next(&log), log, payload })
                     }
-                    other => moved.push(other),
+                    other => changed.push(other),
                 });
-                self.0.apply(&moved)
+                self.0.apply(&changed)
             }
-            Fault::LosesTheLast => {
+            Fault::LastBatchLost => {
                 // Applied only when the next batch arrives.
-                let held = self.2.replace(batch.clone());
-                held.map_or(Ok(()), |b| self.0.apply(&b))
+                let previous = self.2.replace(batch.clone());
+                previous.map_or(Ok(()), |b| self.0.apply(&b))
             }
-            Fault::BeginsAtZero => {
-                let mut moved = Batch::new();
+            Fault::BeginAtZero => {
+                let mut changed = Batch::new();
                 each().for_each(|o| match o {
-                    Operation::Begin { log, .. } => moved.push(Operation::Begin { log, at: 0 }),
-                    other => moved.push(other),
+                    Operation::Begin { log, .. } => changed.push(Operation::Begin { log, at: 0 }),
+                    other => changed.push(other),
                 });
-                self.0.apply(&moved)
+                self.0.apply(&changed)
             }
-            Fault::RoomNeverBack => {
-                let mut kept = Batch::new();
-                each().filter(|o| !matches!(o, Operation::Trim { .. })).for_each(|o| kept.push(o));
-                self.0.apply(&kept)
+            Fault::TrimIgnored => {
+                let mut remaining = Batch::new();
+                each().filter(|o| !matches!(o, Operation::Trim { .. })).for_each(|o| remaining.push(o));
+                self.0.apply(&remaining)
             }
             _ => self.0.apply(batch),
         }
@@ -106,11 +106,11 @@
 
     fn read(&self, log: &str, from: u64, limit: Limit) -> Result<Page, StoreError> {
         let limit = match self.1 {
-            Fault::OneTooMany => Limit { entries: limit.entries.saturating_add(1), ..limit },
+            Fault::LimitExceeded => Limit { entries: limit.entries.saturating_add(1), ..limit },
             _ => limit,
         };
         match self.0.read(log, from, limit) {
-            Err(StoreError::Trimmed { .. }) if self.1 == Fault::HoleAsEmpty => {
+            Err(StoreError::Trimmed { .. }) if self.1 == Fault::TrimmedAsEmpty => {
                 Ok(Page { from, entries: Vec::new() })
             }
             other => other,
@@ -135,54 +135,60 @@
 }
 
 #[rstest]
-#[case(Fault::PartOfABatch, "a rejected batch")]
-#[case(Fault::AnyPosition, "an append at a wrong position")]
-#[case(Fault::HoleAsEmpty, "reading a trimmed position")]
-#[case(Fault::LosesTheLast, "applied batches survive")]
-#[case(Fault::OneTooMany, "entries are read in order")]
-#[case(Fault::BeginsAtZero, "a log that is begun again")]
-#[case(Fault::RoomNeverBack, "bounds are enforced")]
-fn a_half_broken_store_fails_by_the_clause(#[case] fault: Fault, #[case] clause: &str) {
-    let broken = contract::held(&mut || Box::new(Half(MemoryMedium::new(contract::ROOM), fault)));
-    let broken = broken.expect_err("the fault is found");
-    assert!(broken.iter().any(|b| b.starts_with(clause)), "{broken:?}");
+#[case(Fault::PartialBatch, "a rejected batch")]
+#[case(Fault::AnyPositionAccepted, "an append at a wrong position")]
+#[case(Fault::TrimmedAsEmpty, "reading a trimmed position")]
+#[case(Fault::LastBatchLost, "applied batches survive")]
+#[case(Fault::LimitExceeded, "entries are read in order")]
+#[case(Fault::BeginAtZero, "a log that is begun again")]
+#[case(Fault::TrimIgnored, "bounds are enforced")]
+fn contract_suite_reports_the_clause_a_faulty_store_violates(#[case] fault: Fault, #[case] clause: &str) {
+    let failures =
+        contract::check(&mut || Box::new(FaultyMedium(MemoryMedium::new(contract::CAPACITY), fault)));
+    let failures = failures.expect_err("the fault is found");
+    assert!(failures.iter().any(|b| b.starts_with(clause)), "{failures:?}");
 }
 
 /// An in-memory disk that fails after a number of writes. Writes since the last sync are lost at random, wholly or in
 /// part.
 #[derive(Clone, Debug, Default)]
-struct Disk(Arc<Mutex<Platter>>);
+struct Disk(Arc<Mutex<DiskState>>);
 
 #[derive(Debug, Default)]
-struct Platter {
+struct DiskState {
     synced: Vec<u8>,
-    now: Vec<u8>,
-    since: Vec<(usize, Vec<u8>)>,
-    left: Option<u32>,
+    current: Vec<u8>,
+    unsynced: Vec<(usize, Vec<u8>)>,
+    writes_left: Option<u32>,
 }
 
 impl Disk {
-    fn with(bytes: Vec<u8>, left: Option<u32>) -> Disk {
-        Disk(Arc::new(Mutex::new(Platter { synced: bytes.clone(), now: bytes, since: Vec::new(), left })))
+    fn with(bytes: Vec<u8>, writes_left: Option<u32>) -> Disk {
+        Disk(Arc::new(Mutex::new(DiskState {
+            synced: bytes.clone(),
+            current: bytes,
+            unsynced: Vec::new(),
+            writes_left,
+        })))
     }
 
-    fn platter(&self) -> std::sync::MutexGuard<'_, Platter> {
+    fn state(&self) -> std::sync::MutexGuard<'_, DiskState> {
         self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Contents after a power failure: everything that was synced, and a random part of each write since then.
-    fn after_a_cut(&self, chance: &mut WyRand) -> Vec<u8> {
-        let platter = self.platter();
-        let mut bytes = platter.synced.clone();
-        bytes.resize(platter.now.len(), 0);
-        for (at, data) in &platter.since {
-            let kept = match chance.generate_range(0..3_u8) {
+    fn contents_after_power_failure(&self, rng: &mut WyRand) -> Vec<u8> {
+        let state = self.state();
+        let mut bytes = state.synced.clone();
+        bytes.resize(state.current.len(), 0);
+        for (at, data) in &state.unsynced {
+            let retained = match rng.generate_range(0..3_u8) {
                 0 => 0,
-                1 => chance.generate_range(0..=data.len()),
+                1 => rng.generate_range(0..=data.len()),
                 _ => data.len(),
             };
-            if let Some(room) = bytes.get_mut(*at..*at + kept) {
-                room.copy_from_slice(&data[..kept]);
+            if let Some(target) = bytes.get_mut(*at..*at + retained) {
+                target.copy_from_slice(&data[..retained]);
             }
         }
         bytes
@@ -191,42 +197,42 @@
 
 impl StorageBackend for Disk {
     fn len(&self) -> Result<u64, io::Error> {
-        Ok(self.platter().now.len() as u64)
+        Ok(self.state().current.len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), io::Error> {
-        let (platter, at) = (self.platter(), offset as usize);
-        let found = platter.now.get(at..at + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
+        let (state, at) = (self.state(), offset as usize);
+        let found = state.current.get(at..at + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
         out.copy_from_slice(found);
         Ok(())
     }
 
     fn set_len(&self, len: u64) -> Result<(), io::Error> {
-        self.platter().now.resize(len as usize, 0);
+        self.state().current.resize(len as usize, 0);
         Ok(())
     }
 
     fn sync_data(&self) -> Result<(), io::Error> {
-        let mut platter = self.platter();
-        if platter.left == Some(0) {
+        let mut state = self.state();
+        if state.writes_left == Some(0) {
             return Err(io::ErrorKind::Other.into());
         }
-        platter.synced = platter.now.clone();
-        platter.since.clear();
+        state.synced = state.current.clone();
+        state.unsynced.clear();
         Ok(())
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), io::Error> {
-        let (mut platter, at) = (self.platter(), offset as usize);
-        let cut = platter.left == Some(0);
-        if let Some(left) = platter.left.as_mut() {
-            *left = left.saturating_sub(1);
+        let (mut state, at) = (self.state(), offset as usize);
+        let cut = state.writes_left == Some(0);
+        if let Some(writes_left) = state.writes_left.as_mut() {
+            *writes_left = writes_left.saturating_sub(1);
         }
         if cut {
             return Err(io::ErrorKind::Other.into());
         }
-        platter.now.get_mut(at..at + data.len()).ok_or(io::ErrorKind::UnexpectedEof)?.copy_from_slice(data);
-        platter.since.push((at, data.to_vec()));
+        state.current.get_mut(at..at + data.len()).ok_or(io::ErrorKind::UnexpectedEof)?.copy_from_slice(data);
+        state.unsynced.push((at, data.to_vec()));
         Ok(())
     }
 }
@@ -238,7 +244,7 @@
 }
 
 /// Number of the last batch in a store; panics where a batch is there in part or an entry was never written.
-fn whole(store: &dyn Store) -> Result<Option<u64>, StoreError> {
+fn last_batch(store: &dyn Store) -> Result<Option<u64>, StoreError> {
     let cursor = store.record("cursor")?;
     let n = cursor.map(|c| u64::from_le_bytes(c.try_into().expect("eight bytes")));
     let head = store.head("feed");
@@ -253,72 +259,73 @@
 
 /// Guards against a batch that is lost after `apply` returned, or stored in part, when power fails between writes.
 #[rstest]
-fn a_disk_cut_mid_write_holds_the_last_whole_batch() {
-    let mut chance = WyRand::new_seed(7);
-    for left in (0..400).step_by(3) {
-        let disk = Disk::with(Vec::new(), Some(left));
-        let mut kept = None;
-        if let Ok(mut store) = EmbeddedStore::on(disk.clone(), contract::ROOM, CACHE) {
-            kept = (0..40).take_while(|n| store.apply(&batch(*n)).is_ok()).last();
+fn power_failure_during_writes_keeps_the_last_complete_batch() {
+    let mut rng = WyRand::new_seed(7);
+    for writes_left in (0..400).step_by(3) {
+        let disk = Disk::with(Vec::new(), Some(writes_left));
+        let mut stored = None;
+        if let Ok(mut store) = EmbeddedStore::with_backend(disk.clone(), contract::CAPACITY, CACHE_BYTES) {
+            stored = (0..40).take_while(|n| store.apply(&batch(*n)).is_ok()).last();
         }
-        let found = disk.after_a_cut(&mut chance);
-        match EmbeddedStore::on(Disk::with(found, None), contract::ROOM, CACHE) {
+        let found = disk.contents_after_power_failure(&mut rng);
+        match EmbeddedStore::with_backend(Disk::with(found, None), contract::CAPACITY, CACHE_BYTES) {
             Ok(store) => {
-                let stands = whole(&store).expect("readable");
-                let next = Some(kept.map_or(0, |n: u64| n + 1));
+                let last = last_batch(&store).expect("readable");
+                let next = Some(stored.map_or(0, |n: u64| n + 1));
                 assert!(
-                    stands == kept || stands == next,
-                    "failure after {left} writes: found {stands:?}, expected {kept:?} or the next"
+                    last == stored || last == next,
+                    "failure after {writes_left} writes: found {last:?}, expected {stored:?} or the next"
                 );
             }
             // Only a store that had stored no batch may be unreadable.
-            Err(e) => assert!(kept.is_none(), "failure after {left} writes: {e}"),
+            Err(e) => assert!(stored.is_none(), "failure after {writes_left} writes: {e}"),
         }
     }
 }
 
 /// Guards against wrong data or a panic from a file that was truncated or has flipped bits.
 #[rstest]
-fn a_file_with_flipped_bits_or_cut_short_is_told_or_whole() {
+fn damaged_file_opens_intact_or_is_rejected() {
     let disk = Disk::with(Vec::new(), None);
-    let mut store = EmbeddedStore::on(disk.clone(), contract::ROOM, CACHE).expect("opens");
+    let mut store =
+        EmbeddedStore::with_backend(disk.clone(), contract::CAPACITY, CACHE_BYTES).expect("opens");
     (0..40).for_each(|n| store.apply(&batch(n)).expect("applies"));
     drop(store);
-    let (sound, mut chance) = (disk.platter().now.clone(), WyRand::new_seed(11));
-    let mut told = 0;
+    let (intact, mut rng) = (disk.state().current.clone(), WyRand::new_seed(11));
+    let mut detected = 0;
     for round in 0..600 {
-        let mut bytes = sound.clone();
+        let mut bytes = intact.clone();
         if round % 6 == 0 {
-            bytes.truncate(chance.generate_range(0..bytes.len()));
+            bytes.truncate(rng.generate_range(0..bytes.len()));
         }
         // Half of the rounds flip bits in the first pages, which hold the roots.
-        for _ in 0..chance.generate_range(1..4_u32) {
+        for _ in 0..rng.generate_range(1..4_u32) {
             let within = if round % 2 == 0 { bytes.len() } else { bytes.len().min(8 << 10) };
             if within > 0 {
-                bytes[chance.generate_range(0..within)] ^= 1 << chance.generate_range(0..8_u8);
+                bytes[rng.generate_range(0..within)] ^= 1 << rng.generate_range(0..8_u8);
             }
         }
-        let opened = EmbeddedStore::on(Disk::with(bytes, None), contract::ROOM, CACHE);
-        match opened.and_then(|store| whole(&store)) {
+        let opened = EmbeddedStore::with_backend(Disk::with(bytes, None), contract::CAPACITY, CACHE_BYTES);
+        match opened.and_then(|store| last_batch(&store)) {
             Ok(_) => {}
-            Err(_) => told += 1,
+            Err(_) => detected += 1,
         }
     }
-    assert!(told > 0, "no flipped bit was detected");
+    assert!(detected > 0, "no damage was detected");
 }
 
 /// Guards against wrong data from bits that flip while the store is open, where redb does not verify pages on reading.
 #[rstest]
-fn bits_that_flip_under_an_open_store_are_told() {
+fn bits_flipped_in_an_open_store_are_detected() {
     let disk = Disk::with(Vec::new(), None);
-    let mut store = EmbeddedStore::on(disk.clone(), contract::ROOM, 0).expect("opens");
+    let mut store = EmbeddedStore::with_backend(disk.clone(), contract::CAPACITY, 0).expect("opens");
     (0..40).for_each(|n| store.apply(&batch(n)).expect("applies"));
-    let (sound, mut chance, mut told) = (disk.platter().now.clone(), WyRand::new_seed(13), 0);
+    let (intact, mut rng, mut detected) = (disk.state().current.clone(), WyRand::new_seed(13), 0);
     for _ in 0..400 {
-        let at = chance.generate_range(0..sound.len());
-        disk.platter().now[at] ^= 1 << chance.generate_range(0..8_u8);
-        told += u32::from(whole(&store).is_err());
-        disk.platter().now[at] = sound[at];
+        let at = rng.generate_range(0..intact.len());
+        disk.state().current[at] ^= 1 << rng.generate_range(0..8_u8);
+        detected += u32::from(last_batch(&store).is_err());
+        disk.state().current[at] = intact[at];
     }
-    assert!(told > 0, "no flipped bit was detected");
+    assert!(detected > 0, "no flipped bit was detected");
 }
