--- a/crates/audit/src/cold.rs
+++ b/crates/audit/src/cold.rs
@@ -1,30 +1,38 @@
-//! What reaches a cold member, by router.
+//! Work that is sent to a cold member, by router.
 
 use crate::{Figures, Micros};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+/// A member since its latest start, and the work sent to it while it is cold.
 pub(crate) struct Cold {
     pub(crate) started: Micros,
     strength: f64,
-    pushed: VecDeque<(Micros, usize, f64)>,
+    recent_work: VecDeque<(Micros, usize, f64)>,
     sum: f64,
-    /// It is over already: one breach a start.
-    over: bool,
-    /// Routers that were told of this start.
-    told: BTreeSet<usize>,
+    /// A breach was reported already; at most one is reported for each start.
+    reported: bool,
+    /// Routers that know of this start.
+    informed_routers: BTreeSet<usize>,
 }
 
 impl Cold {
     pub(crate) fn new(started: Micros, strength: f64) -> Cold {
-        Cold { started, strength, pushed: VecDeque::new(), sum: 0.0, over: false, told: BTreeSet::new() }
+        Cold {
+            started,
+            strength,
+            recent_work: VecDeque::new(),
+            sum: 0.0,
+            reported: false,
+            informed_routers: BTreeSet::new(),
+        }
     }
 
-    pub(crate) fn told(&mut self, router: usize) {
-        self.told.insert(router);
+    pub(crate) fn report_start(&mut self, router: usize) {
+        self.informed_routers.insert(router);
     }
 
-    /// Counts what is sent. The parts of the routers, if this pushes the member over and two thirds of it came from
-    /// routers that were told of its start: the others could not know.
+    /// Adds work that is sent. Returns the work by router if this overloads the member and at least two thirds of the
+    /// work came from routers that know of its start; the others could not know that it is cold.
     pub(crate) fn push(
         &mut self,
         at: Micros,
@@ -32,27 +40,32 @@
         work: f64,
         f: &Figures,
     ) -> Option<Vec<(usize, f64)>> {
-        if self.over || at - self.started >= f.cold_over {
-            self.pushed.clear();
+        if self.reported || at - self.started >= f.cold_over {
+            self.recent_work.clear();
             self.sum = 0.0;
             return None;
         }
-        self.pushed.push_back((at, router, work));
+        self.recent_work.push_back((at, router, work));
         self.sum += work;
-        while let Some((_, _, work)) = self.pushed.front().copied().filter(|p| p.0 <= at - f.span) {
+        while let Some((_, _, work)) = self.recent_work.front().copied().filter(|p| p.0 <= at - f.span) {
             self.sum -= work;
-            self.pushed.pop_front();
+            self.recent_work.pop_front();
         }
-        let warmth = (at - self.started).max(0) as f64 / f.cold_over.max(1) as f64;
-        let can = (f.cold_from + (1.0 - f.cold_from) * warmth) * self.strength * f.span as f64;
-        if self.sum <= f.multiple * can {
+        let warm_fraction = (at - self.started).max(0) as f64 / f.cold_over.max(1) as f64;
+        let allowed = (f.cold_from + (1.0 - f.cold_from) * warm_fraction) * self.strength * f.span as f64;
+        if self.sum <= f.multiple * allowed {
             return None;
         }
-        self.over = true;
-        let mut parts: BTreeMap<usize, f64> = BTreeMap::new();
-        self.pushed.iter().for_each(|(_, router, work)| *parts.entry(*router).or_insert(0.0) += work);
-        let knowing: f64 =
-            parts.iter().filter(|(router, _)| self.told.contains(router)).map(|(_, part)| part).sum();
-        (3.0 * knowing >= 2.0 * self.sum).then(|| parts.into_iter().collect())
+        self.reported = true;
+        let mut work_by_router: BTreeMap<usize, f64> = BTreeMap::new();
+        self.recent_work
+            .iter()
+            .for_each(|(_, router, work)| *work_by_router.entry(*router).or_insert(0.0) += work);
+        let informed_work: f64 = work_by_router
+            .iter()
+            .filter(|(router, _)| self.informed_routers.contains(router))
+            .map(|(_, part)| part)
+            .sum();
+        (3.0 * informed_work >= 2.0 * self.sum).then(|| work_by_router.into_iter().collect())
     }
 }
--- a/crates/audit/src/tests.rs
+++ b/crates/audit/src/tests.rs
@@ -1,4 +1,4 @@
-//! For each rule a breach that is found, and a near miss that is none.
+//! For each rule: breaches that must be found, and near misses that must not be reported.
 
 use super::*;
 use rstest::rstest;
@@ -17,148 +17,150 @@
     })
 }
 
-fn take(a: &mut Auditor, command: u64, router: usize, mutating: bool) {
+fn accept(a: &mut Auditor, command: u64, router: usize, mutating: bool) {
     a.taken(Taken { at: 0, command, router, deadline: 1_000 * MS, mutating });
 }
 
-fn broken(mut a: Auditor) -> Vec<u8> {
+fn broken_rules(mut a: Auditor) -> Vec<u8> {
     a.finish(60_000 * MS);
     a.breaches().iter().map(|b| b.rule).collect()
 }
 
 #[rstest]
 #[case::never_answered(|_: &mut Auditor| {}, true)]
-#[case::late(|a: &mut Auditor| a.final_answer(1_021 * MS, 7, Final::Answered), true)]
-#[case::twice(|a: &mut Auditor| { a.final_answer(1, 7, Final::Answered); a.final_answer(2, 7, Final::Failed); }, true)]
-#[case::sent_after(|a: &mut Auditor| { a.final_answer(1, 7, Final::Failed); a.sent(2, 7, 0, 1.0); }, true)]
+#[case::after_the_client_timeout(|a: &mut Auditor| a.final_answer(1_021 * MS, 7, Final::Answered), true)]
+#[case::answered_twice(|a: &mut Auditor| { a.final_answer(1, 7, Final::Answered); a.final_answer(2, 7, Final::Failed); }, true)]
+#[case::sent_after_the_answer(|a: &mut Auditor| { a.final_answer(1, 7, Final::Failed); a.sent(2, 7, 0, 1.0); }, true)]
 #[case::just_in_time(|a: &mut Auditor| a.final_answer(1_020 * MS, 7, Final::Answered), false)]
 #[case::client_left(|a: &mut Auditor| a.left(7), false)]
-#[case::its_router_died(|a: &mut Auditor| a.router_died(1), false)]
+#[case::own_router_died(|a: &mut Auditor| a.router_died(1), false)]
 #[case::another_router_died(|a: &mut Auditor| a.router_died(0), true)]
-#[case::sent_before(|a: &mut Auditor| { a.sent(1, 7, 0, 1.0); a.final_answer(1, 7, Final::Failed); }, false)]
-fn one_final_answer_in_time(#[case] happens: fn(&mut Auditor), #[case] breach: bool) {
+#[case::sent_before_the_answer(|a: &mut Auditor| { a.sent(1, 7, 0, 1.0); a.final_answer(1, 7, Final::Failed); }, false)]
+fn command_gets_one_final_answer_in_time(#[case] events: fn(&mut Auditor), #[case] expected_breach: bool) {
     let mut a = auditor();
-    take(&mut a, 7, 1, false);
-    happens(&mut a);
-    assert_eq!(broken(a), if breach { vec![1] } else { vec![] });
+    accept(&mut a, 7, 1, false);
+    events(&mut a);
+    assert_eq!(broken_rules(a), if expected_breach { vec![1] } else { vec![] });
 }
 
 #[rstest]
-#[case::again_while_out(Fate::Open, true)]
-#[case::again_after_it_ran(Fate::Ran, true)]
-#[case::again_after_a_miss(Fate::Untouched, false)]
-fn a_mutating_command_is_sent_again_only_if_untouched(#[case] fate: Fate, #[case] breach: bool) {
+#[case::resent_while_in_flight(Fate::Open, true)]
+#[case::resent_after_it_ran(Fate::Ran, true)]
+#[case::resent_after_a_miss(Fate::Untouched, false)]
+fn mutating_command_is_resent_only_if_not_executed(#[case] fate: Fate, #[case] expected_breach: bool) {
     let mut a = auditor();
-    take(&mut a, 7, 1, true);
+    accept(&mut a, 7, 1, true);
     a.sent(10 * MS, 7, 0, 1.0);
     if fate != Fate::Open {
         a.ended(20 * MS, 7, 0, fate, None);
     }
     a.sent(30 * MS, 7, 2, 1.0);
     a.final_answer(40 * MS, 7, Final::Answered);
-    assert_eq!(broken(a), if breach { vec![2] } else { vec![] });
+    assert_eq!(broken_rules(a), if expected_breach { vec![2] } else { vec![] });
 }
 
 #[rstest]
 #[case::may_have_run(true, Fate::Open, vec![2])]
 #[case::untouched(true, Fate::Untouched, vec![])]
 #[case::replayable(false, Fate::Ran, vec![])]
-fn throttling_tells_that_a_repeat_is_harmless(
+fn throttled_mutating_command_must_not_have_run(
     #[case] mutating: bool,
     #[case] fate: Fate,
     #[case] rules: Vec<u8>,
 ) {
     let mut a = auditor();
-    take(&mut a, 7, 1, mutating);
+    accept(&mut a, 7, 1, mutating);
     a.sent(10 * MS, 7, 0, 1.0);
     a.ended(20 * MS, 7, 0, fate, None);
     a.final_answer(30 * MS, 7, Final::Throttled);
-    assert_eq!(broken(a), rules);
+    assert_eq!(broken_rules(a), rules);
 }
 
 #[rstest]
-#[case::past_the_grace(601, false, 1, vec![3])]
+#[case::after_the_grace(601, false, 1, vec![3])]
 #[case::within_the_grace(600, false, 1, vec![])]
-#[case::told_up_again(900, true, 1, vec![])]
-#[case::another_router_was_told(900, false, 0, vec![])]
-fn drains_bind_from_when_a_router_was_told(
+#[case::reported_up_again(900, true, 1, vec![])]
+#[case::another_router_was_informed(900, false, 0, vec![])]
+fn drain_grace_starts_when_the_router_is_informed(
     #[case] sent_ms: Micros,
     #[case] up: bool,
-    #[case] told: usize,
+    #[case] informed: usize,
     #[case] rules: Vec<u8>,
 ) {
     let mut a = auditor();
-    a.listed(100 * MS, told, 4, true, 0);
+    a.listed(100 * MS, informed, 4, true, 0);
     if up {
-        a.listed(200 * MS, told, 4, false, 0);
+        a.listed(200 * MS, informed, 4, false, 0);
     }
-    take(&mut a, 7, 1, false);
+    accept(&mut a, 7, 1, false);
     a.sent(sent_ms * MS, 7, 4, 1.0);
     a.final_answer(950 * MS, 7, Final::Answered);
-    assert_eq!(broken(a), rules);
+    assert_eq!(broken_rules(a), rules);
 }
 
-/// A member of strength 4 that starts with a quarter takes 2 s of work in its first second.
+/// A member of strength 4 that starts with a quarter of its capacity may be sent 2 s of work in its first second, which
+/// is twice its capacity.
 #[rstest]
-#[case::together_over(1_050, 2, vec![4])]
-#[case::together_just_under(950, 2, vec![])]
-#[case::half_of_it_from_one_that_was_not_told(1_050, 1, vec![])]
-fn routers_that_stay_under_their_own_part_push_over_together(
+#[case::above_the_limit(1_050, 2, vec![4])]
+#[case::just_below_the_limit(950, 2, vec![])]
+#[case::half_from_an_uninformed_router(1_050, 1, vec![])]
+fn cold_member_overloaded_by_all_routers_together(
     #[case] each_ms: Micros,
-    #[case] told: usize,
+    #[case] informed: usize,
     #[case] rules: Vec<u8>,
 ) {
     let mut a = auditor();
     a.started(1, 3, 4.0);
-    (0..told).for_each(|router| a.listed(1, router, 3, false, 1));
+    (0..informed).for_each(|router| a.listed(1, router, 3, false, 1));
     for router in 0..2 {
-        take(&mut a, 7 + router as u64, router, false);
+        accept(&mut a, 7 + router as u64, router, false);
         a.sent(2, 7 + router as u64, 3, (each_ms * MS) as f64);
         a.final_answer(3, 7 + router as u64, Final::Answered);
     }
-    let names_both = |b: &Breach| b.text.contains("by router 0") && b.text.contains("by router 1");
-    assert!(a.breaches().iter().all(names_both));
-    assert_eq!(broken(a), rules);
+    let names_both_routers = |b: &Breach| b.text.contains("by router 0") && b.text.contains("by router 1");
+    assert!(a.breaches().iter().all(names_both_routers));
+    assert_eq!(broken_rules(a), rules);
 }
 
 #[rstest]
 #[case::too_old(99, false, false, vec![5])]
-#[case::just_fresh(100, false, false, vec![])]
-#[case::was_primary_unknown_to_the_router(99, true, false, vec![])]
-#[case::was_primary_known_to_the_router(99, true, true, vec![5])]
-fn reads_are_as_fresh_as_they_must_be(
+#[case::just_fresh_enough(100, false, false, vec![])]
+#[case::former_primary_role_change_unknown(99, true, false, vec![])]
+#[case::former_primary_role_change_known(99, true, true, vec![5])]
+fn stale_read_is_a_breach(
     #[case] seen: Micros,
     #[case] was_primary: bool,
-    #[case] told: bool,
+    #[case] informed: bool,
     #[case] rules: Vec<u8>,
 ) {
     let mut a = auditor();
     if was_primary {
         a.primary(0);
     }
-    if told {
+    if informed {
         a.answer_heard(1, 0, false);
     }
-    take(&mut a, 7, 1, false);
+    accept(&mut a, 7, 1, false);
     a.sent(10, 7, 0, 1.0);
     a.ended(20, 7, 0, Fate::Ran, Some((seen, 100)));
     a.final_answer(30, 7, Final::Answered);
-    assert_eq!(broken(a), rules);
+    assert_eq!(broken_rules(a), rules);
 }
 
 #[rstest]
-fn a_breach_names_command_times_and_sends() {
+fn breach_text_names_command_times_and_dispatches() {
     let mut a = auditor();
-    take(&mut a, 7, 1, true);
+    accept(&mut a, 7, 1, true);
     a.sent(10 * MS, 7, 0, 1.0);
     a.sent(30 * MS, 7, 2, 1.0);
     let text = &a.breaches()[0].text;
-    let parts = ["command 7", "router 1", "member 0 at 0.0100 s", "member 2 at 0.0300 s", "1.0000 s"];
-    assert!(parts.iter().all(|p| text.contains(p)), "{text}");
+    let work_by_router =
+        ["command 7", "router 1", "member 0 at 0.0100 s", "member 2 at 0.0300 s", "1.0000 s"];
+    assert!(work_by_router.iter().all(|p| text.contains(p)), "{text}");
 }
 
 #[rstest]
-fn what_is_long_past_is_forgotten() {
+fn old_commands_are_forgotten() {
     let mut a = auditor();
     for n in 0..100 {
         a.taken(Taken {
