--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -6,7 +6,8 @@
 //! 2. A mutating command is sent again, or throttled, only if every earlier dispatch is known not to have run.
 //! 3. No new command is sent to a member once the drain grace has passed after its router learned that the member is
 //!    draining or gone.
-//! 4. All routers together do not send a cold member more than a multiple of its capacity. Exceeding it is a breach if at
+//! 4. All routers together do not send a cold member more than a multiple of its capacity. Exceeding it is a breach if
+//!    at
 //!    least two thirds of that work came from routers that knew of the member's start.
 //! 5. No read is answered from data older than its command group allows.
 //!
@@ -309,7 +310,8 @@
         }
     }
 
-    /// A member's process has started, cold. `strength` is its warm capacity: core-microseconds of work per microsecond.
+    /// A member's process has started, cold. `strength` is its warm capacity: core-microseconds of work per
+    /// microsecond.
     pub fn started(&mut self, at: Micros, node: usize, strength: f64) {
         self.cold.insert(node, Cold::new(at, strength));
     }
--- a/crates/store/src/embedded.rs
+++ b/crates/store/src/embedded.rs
@@ -57,8 +57,8 @@
     }
 }
 
-/// Runs a database call and turns a panic into [`StoreError::Damaged`]. Without this, flipped bits would crash the process,
-/// because redb asserts invariants of its pages.
+/// Runs a database call and turns a panic into [`StoreError::Damaged`]. Without this, flipped bits would crash the
+/// process, because redb asserts invariants of its pages.
 fn catch_panics<T>(work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
     catch_unwind(AssertUnwindSafe(work)).unwrap_or_else(|_| {
         Err(StoreError::Damaged("the embedded database panicked on an invalid page".to_owned()))
--- a/crates/store/src/heads.rs
+++ b/crates/store/src/heads.rs
@@ -20,8 +20,8 @@
     pub(crate) held_bytes: u64,
 }
 
-/// Changes that a valid batch makes to [`Heads`]: new heads by log (`None`: the log is dropped), keys that are put (`true`)
-/// or removed (`false`), and the bytes that it appends.
+/// Changes that a valid batch makes to [`Heads`]: new heads by log (`None`: the log is dropped), keys that are put
+/// (`true`) or removed (`false`), and the bytes that it appends.
 #[derive(Debug, Default)]
 pub(crate) struct Change {
     pub(crate) logs: BTreeMap<String, Option<Head>>,
@@ -101,7 +101,8 @@
         Ok(())
     }
 
-    /// Applies a change after its batch has been stored; `freed_bytes` is the size of the entries that the batch removed.
+    /// Applies a change after its batch has been stored; `freed_bytes` is the size of the entries that the batch
+    /// removed.
     pub(crate) fn commit(&mut self, change: Change, freed_bytes: u64) {
         for (log, head) in change.logs {
             match head {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -2,8 +2,8 @@
 //! [`Store`] is the interface; it is implemented in memory ([`MemoryMedium`]) and on an embedded database
 //! ([`EmbeddedMedium`], one redb file). Each implementation passes the conformance suite in [`contract`].
 //!
-//! A batch is atomic, and it is durable once [`Store::apply`] has returned, even if the process crashes afterwards. Data
-//! that fails verification on reading gives an error that names its location, never a guess and never a panic.
+//! A batch is atomic, and it is durable once [`Store::apply`] has returned, even if the process crashes afterwards.
+//! Data that fails verification on reading gives an error that names its location, never a guess and never a panic.
 
 mod batch;
 pub mod contract;
@@ -44,8 +44,8 @@
     }
 }
 
-/// Logs and records with atomic batches. Positions start at 0, or where [`Batch::begin`] set them; the head of a log that
-/// was never written is 0.
+/// Logs and records with atomic batches. Positions start at 0, or where [`Batch::begin`] set them; the head of a log
+/// that was never written is 0.
 pub trait Store: Send {
     /// Applies all operations in order, or none. The batch is durable when this returns `Ok`.
     ///
--- a/crates/subsets/src/fair.rs
+++ b/crates/subsets/src/fair.rs
@@ -1,21 +1,21 @@
-//! The fair part of each replica: by weight, but none more than whole.
+//! Fair share of each replica: proportional to weight, at most 1.
 
-/// What part of the routers' weight each of these replicas should see if every router picks `picks` of them: in
-/// proportion to weight, except that none sees more than all; what a heavy one can't take goes to the others.
-pub(crate) fn parts(weights: &[f64], picks: usize) -> Vec<f64> {
-    let mut parts = vec![0.0; weights.len()];
+/// Fraction of the routers' total weight that should pick each replica if every router picks `picks` of them. It is
+/// proportional to the replica's weight and at most 1; the excess of heavy replicas is divided among the others.
+pub(crate) fn fair_shares(weights: &[f64], picks: usize) -> Vec<f64> {
+    let mut shares = vec![0.0; weights.len()];
     let mut open: Vec<usize> = (0..weights.len()).collect();
-    let mut left = picks.min(weights.len()) as f64;
+    let mut remaining = picks.min(weights.len()) as f64;
     loop {
         let sum: f64 = open.iter().map(|i| weights[*i]).sum();
-        let whole = |i: &usize| weights[*i] * left >= sum;
-        if !open.iter().any(whole) || open.is_empty() {
-            open.iter().for_each(|i| parts[*i] = weights[*i] * left / sum);
-            return parts;
+        let reaches_one = |i: &usize| weights[*i] * remaining >= sum;
+        if !open.iter().any(reaches_one) || open.is_empty() {
+            open.iter().for_each(|i| shares[*i] = weights[*i] * remaining / sum);
+            return shares;
         }
-        let full: Vec<usize> = open.iter().copied().filter(whole).collect();
-        open.retain(|i| !full.contains(i));
-        left -= full.len() as f64;
-        full.into_iter().for_each(|i| parts[i] = 1.0);
+        let capped: Vec<usize> = open.iter().copied().filter(reaches_one).collect();
+        open.retain(|i| !capped.contains(i));
+        remaining -= capped.len() as f64;
+        capped.into_iter().for_each(|i| shares[i] = 1.0);
     }
 }
--- a/crates/subsets/src/lib.rs
+++ b/crates/subsets/src/lib.rs
@@ -1,5 +1,6 @@
-//! Which members each router talks to and probes. Every router works out its own subset from what all are told alike
-//! (the routers' numbers, the members, the rule), so that they agree without talk. No I/O, no clock, no chance.
+//! Deterministic subsetting: which members each router connects to and probes. Every router computes its own subset
+//! from the same inputs (the routers' numbers, the members, the rule), so routers agree without communication. No I/O,
+//! no clock, no randomness.
 
 mod fair;
 mod own;
@@ -10,8 +11,8 @@
 mod weight;
 mod whole;
 
-pub use own::{Own, Subsets};
-pub use told::{MEMBERS_MOST, Member, ROUTERS_MOST, Refused, Role, Router, Rule, SET_MOST, numbered};
+pub use own::{OwnSubset, Subsets};
+pub use told::{InputError, MEMBERS_MOST, Member, ROUTERS_MOST, Role, Router, Rule, SET_MOST, numbered};
 pub use whole::{Subset, fleet, subset};
 
 #[cfg(test)]
--- a/crates/subsets/src/score.rs
+++ b/crates/subsets/src/score.rs
@@ -1,18 +1,19 @@
-//! How much a member and a router suit each other: rendezvous hashing whose chance is spread evenly over the routers.
+//! Scores of members for routers: rendezvous hashing with scores that are stratified over the routers.
 //!
-//! Plain rendezvous draws each score on its own, and a member's part is off by chance. Here the scores of one member
-//! with 16 routers of following numbers are in the 16 parts of 0..1, one in each, in an order shuffled by the member's
-//! id and the sixteen (Latin hypercube sampling). Sixteens are shuffled apart: one shuffle for all, as in a scrambled
-//! sequence, keeps its own unevenness however many the routers. A score depends on nothing but router and member.
+//! Plain rendezvous hashing draws each score independently, so a member's share deviates at random. Here the scores of
+//! one member for a block of 16 consecutive router numbers fall into the 16 equal parts of 0..1, one in each, in an
+//! order shuffled by the member's id and the block (Latin hypercube sampling). Each block has its own shuffle: a single
+//! one for all, as in a scrambled sequence, would keep its unevenness for any number of routers. A score depends only
+//! on the router and the member.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 const BLOCK: u64 = 16;
 
-/// One member's scores with routers. Those of following numbers come cheapest one after another.
+/// One member's scores. Consecutive router numbers are cheapest to query in sequence, as the block is cached.
 pub(crate) struct Scores {
     key: u64,
-    /// The sixteen last asked for, and its order.
+    /// The block queried last, and its order.
     block: Option<u64>,
     order: [u8; BLOCK as usize],
 }
@@ -22,7 +23,7 @@
         Scores { key: xxh3_64(id.as_bytes()), block: None, order: [0; BLOCK as usize] }
     }
 
-    /// Its score with the router of this number, above 0 and below 1; the lowest suits best.
+    /// Score for the router of this number, above 0 and below 1; lower is better.
     pub(crate) fn with(&mut self, number: u64) -> f64 {
         let block = number / BLOCK;
         if self.block != Some(block) {
@@ -35,7 +36,7 @@
     }
 }
 
-/// One drawn number tells a whole shuffle: there are fewer shuffles of 16 than numbers.
+/// Derives a shuffle from one random number; there are fewer permutations of 16 than 64-bit numbers.
 fn shuffled(mut drawn: u64) -> [u8; BLOCK as usize] {
     let mut order = std::array::from_fn(|i| i as u8);
     for last in (1..BLOCK).rev() {
--- a/crates/subsets/src/told.rs
+++ b/crates/subsets/src/told.rs
@@ -1,16 +1,18 @@
-//! What is told: routers, members, the rule; and what of it is refused.
+//! Inputs (routers, members, the rule) and their validation.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The most routers, members, and members of one set told at once: above 2,100 routers and 4,900 members with room to
-/// grow. More are refused: the work grows with routers times members, and mending with the square of a set besides.
+/// Maximum number of routers, of members, and of members in one set: above 2,100 routers and 4,900 members with room to
+/// grow. More are rejected, because the work grows with routers times members, and that of rebalancing also with the
+/// square of the set size.
 pub const ROUTERS_MOST: usize = 8_192;
 pub const MEMBERS_MOST: usize = 8_192;
 pub const SET_MOST: usize = 128;
 
-/// One router of the fleet. `number` is its `me`; `weight` is its part of the traffic, by any common unit.
+/// One router of the fleet. `number` is its `me`; `weight` is its share of the traffic, in any unit common to all
+/// routers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Router {
     pub number: u64,
@@ -18,25 +20,28 @@
 }
 
 impl Router {
-    /// A router known by name (from membership) instead of by number. Names fall anywhere, so that the spread over
-    /// members is that of plain rendezvous before the bounds; numbers from 0 on spread better.
+    /// A router known by name (from membership) instead of by number. Hashed names are not consecutive, so before the
+    /// bounds are applied the distribution over members is that of plain rendezvous hashing; numbers from 0 on give a
+    /// more even one.
     pub fn named(name: &str, weight: f64) -> Router {
         Router { number: xxh3_64(name.as_bytes()), weight }
     }
 }
 
-/// The routers 0 to `balancers`, all alike: what is known from the settings alone.
+/// The routers 0 to `balancers` (exclusive) with equal weights, for use when only their number is known from the
+/// settings.
 pub fn numbered(balancers: u64) -> Vec<Router> {
     (0..balancers).map(|number| Router { number, weight: 1.0 }).collect()
 }
 
+/// Role of a member in its set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     Primary,
     Replica,
 }
 
-/// One member of a set. `weight` is what it bears, by any unit common to its set.
+/// One member of a set. `weight` is its capacity, in any unit common to its set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     pub id: String,
@@ -46,112 +51,115 @@
     pub zone: String,
 }
 
-/// How large a subset is and how even.
+/// Size and balance of subsets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    /// Replicas of each set in every subset. A set that has fewer gives all it has.
+    /// Replicas of each set in every subset. A set with fewer contributes all of them.
     pub replicas: usize,
-    /// A set with fewer replicas than this is told as short.
-    pub short: usize,
-    /// The most and the least of its fair part of the routers' weight that a replica is given, to the next whole
-    /// router where one router is more than that.
-    pub most: f64,
-    pub least: f64,
-    /// Two or more replicas of a set are not all of one zone, where the set has another. Goes before `most` and `least`.
-    pub apart: bool,
+    /// A set with fewer replicas than this is reported as short.
+    pub short_below: usize,
+    /// Largest and smallest multiple of its fair share of the routers' weight that a replica is assigned. If
+    /// that is less than one router away from the fair share, the bound is the next whole router.
+    pub max_share: f64,
+    pub min_share: f64,
+    /// Two or more replicas of a subset are not all in one zone if the set has replicas in another. Takes precedence
+    /// over `max_share` and `min_share`.
+    pub spread_zones: bool,
 }
 
 impl Default for Rule {
     fn default() -> Rule {
-        Rule { replicas: 2, short: 1, most: 1.1, least: 0.88, apart: false }
+        Rule { replicas: 2, short_below: 1, max_share: 1.1, min_share: 0.88, spread_zones: false }
     }
 }
 
-/// Why nothing was worked out.
+/// Why inputs were rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum InputError {
     TooManyRouters(usize),
     TooManyMembers(usize),
-    /// This set has more than `SET_MOST` members.
+    /// This set has more than [`SET_MOST`] members.
     SetTooLarge(i64),
     /// Two routers have this number.
-    RouterTwice(u64),
+    DuplicateRouter(u64),
     /// Two members have this id.
-    MemberTwice(String),
+    DuplicateMember(String),
     /// The weight of this router or member is not a number above 0.
     Weight(String),
-    /// The router asked about is not among those told.
-    NotTold(u64),
-    /// `most` has to be 1 or more, `least` from 0 to 1, `replicas` 1 or more.
+    /// The router in question is not in the list of routers.
+    UnknownRouter(u64),
+    /// `max_share` must be 1 or more, `min_share` from 0 to 1, `replicas` 1 or more.
     Rule,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for InputError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::TooManyRouters(n) => write!(f, "{n} routers, at most {ROUTERS_MOST} expected"),
-            Refused::TooManyMembers(n) => write!(f, "{n} members, at most {MEMBERS_MOST} expected"),
-            Refused::SetTooLarge(set) => write!(f, "set {set}: at most {SET_MOST} members expected"),
-            Refused::RouterTwice(n) => write!(f, "router {n} is told twice"),
-            Refused::MemberTwice(id) => write!(f, "member {id} is told twice"),
-            Refused::Weight(of) => write!(f, "weight of {of}: a number above 0 expected"),
-            Refused::NotTold(n) => write!(f, "router {n} is not among the routers told"),
-            Refused::Rule => write!(f, "rule: replicas >= 1, most >= 1 and least from 0 to 1 expected"),
+            InputError::TooManyRouters(n) => write!(f, "found {n} routers, expected at most {ROUTERS_MOST}"),
+            InputError::TooManyMembers(n) => write!(f, "found {n} members, expected at most {MEMBERS_MOST}"),
+            InputError::SetTooLarge(set) => write!(f, "set {set}: expected at most {SET_MOST} members"),
+            InputError::DuplicateRouter(n) => write!(f, "duplicate router number {n}"),
+            InputError::DuplicateMember(id) => write!(f, "duplicate member id {id}"),
+            InputError::Weight(of) => write!(f, "weight of {of}: expected a number above 0"),
+            InputError::UnknownRouter(n) => write!(f, "router {n} is not in the list of routers"),
+            InputError::Rule => {
+                write!(f, "rule: expected replicas >= 1, max_share >= 1 and min_share from 0 to 1")
+            }
         }
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for InputError {}
 
-fn sound(weight: f64, of: impl FnOnce() -> String) -> Result<(), Refused> {
-    if weight.is_finite() && weight > 0.0 { Ok(()) } else { Err(Refused::Weight(of())) }
+fn check_weight(weight: f64, of: impl FnOnce() -> String) -> Result<(), InputError> {
+    if weight.is_finite() && weight > 0.0 { Ok(()) } else { Err(InputError::Weight(of())) }
 }
 
 impl Router {
-    pub(crate) fn check(&self) -> Result<(), Refused> {
-        sound(self.weight, || format!("router {}", self.number))
+    pub(crate) fn check(&self) -> Result<(), InputError> {
+        check_weight(self.weight, || format!("router {}", self.number))
     }
 }
 
 impl Member {
-    pub(crate) fn check(&self) -> Result<(), Refused> {
-        sound(self.weight, || format!("member {}", self.id))
+    pub(crate) fn check(&self) -> Result<(), InputError> {
+        check_weight(self.weight, || format!("member {}", self.id))
     }
 }
 
 impl Rule {
-    fn check(&self) -> Result<(), Refused> {
-        // Written so that a NaN is refused.
-        let good = self.replicas > 0 && self.most >= 1.0 && (0.0..=1.0).contains(&self.least);
-        if good { Ok(()) } else { Err(Refused::Rule) }
+    fn check(&self) -> Result<(), InputError> {
+        // These comparisons also reject NaN.
+        let valid = self.replicas > 0 && self.max_share >= 1.0 && (0.0..=1.0).contains(&self.min_share);
+        if valid { Ok(()) } else { Err(InputError::Rule) }
     }
 }
 
-pub(crate) fn check(routers: &[Router], members: &[Member], rule: &Rule) -> Result<(), Refused> {
+pub(crate) fn check(routers: &[Router], members: &[Member], rule: &Rule) -> Result<(), InputError> {
     if routers.len() > ROUTERS_MOST {
-        return Err(Refused::TooManyRouters(routers.len()));
+        return Err(InputError::TooManyRouters(routers.len()));
     }
     if members.len() > MEMBERS_MOST {
-        return Err(Refused::TooManyMembers(members.len()));
+        return Err(InputError::TooManyMembers(members.len()));
     }
     rule.check()?;
     let mut numbers = BTreeSet::new();
     for router in routers {
         router.check()?;
         if !numbers.insert(router.number) {
-            return Err(Refused::RouterTwice(router.number));
+            return Err(InputError::DuplicateRouter(router.number));
         }
     }
-    let (mut ids, mut of_set) = (BTreeSet::new(), BTreeMap::new());
+    let (mut ids, mut set_sizes) = (BTreeSet::new(), BTreeMap::new());
     for member in members {
         member.check()?;
         if !ids.insert(&member.id) {
-            return Err(Refused::MemberTwice(member.id.clone()));
+            return Err(InputError::DuplicateMember(member.id.clone()));
         }
-        let count = of_set.entry(member.set).or_insert(0);
+        let count = set_sizes.entry(member.set).or_insert(0);
         *count += 1;
         if *count > SET_MOST {
-            return Err(Refused::SetTooLarge(member.set));
+            return Err(InputError::SetTooLarge(member.set));
         }
     }
     Ok(())
--- a/crates/subsets/src/weight.rs
+++ b/crates/subsets/src/weight.rs
@@ -1,37 +1,39 @@
-//! Weights of routers as whole numbers. Danger: sums of floats differ in the last bit by their order, and with them a
-//! bound that is just met; who hears of routers one by one must come to the sums of who is told all at once.
+//! Weights of routers as integers. Danger: sums of floats depend on the order of addition in the last bit, which can
+//! decide whether a bound is just met. A router that learns of the others one at a time must reach the same sums as one
+//! that receives the whole list at once.
 
 use crate::told::Router;
 
-/// The heaviest weighs from 2^47 on and less than 2^48, so that the sum of the most routers fits.
+/// The heaviest router weighs at least 2^47 and less than 2^48, so that the sum over the maximum number of routers
+/// fits.
 const BITS: i32 = 47;
 
-/// The power of two at or below the heaviest: what whole weights are counted in.
+/// The largest power of two that is not above the heaviest weight; integer weights are fractions of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Unit(f64);
+pub(crate) struct WeightUnit(f64);
 
-impl Unit {
-    /// Of routers' weights, all finite and above 0.
-    pub(crate) fn of(routers: &[Router]) -> Unit {
+impl WeightUnit {
+    /// The unit for these routers, whose weights are finite and above 0.
+    pub(crate) fn of(routers: &[Router]) -> WeightUnit {
         let heaviest = routers.iter().map(|r| r.weight).fold(f64::MIN_POSITIVE, f64::max);
-        // Without the bits behind the point.
-        Unit(f64::from_bits(heaviest.to_bits() >> 52 << 52))
+        // Clears the mantissa.
+        WeightUnit(f64::from_bits(heaviest.to_bits() >> 52 << 52))
     }
 
-    /// At least 1: nobody weighs nothing.
-    pub(crate) fn whole(self, weight: f64) -> i64 {
+    /// Converts a weight; the result is at least 1, so that no router has weight 0.
+    pub(crate) fn to_integer(self, weight: f64) -> i64 {
         (weight / self.0 * 2f64.powi(BITS)).max(1.0) as i64
     }
 }
 
-/// A router and its whole weight.
+/// A router with its integer weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Weighed {
+pub(crate) struct WeightedRouter {
     pub(crate) number: u64,
     pub(crate) weight: i64,
 }
 
-/// What a set's bounds follow from.
+/// Total and largest router weight, from which the bounds of a set follow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Total {
     pub(crate) all: i64,
@@ -39,17 +41,17 @@
 }
 
 impl Total {
-    pub(crate) fn of(routers: &[Weighed]) -> Total {
+    pub(crate) fn of(routers: &[WeightedRouter]) -> Total {
         let heaviest = routers.iter().map(|r| r.weight).max().unwrap_or(0);
         Total { all: routers.iter().map(|r| r.weight).sum(), heaviest }
     }
 }
 
-/// By number, each with its whole weight.
-pub(crate) fn weighed(routers: &[Router]) -> Vec<Weighed> {
-    let unit = Unit::of(routers);
-    let weigh = |r: &Router| Weighed { number: r.number, weight: unit.whole(r.weight) };
-    let mut all: Vec<Weighed> = routers.iter().map(weigh).collect();
+/// The routers with their integer weights, sorted by number.
+pub(crate) fn weighted_routers(routers: &[Router]) -> Vec<WeightedRouter> {
+    let unit = WeightUnit::of(routers);
+    let weigh = |r: &Router| WeightedRouter { number: r.number, weight: unit.to_integer(r.weight) };
+    let mut all: Vec<WeightedRouter> = routers.iter().map(weigh).collect();
     all.sort_by_key(|r| r.number);
     all
 }
--- a/crates/subsets/src/whole.rs
+++ b/crates/subsets/src/whole.rs
@@ -1,74 +1,80 @@
-//! Subsets worked out from all that is told at once.
+//! Subsets computed from complete lists of routers and members.
 
 use crate::set::Set;
-use crate::share::Share;
-use crate::told::{Member, Refused, Role, Router, Rule, check};
-use crate::weight::{Total, Weighed, weighed};
+use crate::share::Assignment;
+use crate::told::{InputError, Member, Role, Router, Rule, check};
+use crate::weight::{Total, WeightedRouter, weighted_routers};
 use std::collections::BTreeMap;
 
-/// What one router talks to in one set: places in the list of members told.
+/// One router's subset of one set, as indexes into the list of members.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Subset {
-    /// All that are listed as primary: two while a list is behind a change.
+    /// All members listed as primary; there may be two while the list is behind a change of primary.
     pub primaries: Vec<usize>,
-    /// In the order of their ids.
+    /// Sorted by id.
     pub replicas: Vec<usize>,
-    /// The set has fewer replicas than the rule calls short.
+    /// The set has fewer replicas than [`Rule::short_below`].
     pub short: bool,
 }
 
-/// The members of each set that router `me` talks to. Routers and members may be told in any order.
+/// Subset of each set for router `me`. Routers and members may be in any order.
 ///
 /// # Errors
-/// [`Refused`] names the first thing that makes no sense.
+/// [`InputError`] names the first invalid input.
 pub fn subset(
     me: u64,
     routers: &[Router],
     members: &[Member],
     rule: &Rule,
-) -> Result<BTreeMap<i64, Subset>, Refused> {
+) -> Result<BTreeMap<i64, Subset>, InputError> {
     check(routers, members, rule)?;
-    let routers = weighed(routers);
-    let at = routers.iter().position(|r| r.number == me).ok_or(Refused::NotTold(me))?;
+    let routers = weighted_routers(routers);
+    let at = routers.iter().position(|r| r.number == me).ok_or(InputError::UnknownRouter(me))?;
     let total = Total::of(&routers);
-    let mine = |(number, mut subset, places): (i64, Subset, Vec<usize>)| {
-        let mut set = Set::new(&places.iter().map(|place| &members[*place]).collect::<Vec<_>>(), rule);
-        let given = set.given(&routers);
-        let mine = own(&mut set, &given, &routers, total, at);
-        subset.replicas = mine.into_iter().map(|i| places[i]).collect();
+    let mine = |(number, mut subset, indexes): (i64, Subset, Vec<usize>)| {
+        let mut set = Set::new(&indexes.iter().map(|index| &members[*index]).collect::<Vec<_>>(), rule);
+        let assigned = set.assigned(&routers);
+        let mine = pick_replicas(&mut set, &assigned, &routers, total, at);
+        subset.replicas = mine.into_iter().map(|i| indexes[i]).collect();
         (number, subset)
     };
     Ok(sets(members, rule).map(mine).collect())
 }
 
-/// The replicas of one router, by their places in the set. Only where what the routers pick by score is uneven are the
-/// picks of all to be known.
-pub(crate) fn own(set: &mut Set, given: &[i64], routers: &[Weighed], total: Total, at: usize) -> Vec<usize> {
-    if !set.is_even(given, total) {
-        return Share::of_set(set, routers).of(at);
+/// Replicas that one router picks, as indexes in the set. The picks of all routers are computed only if those by score
+/// leave a replica outside its bounds.
+pub(crate) fn pick_replicas(
+    set: &mut Set,
+    assigned: &[i64],
+    routers: &[WeightedRouter],
+    total: Total,
+    at: usize,
+) -> Vec<usize> {
+    if !set.is_even(assigned, total) {
+        return Assignment::compute(set, routers).picks_of(at);
     }
     let mut picked: Vec<usize> = set.pick(routers[at].number).iter().map(|(_, i)| *i).collect();
     picked.sort_unstable();
     picked
 }
 
-/// The subsets of all routers, by their numbers: the same as asking for each.
+/// Subsets of all routers by number, equal to calling [`subset`] for each.
 ///
 /// # Errors
-/// [`Refused`] names the first thing that makes no sense.
+/// [`InputError`] names the first invalid input.
 pub fn fleet(
     routers: &[Router],
     members: &[Member],
     rule: &Rule,
-) -> Result<BTreeMap<u64, BTreeMap<i64, Subset>>, Refused> {
+) -> Result<BTreeMap<u64, BTreeMap<i64, Subset>>, InputError> {
     check(routers, members, rule)?;
-    let routers = weighed(routers);
+    let routers = weighted_routers(routers);
     let mut all: BTreeMap<u64, BTreeMap<i64, Subset>> = BTreeMap::new();
-    for (number, subset, places) in sets(members, rule) {
-        let mut set = Set::new(&places.iter().map(|place| &members[*place]).collect::<Vec<_>>(), rule);
-        let share = Share::of_set(&mut set, &routers);
+    for (number, subset, indexes) in sets(members, rule) {
+        let mut set = Set::new(&indexes.iter().map(|index| &members[*index]).collect::<Vec<_>>(), rule);
+        let assignment = Assignment::compute(&mut set, &routers);
         for (at, router) in routers.iter().enumerate() {
-            let replicas = share.of(at).into_iter().map(|i| places[i]).collect();
+            let replicas = assignment.picks_of(at).into_iter().map(|i| indexes[i]).collect();
             let subset = Subset { replicas, ..subset.clone() };
             all.entry(router.number).or_default().insert(number, subset);
         }
@@ -76,17 +82,17 @@
     Ok(all)
 }
 
-/// Each set: what is known without routers, and the places of its replicas in the order of their ids.
+/// By set: the part of its subset that does not depend on routers, and the indexes of its replicas, sorted by id.
 fn sets(members: &[Member], rule: &Rule) -> impl Iterator<Item = (i64, Subset, Vec<usize>)> {
     let mut sets: BTreeMap<i64, (Subset, Vec<usize>)> = BTreeMap::new();
-    for (place, member) in members.iter().enumerate() {
+    for (index, member) in members.iter().enumerate() {
         let (subset, replicas) = sets.entry(member.set).or_default();
         let list = if member.role == Role::Primary { &mut subset.primaries } else { replicas };
-        list.push(place);
+        list.push(index);
     }
     sets.into_iter().map(|(set, (subset, mut replicas))| {
         replicas.sort_by(|a, b| members[*a].id.cmp(&members[*b].id));
-        let short = replicas.len() < rule.short;
+        let short = replicas.len() < rule.short_below;
         (set, Subset { short, ..subset }, replicas)
     })
 }
