--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -7,8 +7,7 @@
 //! 3. No new command is sent to a member once the drain grace has passed after its router learned that the member is
 //!    draining or gone.
 //! 4. All routers together do not send a cold member more than a multiple of its capacity. Exceeding it is a breach if
-//!    at
-//!    least two thirds of that work came from routers that knew of the member's start.
+//!    at least two thirds of that work came from routers that knew of the member's start.
 //! 5. No read is answered from data older than its command group allows.
 //!
 //! Memory is bounded: commands are forgotten [`RETENTION`] microseconds after their client timeouts.
--- a/crates/subsets/src/own.rs
+++ b/crates/subsets/src/own.rs
@@ -3,8 +3,8 @@
 //!
 //! A change of a member affects only its set. A change of a router affects all sets, but only by its own weight, which
 //! is added to or subtracted from the sums of the replicas that it picks. While these sums stay within their bounds
-//! nothing else changes, because picks by score do not depend on other routers. Only a set that needs rebalancing,
-//! before or after the change, is recomputed over all routers.
+//! nothing else changes, because picks by score do not depend on other routers. Only a new set, or one
+//! that needs rebalancing before or after the change, is recomputed over all routers.
 
 use crate::set::Set;
 use crate::told::{InputError, MEMBERS_MOST, Member, ROUTERS_MOST, Role, Router, Rule, SET_MOST, check};
--- a/crates/subsets/src/tests.rs
+++ b/crates/subsets/src/tests.rs
@@ -217,9 +217,9 @@
             }
             3 => {
                 let number = self.random_router(&[1.0]).number;
-                let left = own.remove_router(number);
+                let removed = own.remove_router(number);
                 assert_eq!(
-                    left,
+                    removed,
                     if number == self.me { Err(InputError::UnknownRouter(number)) } else { Ok(()) }
                 );
                 self.routers.retain(|_, r| r.number != number || number == self.me);
@@ -243,7 +243,7 @@
     fn full_computation(&self, rule: &Rule) -> BTreeMap<i64, OwnSubset> {
         let routers: Vec<Router> = self.routers.values().cloned().collect();
         let members: Vec<Member> = self.members.values().cloned().collect();
-        let ids = |places: Vec<usize>| places.into_iter().map(|at| members[at].id.clone()).collect();
+        let ids = |indexes: Vec<usize>| indexes.into_iter().map(|at| members[at].id.clone()).collect();
         let sets = subset(self.me, &routers, &members, rule).expect("valid");
         let own =
             |s: Subset| OwnSubset { primaries: ids(s.primaries), replicas: ids(s.replicas), short: s.short };
@@ -292,8 +292,8 @@
 #[case::own_router_removed(|own: &mut Subsets| own.remove_router(0), InputError::UnknownRouter(0))]
 #[case::member_weight_not_a_number(|own: &mut Subsets| own.set_member(Member { weight: f64::NAN, ..members(1, 1, 0, &[1.0]).remove(0) }), InputError::Weight("member n-09dbcf9d".into()))]
 #[case::too_many_members_in_a_set(|own: &mut Subsets| (0..=SET_MOST).try_for_each(|i| own.set_member(Member { id: format!("s{i}"), ..members(1, 1, 0, &[1.0]).remove(0) })), InputError::SetTooLarge(0))]
-#[case::routers(|own: &mut Subsets| (0..=ROUTERS_MOST as u64).try_for_each(|number| own.set_router(Router { number, weight: 1.0 })), InputError::TooManyRouters(8193))]
-#[case::members(|own: &mut Subsets| (0..=MEMBERS_MOST as i64).try_for_each(|set| own.set_member(Member { id: format!("s{set}"), set, ..members(1, 1, 0, &[1.0]).remove(0) })), InputError::TooManyMembers(8193))]
+#[case::too_many_routers(|own: &mut Subsets| (0..=ROUTERS_MOST as u64).try_for_each(|number| own.set_router(Router { number, weight: 1.0 })), InputError::TooManyRouters(8193))]
+#[case::too_many_members(|own: &mut Subsets| (0..=MEMBERS_MOST as i64).try_for_each(|set| own.set_member(Member { id: format!("s{set}"), set, ..members(1, 1, 0, &[1.0]).remove(0) })), InputError::TooManyMembers(8193))]
 fn invalid_changes_are_rejected(
     #[case] invalidate: fn(&mut Subsets) -> Result<(), InputError>,
     #[case] expected: InputError,
@@ -306,8 +306,8 @@
 /// recompute no set, and a member that leaves recomputes only its own.
 #[rstest]
 fn change_in_a_large_fleet_recomputes_only_affected_sets() {
-    let created = members(3, 50, 4, &[1.0]);
-    let mut own = Subsets::new(7, &numbered(2_100), &created, &Rule::default()).unwrap();
+    let initial = members(3, 50, 4, &[1.0]);
+    let mut own = Subsets::new(7, &numbered(2_100), &initial, &Rule::default()).unwrap();
     assert_eq!(std::iter::from_fn(|| own.next_change()).count(), 50);
     for number in 100..500 {
         own.remove_router(number).unwrap();
@@ -318,7 +318,7 @@
         assert_eq!(own.next_change(), None);
     }
     assert_eq!(own.recomputations(), 50);
-    own.remove_member(&created[1].id);
+    own.remove_member(&initial[1].id);
     assert!(std::iter::from_fn(|| own.next_change()).all(|(set, _)| set == 0));
     assert_eq!(own.recomputations(), 51);
 }
--- a/crates/subsets/src/told.rs
+++ b/crates/subsets/src/told.rs
@@ -58,8 +58,8 @@
     pub replicas: usize,
     /// A set with fewer replicas than this is reported as short.
     pub short_below: usize,
-    /// Largest and smallest multiple of its fair share of the routers' weight that a replica is assigned. If
-    /// that is less than one router away from the fair share, the bound is the next whole router.
+    /// Largest and smallest multiple of its fair share of the routers' weight that a replica is assigned. If that
+    /// is less than one router away from the fair share, the bound is the next whole router.
     pub max_share: f64,
     pub min_share: f64,
     /// Two or more replicas of a subset are not all in one zone if the set has replicas in another. Takes precedence
