--- a/crates/capacity/src/constants.rs
+++ b/crates/capacity/src/constants.rs
@@ -227,7 +227,7 @@
         "link Bounds.calls",
         2_048.0,
         "connections from others",
-        ("crates/link/src/talk.rs", "calls: 2_048,"),
+        ("crates/link/src/talk.rs", "inbound_connections: 2_048,"),
         routers,
         "peers, where streams are used",
     ),
--- a/crates/chaos/src/bin/talker.rs
+++ b/crates/chaos/src/bin/talker.rs
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 use vetchkeel_link::{
-    Bounds, Event, Kinds, Name, Parts, Sender, Sockets, StreamId, Tenths, Transport, Waker, Way,
+    Bounds, Channel, Event, Kinds, Name, Protocols, Sender, Sockets, StreamId, Tenths, Transport, Waker,
 };
 
 const NOTE: u16 = 1;
@@ -54,16 +54,16 @@
     };
     let incarnation = incarnation.parse().map_err(|_| "expected a number as the incarnation".to_owned())?;
     let me = Sender { name: named(name)?, incarnation };
-    let bounds = Bounds { patience: 20_000, ..Bounds::default() };
+    let bounds = Bounds { ack_timeout: 20_000, ..Bounds::default() };
     let kinds = Kinds::new(&[(NOTE, "note")]);
-    let mut sockets = Sockets::bind(me, kinds, bounds, address(listen)?, Parts::Both, incarnation)
+    let mut sockets = Sockets::bind(me, kinds, bounds, address(listen)?, Protocols::Both, incarnation)
         .map_err(|e| format!("{listen}: {e}"))?;
     let mut known = Vec::new();
     for peer in peers {
         let (name, at) =
             peer.split_once('=').ok_or_else(|| format!("expected PEER=ADDRESS, found '{peer}'"))?;
         let name = named(name)?;
-        sockets.meet(0, &name, address(at)?).map_err(|e| e.to_string())?;
+        sockets.add_peer(0, &name, address(at)?).map_err(|e| e.to_string())?;
         known.push(name);
     }
     end_with_input(sockets.waker());
@@ -109,13 +109,13 @@
 
     /// What came back goes first, so that bodies stay in order.
     fn send(&mut self, now: Tenths, peer: &Name) -> std::io::Result<()> {
-        let datagram = self.sockets.send(now, peer, Way::Datagram, NOTE, b"here");
+        let datagram = self.sockets.send(now, peer, Channel::Datagram, NOTE, b"here");
         debug_assert!(datagram.is_ok());
         loop {
             let waiting = self.again.entry(peer.clone()).or_default();
             let made = self.made.entry(peer.clone()).or_default();
             let body = waiting.first().copied().unwrap_or(*made + 1);
-            match self.sockets.send(now, peer, Way::Stream(STREAM), NOTE, &body.to_be_bytes()) {
+            match self.sockets.send(now, peer, Channel::Stream(STREAM), NOTE, &body.to_be_bytes()) {
                 Ok(number) if waiting.is_empty() => {
                     *made = body;
                     return self.say(&format!("taken {peer} {number} {body}"));
@@ -149,7 +149,7 @@
                 Ok(())
             }
             Event::Datagram { from, .. } => self.say(&format!("datagram {} {}", from.name, from.incarnation)),
-            Event::Unread { why, .. } => self.say(&format!("unread {why}")),
+            Event::Rejected { why, .. } => self.say(&format!("unread {why}")),
         }
     }
 }
--- a/crates/chaos/src/tests.rs
+++ b/crates/chaos/src/tests.rs
@@ -6,9 +6,11 @@
 use std::io::{ErrorKind, Read};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::time::Duration;
-use vetchkeel_link::contract::{self, Ground, bounds};
-use vetchkeel_link::fault::{Fault, Line, REPEAT};
-use vetchkeel_link::{Event, Kinds, Name, Parts, Sender, Sockets, Tenths, Transport, Way, Why};
+use vetchkeel_link::contract::{self, Environment, bounds};
+use vetchkeel_link::fault::{Fault, Line, RETRANSMIT_DELAY};
+use vetchkeel_link::{
+    BreakReason, Channel, Event, Kinds, Name, Protocols, Sender, Sockets, Tenths, Transport,
+};
 use vetchkeel_operator::OperatorFile;
 
 fn name(text: &str) -> Name {
@@ -32,13 +34,13 @@
     }
 }
 
-impl Ground for Relayed {
+impl Environment for Relayed {
     type T = Sockets;
 
     fn start(&mut self, me: Sender, kinds: Kinds) -> Sockets {
         let at = self.fleet.place(&me.name).unwrap().listen;
         let seed = me.incarnation;
-        Sockets::bind(me, kinds, bounds(), at, Parts::Both, seed).unwrap()
+        Sockets::bind(me, kinds, bounds(), at, Protocols::Both, seed).unwrap()
     }
 
     fn address(&mut self, from: &Name, to: &Name) -> SocketAddr {
@@ -49,11 +51,11 @@
         self.fleet.now()
     }
 
-    fn pass(&mut self, time: Tenths) {
+    fn advance(&mut self, time: Tenths) {
         std::thread::sleep(Duration::from_micros(time as u64 * 100));
     }
 
-    fn inject(&mut self, to: &Name, datagram: &[u8]) -> bool {
+    fn inject_datagram(&mut self, to: &Name, datagram: &[u8]) -> bool {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         socket.send_to(datagram, self.fleet.place(to).unwrap().listen).is_ok()
     }
@@ -72,20 +74,20 @@
 }
 
 /// Why a's stream to b breaks, and after how long, when b is gone and these faults began just before.
-fn broken_after(forth: Fault, back: Fault, ends: bool) -> (Why, Tenths) {
+fn broken_after(forth: Fault, back: Fault, ends: bool) -> (BreakReason, Tenths) {
     let mut ground = Relayed::new(Fault::default());
     let kinds = Kinds::new(&[(1, "note")]);
     let start = |g: &mut Relayed, n: &str| g.start(Sender { name: name(n), incarnation: 1 }, kinds.clone());
     let (mut a, mut b) = (start(&mut ground, "a"), Some(start(&mut ground, "b")));
     let (to, at) = (name("b"), ground.address(&name("a"), &name("b")));
-    a.meet(0, &to, at).unwrap();
-    a.send(ground.now(), &to, Way::Stream(1), 1, b"first").unwrap();
+    a.add_peer(0, &to, at).unwrap();
+    a.send(ground.now(), &to, Channel::Stream(1), 1, b"first").unwrap();
     let mut told = None;
     while !matches!(told, Some(Event::Acknowledged { .. })) {
         assert!(ground.now() < 150_000, "no talk through relays");
         b.as_mut().and_then(|b| b.poll(ground.now()));
         told = a.poll(ground.now());
-        ground.pass(10);
+        ground.advance(10);
     }
     ground.fleet.set(&name("a"), &to, forth).unwrap();
     ground.fleet.set(&to, &name("a"), back).unwrap();
@@ -95,28 +97,28 @@
     let began = ground.now();
     while ground.now() < began + 120_000 {
         // More than one: the first that is written to an end that is gone is still taken by its machine.
-        a.send(ground.now(), &to, Way::Stream(1), 1, b"more").unwrap();
+        a.send(ground.now(), &to, Channel::Stream(1), 1, b"more").unwrap();
         b.as_mut().and_then(|b| b.poll(ground.now()));
         if let Some(Event::Broken { why, .. }) = a.poll(ground.now()) {
             return (why, ground.now() - began);
         }
-        ground.pass(10);
+        ground.advance(10);
     }
     panic!("nothing was told");
 }
 
 #[rstest]
-#[case::ends_on_a_whole_link(Fault::default(), Fault::default(), true, Why::Lost, 0)]
-#[case::ends_behind_a_cut(cut(), cut(), true, Why::Silent, bounds().patience)]
-#[case::ends_and_the_news_is_cut(Fault::default(), cut(), true, Why::Silent, bounds().patience)]
-#[case::is_there_behind_a_cut(cut(), Fault::default(), false, Why::Silent, bounds().patience)]
-#[case::is_there_and_answers_are_cut(Fault::default(), cut(), false, Why::Silent, bounds().patience)]
-#[case::is_reset(Fault { reset: true, ..Fault::default() }, Fault::default(), false, Why::Lost, 0)]
+#[case::ends_on_a_whole_link(Fault::default(), Fault::default(), true, BreakReason::ConnectionLost, 0)]
+#[case::ends_behind_a_cut(cut(), cut(), true, BreakReason::AckTimeout, bounds().ack_timeout)]
+#[case::ends_and_the_news_is_cut(Fault::default(), cut(), true, BreakReason::AckTimeout, bounds().ack_timeout)]
+#[case::is_there_behind_a_cut(cut(), Fault::default(), false, BreakReason::AckTimeout, bounds().ack_timeout)]
+#[case::is_there_and_answers_are_cut(Fault::default(), cut(), false, BreakReason::AckTimeout, bounds().ack_timeout)]
+#[case::is_reset(Fault { reset: true, ..Fault::default() }, Fault::default(), false, BreakReason::ConnectionLost, 0)]
 fn what_a_link_hides_is_found_by_patience(
     #[case] forth: Fault,
     #[case] back: Fault,
     #[case] ends: bool,
-    #[case] why: Why,
+    #[case] why: BreakReason,
     #[case] least: Tenths,
 ) {
     let (found, after) = broken_after(forth, back, ends);
@@ -288,5 +290,5 @@
             break;
         }
     }
-    assert!(came == sent && last > REPEAT);
+    assert!(came == sent && last > RETRANSMIT_DELAY);
 }
--- a/crates/control/src/transport.rs
+++ b/crates/control/src/transport.rs
@@ -6,13 +6,14 @@
 use std::time::Duration;
 use vetchkeel_configuration::{Message, Name, Tenths, wire};
 use vetchkeel_link::{
-    Bounds, Event, Kinds, Name as LinkName, Parts, Sender, Sockets, Transport, Unread, Waker, Way, Why,
+    Bounds, BreakReason, Channel, Event, Kinds, Name as LinkName, Protocols, RejectReason, Sender, Sockets,
+    Transport, Waker,
 };
 
 /// Kinds of link messages: a configuration message, and the sender's address, which is sent before a `Subscribe`.
 const CONFIGURATION: u16 = 2;
 const ADDRESS: u16 = 3;
-const STREAM: Way = Way::Stream(2);
+const STREAM: Channel = Channel::Stream(2);
 /// Maximum number of events handled before decisions are pulled.
 const MAX_EVENTS: usize = 4_096;
 
@@ -67,7 +68,7 @@
         let (message, stream_bytes) = (wire::MAX_MESSAGE_BYTES + 64, 2 * wire::MAX_MESSAGE_BYTES + 4_096);
         let bounds = Bounds { message, stream_bytes, peer_bytes: 2 * stream_bytes, ..Bounds::default() };
         let kinds = Kinds::new(&[(CONFIGURATION, "configuration"), (ADDRESS, "address")]);
-        let sockets = Sockets::bind(sender, kinds, bounds, address, Parts::Tcp, seed)
+        let sockets = Sockets::bind(sender, kinds, bounds, address, Protocols::Tcp, seed)
             .map_err(|e| format!("expected to listen on {address}: {e}"))?;
         let (announced, traffic) = (BTreeSet::new(), Traffic::default());
         let mut transport = ConfigurationTransport { sockets, address, configured, announced, traffic };
@@ -75,7 +76,7 @@
             if let Some(other) = link_name(&other) {
                 transport
                     .sockets
-                    .meet(now, &other, at)
+                    .add_peer(now, &other, at)
                     .map_err(|e| format!("cannot register the address of {other}: {e}"))?;
             }
         }
@@ -142,8 +143,8 @@
                     });
                 }
                 Some(Event::Broken { to, why, .. }) => came.extend(self.handle_broken_stream(now, &to, &why)),
-                Some(Event::Unread { why: Unread::Stale, .. }) => {}
-                Some(Event::Unread { from, why }) => {
+                Some(Event::Rejected { why: RejectReason::StaleConnection, .. }) => {}
+                Some(Event::Rejected { from, why }) => {
                     let from = from.map_or_else(|| "an unknown sender".to_owned(), |name| name.to_string());
                     came.push(Incoming::Rejected(format!("message from {from} rejected: {why}")));
                 }
@@ -158,7 +159,7 @@
         let address = std::str::from_utf8(body).ok().and_then(|text| text.parse::<SocketAddr>().ok());
         // Guards against an announcement that overrides the address which the operator configured for that name.
         if let Some(address) = address.filter(|_| !self.configured.contains_key(&name))
-            && self.sockets.meet(now, from, address).is_ok()
+            && self.sockets.add_peer(now, from, address).is_ok()
         {
             self.announced.insert(name);
         }
@@ -166,10 +167,10 @@
 
     /// Forgets a peer with a self-announced address until it asks again. Without this, routers that are gone would
     /// accumulate for ever.
-    fn handle_broken_stream(&mut self, now: Tenths, to: &LinkName, why: &Why) -> Option<Incoming> {
+    fn handle_broken_stream(&mut self, now: Tenths, to: &LinkName, why: &BreakReason) -> Option<Incoming> {
         let name = Name::new(to.as_str()).ok()?;
-        if *why != Why::Left && self.announced.remove(&name) {
-            self.sockets.forget(now, to);
+        if *why != BreakReason::PeerRemoved && self.announced.remove(&name) {
+            self.sockets.remove_peer(now, to);
         }
         Some(Incoming::Disconnected(name))
     }
--- a/crates/link/examples/speed.rs
+++ b/crates/link/examples/speed.rs
@@ -5,12 +5,12 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 use vetchkeel_link::{
-    Bounds, Event, FrameType, Header, Kinds, MemoryTransport, Name, Parts, Refused, Sender, SimulatedNetwork,
-    Sockets, Tenths, Transport, Way, encode,
+    Bounds, Channel, Event, FrameType, Header, Kinds, MemoryTransport, Name, Protocols, SendError, Sender,
+    SimulatedNetwork, Sockets, Tenths, Transport, encode,
 };
 
 const SECONDS: u64 = 2;
-const STREAM: Way = Way::Stream(1);
+const STREAM: Channel = Channel::Stream(1);
 
 fn name(text: &str) -> Name {
     Name::new(text).unwrap_or_else(|| panic!("{text} is not a valid name"))
@@ -19,7 +19,7 @@
 fn sockets(me: &str) -> Sockets {
     let me = Sender { name: name(me), incarnation: 1 };
     let any = ([127, 0, 0, 1], 0).into();
-    Sockets::bind(me, Kinds::new(&[(1, "note")]), Bounds::default(), any, Parts::Both, 1)
+    Sockets::bind(me, Kinds::new(&[(1, "note")]), Bounds::default(), any, Protocols::Both, 1)
         .unwrap_or_else(|e| panic!("cannot bind sockets on loopback: {e}"))
 }
 
@@ -37,7 +37,7 @@
     let over = AtomicBool::new(false);
     let (began, body) = (Instant::now(), vec![7u8; length]);
     let now = || (began.elapsed().as_micros() / 100) as Tenths;
-    let added = a.meet(0, &name("b"), b.address());
+    let added = a.add_peer(0, &name("b"), b.address());
     assert!(added.is_ok(), "{added:?}");
     let waker = b.waker();
     std::thread::scope(|scope| {
@@ -62,7 +62,7 @@
                         due.push_back(at);
                         sent += 1;
                     }
-                    Err(Refused::Full { .. }) => {
+                    Err(SendError::Full { .. }) => {
                         run.refused += 1;
                         break;
                     }
@@ -101,7 +101,7 @@
     let mut all: Vec<MemoryTransport> = names.iter().map(start).collect();
     for (i, memory) in all.iter_mut().enumerate() {
         for peer in (1..=5).map(|p| &names[(i + p * 7) % instances]) {
-            assert!(memory.meet(0, peer, network.address(peer)).is_ok());
+            assert!(memory.add_peer(0, peer, network.address(peer)).is_ok());
         }
     }
     let mut delivered = 0;
--- a/crates/link/src/dialling.rs
+++ b/crates/link/src/dialling.rs
@@ -1,7 +1,9 @@
 //! One peer as this instance sends to it: the outbound connection, and the streams on it.
 
 use crate::envelope::{FrameType, Header, encode};
-use crate::message::{Event, Kind, Message, Name, Refused, Sender, StreamId, Tenths, Unread, Why};
+use crate::message::{
+    BreakReason, Event, Kind, Message, Name, RejectReason, SendError, Sender, StreamId, Tenths,
+};
 use crate::outgoing::SendStream;
 use crate::redial::{Dial, Redial};
 use crate::talk::{Action, Bounds, ConnectionId};
@@ -56,13 +58,13 @@
         kind: Kind,
         body: &[u8],
         bounds: &Bounds,
-    ) -> Result<u64, Refused> {
+    ) -> Result<u64, SendError> {
         if !self.streams.contains_key(&stream) && self.streams.len() >= bounds.streams {
-            return Err(Refused::TooMany { bound: bounds.streams });
+            return Err(SendError::TooMany { bound: bounds.streams });
         }
         let all: usize = self.streams.values().map(SendStream::bytes).sum();
         if all + body.len() > bounds.peer_bytes {
-            return Err(Refused::Full { waiting: all, bound: bounds.peer_bytes });
+            return Err(SendError::Full { waiting: all, bound: bounds.peer_bytes });
         }
         self.last_used = now;
         let first_number = self.first_number;
@@ -96,7 +98,7 @@
             }
             Some(Dial::Abort) => {
                 let conn = self.conn.take();
-                self.connection_lost(Why::Lost, events);
+                self.connection_lost(BreakReason::ConnectionLost, events);
                 return conn.map(|conn| Action::Close { conn });
             }
             None => {}
@@ -108,7 +110,7 @@
         if self.is_waiting() {
             self.last_used = now;
         } else if now - self.last_used >= bounds.idle_timeout {
-            return self.close_connection(now, Why::Lost, events);
+            return self.close_connection(now, BreakReason::ConnectionLost, events);
         }
         if self.unsent_bytes >= bounds.unsent_bytes {
             return None;
@@ -146,26 +148,31 @@
     ) -> Option<Action> {
         let mut timed_out = false;
         for (id, stream) in &mut self.streams {
-            if stream.is_timed_out(now, bounds.patience) {
+            if stream.is_timed_out(now, bounds.ack_timeout) {
                 timed_out = true;
-                events.extend(broken(&self.name, *id, stream.fail(), Why::Silent));
+                events.extend(broken(&self.name, *id, stream.fail(), BreakReason::AckTimeout));
             }
         }
         if timed_out && self.redial.is_connected() {
-            self.close_connection(now, Why::Lost, events)
+            self.close_connection(now, BreakReason::ConnectionLost, events)
         } else {
             None
         }
     }
 
-    fn close_connection(&mut self, now: Tenths, why: Why, events: &mut impl Extend<Event>) -> Option<Action> {
+    fn close_connection(
+        &mut self,
+        now: Tenths,
+        why: BreakReason,
+        events: &mut impl Extend<Event>,
+    ) -> Option<Action> {
         let conn = self.conn.take();
         self.redial.disconnected(now);
         self.connection_lost(why, events);
         conn.map(|conn| Action::Close { conn })
     }
 
-    fn connection_lost(&mut self, why: Why, events: &mut impl Extend<Event>) {
+    fn connection_lost(&mut self, why: BreakReason, events: &mut impl Extend<Event>) {
         for (id, stream) in &mut self.streams {
             events.extend(broken(&self.name, *id, stream.connection_ended(), why.clone()));
         }
@@ -181,7 +188,7 @@
     }
 
     /// The connection ended, or could not be established.
-    pub(crate) fn disconnected(&mut self, now: Tenths, why: Why, events: &mut impl Extend<Event>) {
+    pub(crate) fn disconnected(&mut self, now: Tenths, why: BreakReason, events: &mut impl Extend<Event>) {
         self.close_connection(now, why, events);
     }
 
@@ -197,17 +204,17 @@
     }
 
     /// Handles the peer's refusal of a stream's epoch.
-    pub(crate) fn refused(&mut self, id: StreamId, epoch: u64, why: Unread) -> Option<Event> {
+    pub(crate) fn refused(&mut self, id: StreamId, epoch: u64, why: RejectReason) -> Option<Event> {
         let stream = self.streams.get_mut(&id).filter(|s| s.epoch() == epoch)?;
-        broken(&self.name, id, stream.fail(), Why::Refused(why))
+        broken(&self.name, id, stream.fail(), BreakReason::Rejected(why))
     }
 
     /// Returns all unacknowledged messages: the peer was removed, or its address changed.
     pub(crate) fn detach(&mut self, now: Tenths, events: &mut impl Extend<Event>) -> Option<Action> {
         for (id, stream) in &mut self.streams {
-            events.extend(broken(&self.name, *id, stream.fail(), Why::Left));
+            events.extend(broken(&self.name, *id, stream.fail(), BreakReason::PeerRemoved));
         }
-        self.close_connection(now, Why::Left, events)
+        self.close_connection(now, BreakReason::PeerRemoved, events)
     }
 
     /// Sets a new address. The sequence numbers continue.
@@ -221,13 +228,13 @@
     }
 
     pub(crate) fn wake_at(&self, bounds: &Bounds) -> Option<Tenths> {
-        let timeout = self.streams.values().filter_map(|s| s.times_out_at(bounds.patience)).min();
+        let timeout = self.streams.values().filter_map(|s| s.times_out_at(bounds.ack_timeout)).min();
         let idle_at = self.redial.is_connected().then(|| self.last_used + bounds.idle_timeout);
         [timeout, idle_at, self.redial.wake_at(self.is_waiting())].into_iter().flatten().min()
     }
 }
 
-fn broken(to: &Name, stream: StreamId, unacknowledged: Vec<Message>, why: Why) -> Option<Event> {
+fn broken(to: &Name, stream: StreamId, unacknowledged: Vec<Message>, why: BreakReason) -> Option<Event> {
     let to = to.clone();
     (!unacknowledged.is_empty()).then_some(Event::Broken { to, stream, unacknowledged, why })
 }
--- a/crates/link/src/envelope.rs
+++ b/crates/link/src/envelope.rs
@@ -10,7 +10,7 @@
 //! On a connection each message follows its length, 4 bytes, big-endian. The prefix and [`FrameType::Refusal`] keep their
 //! encoding in every version, so that instances of different versions can refuse each other with a reason.
 
-use crate::message::{Incarnation, Kind, MAX_NAME_BYTES, StreamId, Unread};
+use crate::message::{Incarnation, Kind, MAX_NAME_BYTES, RejectReason, StreamId};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
@@ -39,7 +39,7 @@
     /// stay the first variant in every version.
     Refusal {
         stream: Option<(StreamId, u64)>,
-        why: Unread,
+        why: RejectReason,
     },
     Datagram,
     /// Handshake, the first frame of a connection; `connection_number` grows with each connection of one incarnation.
@@ -76,18 +76,18 @@
 }
 
 /// Decodes a message into header and body.
-pub fn decode(bytes: &[u8]) -> Result<(Header<'_>, &[u8]), Unread> {
-    let (prefix, rest) = bytes.split_at_checked(PREFIX_BYTES).ok_or(Unread::UnknownProtocol)?;
+pub fn decode(bytes: &[u8]) -> Result<(Header<'_>, &[u8]), RejectReason> {
+    let (prefix, rest) = bytes.split_at_checked(PREFIX_BYTES).ok_or(RejectReason::UnknownProtocol)?;
     if prefix[..2] != MAGIC {
-        return Err(Unread::UnknownProtocol);
+        return Err(RejectReason::UnknownProtocol);
     }
     if crc32fast::hash(rest).to_be_bytes() != prefix[3..] {
-        return Err(Unread::ChecksumMismatch);
+        return Err(RejectReason::ChecksumMismatch);
     }
     if prefix[2] != VERSION {
-        return Err(Unread::Version { theirs: prefix[2], ours: VERSION });
+        return Err(RejectReason::Version { theirs: prefix[2], ours: VERSION });
     }
-    postcard::take_from_bytes(rest).map_err(|_| Unread::Malformed)
+    postcard::take_from_bytes(rest).map_err(|_| RejectReason::Malformed)
 }
 
 /// Serializes a value as the body of a message.
--- a/crates/link/src/fault.rs
+++ b/crates/link/src/fault.rs
@@ -9,7 +9,7 @@
 pub struct Fault {
     /// Nothing passes. Bytes of connections are held until the cut is over, as TCP would retransmit them.
     pub cut: bool,
-    /// Fraction of datagrams that are lost. Bytes of connections are delayed by [`REPEAT`] instead.
+    /// Fraction of datagrams that are lost. Bytes of connections are delayed by [`RETRANSMIT_DELAY`] instead.
     pub drop: f64,
     /// Fraction of datagrams that are duplicated.
     pub duplicate: f64,
@@ -26,7 +26,7 @@
 }
 
 /// Delay after which lost bytes of a connection are retransmitted.
-pub const REPEAT: Tenths = 2_000;
+pub const RETRANSMIT_DELAY: Tenths = 2_000;
 /// Maximum queueing delay of a datagram on a throttled line.
 pub const MAX_QUEUE_DELAY: Tenths = 5_000;
 /// Maximum delay of a reordered datagram beyond `jitter`.
@@ -107,7 +107,7 @@
         let Fault { drop, delay, jitter, .. } = self.fault;
         let transmitted_at = self.transmitted_at(now, length);
         self.free_at = transmitted_at;
-        let retransmission = if self.random_bool(drop) { REPEAT } else { 0 };
+        let retransmission = if self.random_bool(drop) { RETRANSMIT_DELAY } else { 0 };
         self.last_arrival =
             self.last_arrival.max(transmitted_at + delay + self.random_up_to(jitter) + retransmission);
         Some(self.last_arrival)
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -23,10 +23,11 @@
 pub use envelope::{FrameType, Header, MAX_OVERHEAD, VERSION, decode, encode, pack, unpack};
 pub use memory::{MemoryTransport, SimulatedNetwork};
 pub use message::{
-    Event, Incarnation, Kind, Kinds, Message, Name, Refused, Sender, StreamId, Tenths, Unread, Way, Why,
+    BreakReason, Channel, Event, Incarnation, Kind, Kinds, Message, Name, RejectReason, SendError, Sender,
+    StreamId, Tenths,
 };
 pub use redial::{Backoff, Redial};
-pub use sockets::{Parts, Sockets, Waker};
+pub use sockets::{Protocols, Sockets, Waker};
 pub use talk::Bounds;
 pub use transport::Transport;
 
--- a/crates/link/src/listening.rs
+++ b/crates/link/src/listening.rs
@@ -1,7 +1,7 @@
 //! One inbound connection: the peer's identity, the order of received messages, and pending acknowledgements.
 
 use crate::envelope::{FrameType, Header};
-use crate::message::{Incarnation, Kinds, Name, StreamId, Tenths, Unread};
+use crate::message::{Incarnation, Kinds, Name, RejectReason, StreamId, Tenths};
 use std::collections::BTreeMap;
 
 /// Receiving side of a stream.
@@ -44,10 +44,10 @@
     RefuseStream {
         stream: StreamId,
         epoch: u64,
-        why: Unread,
+        why: RejectReason,
     },
     /// The connection is refused.
-    RefuseConnection(Unread),
+    RefuseConnection(RejectReason),
     Ignored,
 }
 
@@ -80,16 +80,16 @@
                     incarnation: header.incarnation,
                     connection_number: *connection_number,
                 }),
-                None => FrameResult::RefuseConnection(Unread::Malformed),
+                None => FrameResult::RefuseConnection(RejectReason::Malformed),
             },
             (Some(identity), FrameType::Stream { stream, epoch, number }) => {
                 if identity.name.as_str() != header.from || identity.incarnation != header.incarnation {
-                    return FrameResult::RefuseConnection(Unread::OutOfOrder);
+                    return FrameResult::RefuseConnection(RejectReason::OutOfOrder);
                 }
                 let known = kinds.name(header.kind).is_some();
                 self.message((*stream, *epoch, *number), known.then_some(()).ok_or(header.kind), max_streams)
             }
-            _ => FrameResult::RefuseConnection(Unread::OutOfOrder),
+            _ => FrameResult::RefuseConnection(RejectReason::OutOfOrder),
         }
     }
 
@@ -101,12 +101,12 @@
     ) -> FrameResult {
         let (stream, epoch, number) = position;
         if !self.streams.contains_key(&stream) && self.streams.len() >= max_streams {
-            return FrameResult::RefuseStream { stream, epoch, why: Unread::Full };
+            return FrameResult::RefuseStream { stream, epoch, why: RejectReason::Full };
         }
         let new_stream =
             || ReceiveStream { epoch, next: Some(epoch), delivered: epoch - 1, acknowledged: epoch - 1 };
         if epoch == 0 {
-            return FrameResult::RefuseConnection(Unread::OutOfOrder);
+            return FrameResult::RefuseConnection(RejectReason::OutOfOrder);
         }
         let incoming = self.streams.entry(stream).or_insert_with(new_stream);
         if epoch > incoming.epoch {
@@ -117,11 +117,11 @@
         }
         // Danger: accepting a message out of order would hide the loss of the one before it.
         if epoch < incoming.epoch || incoming.next != Some(number) {
-            return FrameResult::RefuseConnection(Unread::OutOfOrder);
+            return FrameResult::RefuseConnection(RejectReason::OutOfOrder);
         }
         if let Err(kind) = known {
             incoming.next = None;
-            return FrameResult::RefuseStream { stream, epoch, why: Unread::UnknownKind(kind) };
+            return FrameResult::RefuseStream { stream, epoch, why: RejectReason::UnknownKind(kind) };
         }
         incoming.next = Some(number + 1);
         FrameResult::Message { stream, epoch, number }
--- a/crates/link/src/memory.rs
+++ b/crates/link/src/memory.rs
@@ -2,7 +2,7 @@
 //! equal seeds and equal calls give equal events.
 
 use crate::fault::{Fault, Line};
-use crate::message::{Event, Kind, Kinds, Name, Refused, Sender, Tenths, Way};
+use crate::message::{Channel, Event, Kind, Kinds, Name, SendError, Sender, Tenths};
 use crate::talk::{Action, Bounds, ConnectionId, Endpoint, stream_of};
 use crate::transport::Transport;
 use std::collections::{BTreeMap, VecDeque};
@@ -118,7 +118,7 @@
     }
 
     /// Sends a datagram that no instance sent.
-    pub fn inject(&self, now: Tenths, to: &Name, datagram: Vec<u8>) {
+    pub fn inject_datagram(&self, now: Tenths, to: &Name, datagram: Vec<u8>) {
         let mut state = self.state();
         if let Some(running) = state.running.get(to).cloned() {
             state.schedule_arrival(&running, now, Arrival::Datagram(datagram));
@@ -312,20 +312,27 @@
         self.endpoint.me()
     }
 
-    fn carries(&self, _: Way) -> bool {
+    fn supports(&self, _: Channel) -> bool {
         true
     }
 
-    fn meet(&mut self, now: Tenths, peer: &Name, address: SocketAddr) -> Result<(), Refused> {
-        self.endpoint.meet(now, peer, address)
+    fn add_peer(&mut self, now: Tenths, peer: &Name, address: SocketAddr) -> Result<(), SendError> {
+        self.endpoint.add_peer(now, peer, address)
     }
 
-    fn forget(&mut self, now: Tenths, peer: &Name) {
-        self.endpoint.forget(now, peer);
+    fn remove_peer(&mut self, now: Tenths, peer: &Name) {
+        self.endpoint.remove_peer(now, peer);
     }
 
-    fn send(&mut self, now: Tenths, to: &Name, way: Way, kind: Kind, body: &[u8]) -> Result<u64, Refused> {
-        if let Some(stream) = stream_of(way) {
+    fn send(
+        &mut self,
+        now: Tenths,
+        to: &Name,
+        channel: Channel,
+        kind: Kind,
+        body: &[u8],
+    ) -> Result<u64, SendError> {
+        if let Some(stream) = stream_of(channel) {
             return self.endpoint.send(now, to, stream, kind, body);
         }
         let bytes = self.endpoint.datagram(to, kind, body)?;
--- a/crates/link/src/message.rs
+++ b/crates/link/src/message.rs
@@ -72,7 +72,7 @@
 
 /// How a message travels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Way {
+pub enum Channel {
     /// May be lost, duplicated or reordered, without any report.
     Datagram,
     /// Delivered in order and once, or reported as unacknowledged.
@@ -121,31 +121,31 @@
         to: Name,
         stream: StreamId,
         unacknowledged: Vec<Message>,
-        why: Why,
+        why: BreakReason,
     },
     /// Something arrived that was not delivered. `from` is the sender, if it could be read.
-    Unread {
+    Rejected {
         from: Option<Name>,
-        why: Unread,
+        why: RejectReason,
     },
 }
 
 /// Why a stream broke.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum BreakReason {
     /// The connection ended.
-    Lost,
-    /// No message was acknowledged within [`crate::Bounds::patience`].
-    Silent,
+    ConnectionLost,
+    /// No message was acknowledged within [`crate::Bounds::ack_timeout`].
+    AckTimeout,
     /// The peer refused a message.
-    Refused(Unread),
+    Rejected(RejectReason),
     /// The peer's address changed, or the peer was removed.
-    Left,
+    PeerRemoved,
 }
 
 /// Why something that arrived was not delivered. On a connection, the reason is sent back to the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Unread {
+pub enum RejectReason {
     /// The bytes do not begin with the prefix that all versions share.
     UnknownProtocol,
     /// The version differs from `ours`.
@@ -161,39 +161,41 @@
     /// Addressed to another instance, with this name.
     WrongReceiver(String),
     /// From a connection that a later one of the same sender replaced.
-    Stale,
+    StaleConnection,
     /// Sequence numbers are not consecutive, or a frame is not allowed at this point.
     OutOfOrder,
     /// The bound on connections or streams is reached.
     Full,
 }
 
-impl fmt::Display for Unread {
+impl fmt::Display for RejectReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unread::UnknownProtocol => write!(f, "not a message between instances"),
-            Unread::Version { theirs, ours } => {
+            RejectReason::UnknownProtocol => write!(f, "not a message between instances"),
+            RejectReason::Version { theirs, ours } => {
                 write!(f, "protocol version {theirs}, expected version {ours}")
             }
-            Unread::ChecksumMismatch => write!(f, "checksum mismatch"),
-            Unread::TooLong { length, bound } => write!(f, "{length} bytes exceed the limit of {bound}"),
-            Unread::Malformed => write!(f, "malformed header"),
-            Unread::UnknownKind(kind) => write!(f, "unknown message kind {kind}"),
-            Unread::WrongReceiver(name) => write!(f, "addressed to {name}"),
-            Unread::Stale => write!(f, "received on a connection that a later one replaced"),
-            Unread::OutOfOrder => write!(f, "out of order"),
-            Unread::Full => write!(f, "limit on connections or streams reached"),
+            RejectReason::ChecksumMismatch => write!(f, "checksum mismatch"),
+            RejectReason::TooLong { length, bound } => {
+                write!(f, "{length} bytes exceed the limit of {bound}")
+            }
+            RejectReason::Malformed => write!(f, "malformed header"),
+            RejectReason::UnknownKind(kind) => write!(f, "unknown message kind {kind}"),
+            RejectReason::WrongReceiver(name) => write!(f, "addressed to {name}"),
+            RejectReason::StaleConnection => write!(f, "received on a connection that a later one replaced"),
+            RejectReason::OutOfOrder => write!(f, "out of order"),
+            RejectReason::Full => write!(f, "limit on connections or streams reached"),
         }
     }
 }
 
 /// Why [`crate::Transport::send`] did not accept a message. Nothing of it was sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// The peer's address is not known: set it by [`crate::Transport::meet`] first.
+pub enum SendError {
+    /// The peer's address is not known: set it by [`crate::Transport::add_peer`] first.
     UnknownPeer(Name),
     /// This transport does not carry datagrams, or does not carry streams.
-    UnsupportedChannel(Way),
+    UnsupportedChannel(Channel),
     /// A kind that this instance does not know.
     UnknownKind(Kind),
     /// In bytes.
@@ -205,20 +207,22 @@
     TooMany { bound: usize },
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for SendError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::UnknownPeer(name) => write!(f, "no known address for {name}"),
-            Refused::UnsupportedChannel(way) => write!(f, "{way:?} is not supported by this transport"),
-            Refused::UnknownKind(kind) => write!(f, "unknown message kind {kind}"),
-            Refused::TooLong { length, bound } => write!(f, "{length} bytes exceed the limit of {bound}"),
-            Refused::Full { waiting, bound } => {
+            SendError::UnknownPeer(name) => write!(f, "no known address for {name}"),
+            SendError::UnsupportedChannel(channel) => {
+                write!(f, "{channel:?} is not supported by this transport")
+            }
+            SendError::UnknownKind(kind) => write!(f, "unknown message kind {kind}"),
+            SendError::TooLong { length, bound } => write!(f, "{length} bytes exceed the limit of {bound}"),
+            SendError::Full { waiting, bound } => {
                 write!(f, "send queue full: {waiting} of {bound} bytes in use")
             }
-            Refused::TooMany { bound } => write!(f, "limit of {bound} peers or streams reached"),
+            SendError::TooMany { bound } => write!(f, "limit of {bound} peers or streams reached"),
         }
     }
 }
 
-impl std::error::Error for Refused {}
-impl std::error::Error for Unread {}
+impl std::error::Error for SendError {}
+impl std::error::Error for RejectReason {}
--- a/crates/link/src/outgoing.rs
+++ b/crates/link/src/outgoing.rs
@@ -1,6 +1,6 @@
 //! Sending side of a stream: sequence numbers, unacknowledged messages, and the acknowledgement timeout.
 
-use crate::message::{Kind, Message, Refused, Tenths};
+use crate::message::{Kind, Message, SendError, Tenths};
 use std::collections::VecDeque;
 
 /// Bytes counted for a message beside its body, so that the number of empty messages is bounded too.
@@ -67,12 +67,12 @@
         kind: Kind,
         body: &[u8],
         bound: usize,
-    ) -> Result<u64, Refused> {
+    ) -> Result<u64, SendError> {
         let cost = SendStream::cost(body);
         // Danger: without this bound, messages to a peer that accepts nothing would fill this instance's
         // memory.
         if self.bytes + cost > bound {
-            return Err(Refused::Full { waiting: self.bytes, bound });
+            return Err(SendError::Full { waiting: self.bytes, bound });
         }
         if self.waiting.is_empty() {
             (self.waiting_since, self.final_check_at) = (now, None);
@@ -115,13 +115,13 @@
     }
 
     /// When the timeout has to be checked next.
-    pub(crate) fn times_out_at(&self, patience: Tenths) -> Option<Tenths> {
-        self.is_waiting().then(|| self.final_check_at.unwrap_or(self.waiting_since + patience))
+    pub(crate) fn times_out_at(&self, ack_timeout: Tenths) -> Option<Tenths> {
+        self.is_waiting().then(|| self.final_check_at.unwrap_or(self.waiting_since + ack_timeout))
     }
 
     /// Whether the acknowledgement timeout has passed.
-    pub(crate) fn is_timed_out(&mut self, now: Tenths, patience: Tenths) -> bool {
-        if self.times_out_at(patience).is_none_or(|at| now < at) {
+    pub(crate) fn is_timed_out(&mut self, now: Tenths, ack_timeout: Tenths) -> bool {
+        if self.times_out_at(ack_timeout).is_none_or(|at| now < at) {
             return false;
         }
         // Danger: an instance that was itself paused must not time out its peers while their acknowledgements
--- a/crates/link/src/sockets.rs
+++ b/crates/link/src/sockets.rs
@@ -1,7 +1,7 @@
 //! Transport over sockets: datagrams over UDP, streams over TCP, both at one address. No decisions are made here:
 //! socket events are passed to [`Endpoint`], and its actions are carried out.
 
-use crate::message::{Event, Kind, Kinds, Name, Refused, Sender, Tenths, Way};
+use crate::message::{Channel, Event, Kind, Kinds, Name, SendError, Sender, Tenths};
 use crate::talk::{Action, Bounds, ConnectionId, Endpoint, stream_of};
 use crate::tcp::{Connections, FIRST_CONNECTION_TOKEN, Readiness, connection_id_of, token};
 use crate::transport::Transport;
@@ -24,7 +24,7 @@
 
 /// Which sockets an instance has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Parts {
+pub enum Protocols {
     Udp,
     Tcp,
     Both,
@@ -64,12 +64,12 @@
         kinds: Kinds,
         bounds: Bounds,
         address: SocketAddr,
-        parts: Parts,
+        protocols: Protocols,
         seed: u64,
     ) -> io::Result<Sockets> {
         let poll = Poll::new()?;
         let waker = Waker(Arc::new(mio::Waker::new(poll.registry(), WAKER)?));
-        let (mut udp, mut tcp) = bind_parts(address, parts)?;
+        let (mut udp, mut tcp) = bind_protocols(address, protocols)?;
         let mut at = address;
         if let Some(socket) = &mut udp {
             poll.registry().register(socket, UDP, Interest::READABLE)?;
@@ -174,12 +174,15 @@
     }
 }
 
-fn bind_parts(address: SocketAddr, parts: Parts) -> io::Result<(Option<UdpSocket>, Option<TcpListener>)> {
+fn bind_protocols(
+    address: SocketAddr,
+    protocols: Protocols,
+) -> io::Result<(Option<UdpSocket>, Option<TcpListener>)> {
     let mut last_error = io::Error::from(ErrorKind::AddrInUse);
     for _ in 0..MAX_PORT_ATTEMPTS {
-        let tcp = if parts == Parts::Udp { None } else { Some(TcpListener::bind(address)?) };
+        let tcp = if protocols == Protocols::Udp { None } else { Some(TcpListener::bind(address)?) };
         let at = tcp.as_ref().map_or(Ok(address), TcpListener::local_addr)?;
-        if parts == Parts::Tcp {
+        if protocols == Protocols::Tcp {
             return Ok((None, tcp));
         }
         match UdpSocket::bind(at) {
@@ -197,26 +200,33 @@
         self.endpoint.me()
     }
 
-    fn carries(&self, way: Way) -> bool {
-        match way {
-            Way::Datagram => self.udp.is_some(),
-            Way::Stream(_) => self.tcp.is_some(),
+    fn supports(&self, channel: Channel) -> bool {
+        match channel {
+            Channel::Datagram => self.udp.is_some(),
+            Channel::Stream(_) => self.tcp.is_some(),
         }
     }
 
-    fn meet(&mut self, now: Tenths, peer: &Name, address: SocketAddr) -> Result<(), Refused> {
-        self.endpoint.meet(now, peer, address)
+    fn add_peer(&mut self, now: Tenths, peer: &Name, address: SocketAddr) -> Result<(), SendError> {
+        self.endpoint.add_peer(now, peer, address)
     }
 
-    fn forget(&mut self, now: Tenths, peer: &Name) {
-        self.endpoint.forget(now, peer);
+    fn remove_peer(&mut self, now: Tenths, peer: &Name) {
+        self.endpoint.remove_peer(now, peer);
     }
 
-    fn send(&mut self, now: Tenths, to: &Name, way: Way, kind: Kind, body: &[u8]) -> Result<u64, Refused> {
-        if !self.carries(way) {
-            return Err(Refused::UnsupportedChannel(way));
+    fn send(
+        &mut self,
+        now: Tenths,
+        to: &Name,
+        channel: Channel,
+        kind: Kind,
+        body: &[u8],
+    ) -> Result<u64, SendError> {
+        if !self.supports(channel) {
+            return Err(SendError::UnsupportedChannel(channel));
         }
-        if let Some(stream) = stream_of(way) {
+        if let Some(stream) = stream_of(channel) {
             return self.endpoint.send(now, to, stream, kind, body);
         }
         let bytes = self.endpoint.datagram(to, kind, body)?;
--- a/crates/link/src/talk.rs
+++ b/crates/link/src/talk.rs
@@ -7,7 +7,9 @@
 use crate::dialling::Peer;
 use crate::envelope::{FrameType, Header, MAX_OVERHEAD, VERSION, decode, encode};
 use crate::listening::{FrameResult, InboundConnection, PeerIdentity};
-use crate::message::{Event, Kind, Kinds, Name, Refused, Sender, StreamId, Tenths, Unread, Way, Why};
+use crate::message::{
+    BreakReason, Channel, Event, Kind, Kinds, Name, RejectReason, SendError, Sender, StreamId, Tenths,
+};
 use crate::redial::{Backoff, Redial};
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -30,9 +32,9 @@
     /// Maximum number of peers added, and of names that have connected to this instance.
     pub peers: usize,
     /// Maximum number of inbound connections open at once.
-    pub calls: usize,
+    pub inbound_connections: usize,
     /// Acknowledgement timeout: a stream breaks when none of its messages is acknowledged for this long.
-    pub patience: Tenths,
+    pub ack_timeout: Tenths,
     /// Idle timeout: a connection without messages is closed by its dialling side after this long, by the other
     /// side after twice this.
     pub idle_timeout: Tenths,
@@ -49,8 +51,8 @@
             unsent_bytes: 256 * 1_024,
             streams: 64,
             peers: 8_192,
-            calls: 2_048,
-            patience: 50_000,
+            inbound_connections: 2_048,
+            ack_timeout: 50_000,
             idle_timeout: 300_000,
             backoff: Backoff::default(),
         }
@@ -140,12 +142,17 @@
         !self.events.is_empty()
     }
 
-    pub(crate) fn meet(&mut self, now: Tenths, name: &Name, address: SocketAddr) -> Result<(), Refused> {
+    pub(crate) fn add_peer(
+        &mut self,
+        now: Tenths,
+        name: &Name,
+        address: SocketAddr,
+    ) -> Result<(), SendError> {
         if self.peers.get(name).is_some_and(|p| p.address == address) {
             return Ok(());
         }
         if !self.peers.contains_key(name) && self.peers.len() >= self.bounds.peers {
-            return Err(Refused::TooMany { bound: self.bounds.peers });
+            return Err(SendError::TooMany { bound: self.bounds.peers });
         }
         self.disconnect(now, name);
         let redial = Redial::new(self.bounds.backoff, self.rng.generate());
@@ -160,7 +167,7 @@
         Ok(())
     }
 
-    pub(crate) fn forget(&mut self, now: Tenths, name: &Name) {
+    pub(crate) fn remove_peer(&mut self, now: Tenths, name: &Name) {
         self.disconnect(now, name);
         // Danger: without this, a peer that is added again would take the first messages for ones sent before.
         let unused = self.peers.remove(name).map_or(0, |p| p.unused_number());
@@ -181,20 +188,20 @@
     }
 
     /// Encodes a datagram.
-    pub(crate) fn datagram(&self, to: &Name, kind: Kind, body: &[u8]) -> Result<Vec<u8>, Refused> {
+    pub(crate) fn datagram(&self, to: &Name, kind: Kind, body: &[u8]) -> Result<Vec<u8>, SendError> {
         self.check_sendable(to, kind, body, self.bounds.datagram.saturating_sub(DATAGRAM_OVERHEAD))?;
         Ok(encode(&self.header(to.as_str(), kind, FrameType::Datagram), body))
     }
 
-    fn check_sendable(&self, to: &Name, kind: Kind, body: &[u8], bound: usize) -> Result<(), Refused> {
+    fn check_sendable(&self, to: &Name, kind: Kind, body: &[u8], bound: usize) -> Result<(), SendError> {
         if !self.peers.contains_key(to) {
-            return Err(Refused::UnknownPeer(to.clone()));
+            return Err(SendError::UnknownPeer(to.clone()));
         }
         if self.kinds.name(kind).is_none() {
-            return Err(Refused::UnknownKind(kind));
+            return Err(SendError::UnknownKind(kind));
         }
         if body.len() > bound {
-            return Err(Refused::TooLong { length: body.len(), bound });
+            return Err(SendError::TooLong { length: body.len(), bound });
         }
         Ok(())
     }
@@ -210,9 +217,9 @@
         stream: StreamId,
         kind: Kind,
         body: &[u8],
-    ) -> Result<u64, Refused> {
+    ) -> Result<u64, SendError> {
         self.check_sendable(to, kind, body, self.bounds.message)?;
-        let peer = self.peers.get_mut(to).ok_or_else(|| Refused::UnknownPeer(to.clone()))?;
+        let peer = self.peers.get_mut(to).ok_or_else(|| SendError::UnknownPeer(to.clone()))?;
         let number = peer.send(now, stream, kind, body, &self.bounds)?;
         self.runnable.insert(WorkItem::Peer(to.clone()));
         Ok(number)
@@ -225,8 +232,8 @@
 
     /// Registers an inbound connection. None at the bound: the host closes the connection.
     pub(crate) fn accepted(&mut self, now: Tenths) -> Option<ConnectionId> {
-        if self.inbound_count >= self.bounds.calls {
-            self.push_event(Event::Unread { from: None, why: Unread::Full });
+        if self.inbound_count >= self.bounds.inbound_connections {
+            self.push_event(Event::Rejected { from: None, why: RejectReason::Full });
             return None;
         }
         let conn = ConnectionId(self.next_connection_id);
@@ -265,10 +272,10 @@
 
     /// The connection ended, or could not be established.
     pub(crate) fn disconnected(&mut self, now: Tenths, conn: ConnectionId) {
-        self.disconnected_because(now, conn, Why::Lost);
+        self.disconnected_because(now, conn, BreakReason::ConnectionLost);
     }
 
-    fn disconnected_because(&mut self, now: Tenths, conn: ConnectionId, why: Why) {
+    fn disconnected_because(&mut self, now: Tenths, conn: ConnectionId, why: BreakReason) {
         match self.connections.remove(&conn) {
             Some(Connection::Outbound(name)) => {
                 let mut new_events = Vec::new();
@@ -307,26 +314,26 @@
 
     /// Handles a received datagram.
     pub(crate) fn datagram_received(&mut self, bytes: &[u8]) {
-        let event = self.read_datagram(bytes).unwrap_or_else(|(from, why)| Event::Unread { from, why });
+        let event = self.read_datagram(bytes).unwrap_or_else(|(from, why)| Event::Rejected { from, why });
         self.push_event(event);
     }
 
-    fn read_datagram(&self, bytes: &[u8]) -> Result<Event, (Option<Name>, Unread)> {
+    fn read_datagram(&self, bytes: &[u8]) -> Result<Event, (Option<Name>, RejectReason)> {
         let (length, bound) = (bytes.len(), self.bounds.datagram);
         if length > bound {
-            return Err((None, Unread::TooLong { length: length as u64, bound: bound as u64 }));
+            return Err((None, RejectReason::TooLong { length: length as u64, bound: bound as u64 }));
         }
         let (header, body) = decode(bytes).map_err(|why| (None, why))?;
-        let name = Name::new(header.from).ok_or((None, Unread::Malformed))?;
+        let name = Name::new(header.from).ok_or((None, RejectReason::Malformed))?;
         let refuse = |why| Err((Some(name.clone()), why));
         if header.to != self.me.name.as_str() {
-            return refuse(Unread::WrongReceiver(header.to.to_owned()));
+            return refuse(RejectReason::WrongReceiver(header.to.to_owned()));
         }
         if header.frame_type != FrameType::Datagram {
-            return refuse(Unread::OutOfOrder);
+            return refuse(RejectReason::OutOfOrder);
         }
         if self.kinds.name(header.kind).is_none() {
-            return refuse(Unread::UnknownKind(header.kind));
+            return refuse(RejectReason::UnknownKind(header.kind));
         }
         let from = Sender { name, incarnation: header.incarnation };
         Ok(Event::Datagram { from, kind: header.kind, body: body.to_vec() })
@@ -341,7 +348,7 @@
         let read = decode(frame).and_then(|(header, body)| {
             match header.to == self.me.name.as_str() || without_receiver(&header) {
                 true => Ok((header, body)),
-                false => Err(Unread::WrongReceiver(header.to.to_owned())),
+                false => Err(RejectReason::WrongReceiver(header.to.to_owned())),
             }
         });
         match (self.connections.get_mut(&conn), read) {
@@ -351,8 +358,8 @@
             }
             (Some(Connection::Outbound(name)), Err(why)) => {
                 let from = Some(name.clone());
-                self.push_event(Event::Unread { from, why });
-                self.close(now, conn, Why::Lost);
+                self.push_event(Event::Rejected { from, why });
+                self.close(now, conn, BreakReason::ConnectionLost);
             }
             (Some(Connection::Inbound(inbound)), Ok((header, body))) => {
                 let result = inbound.receive(now, &header, &self.kinds, self.bounds.streams);
@@ -385,7 +392,7 @@
 
     /// Handles a frame whose announced length is over the bound.
     pub(crate) fn oversized_frame_received(&mut self, now: Tenths, conn: ConnectionId, length: u64) {
-        let why = Unread::TooLong { length, bound: self.max_frame_bytes() as u64 };
+        let why = RejectReason::TooLong { length, bound: self.max_frame_bytes() as u64 };
         match self.connections.get(&conn) {
             Some(Connection::Inbound(inbound)) if !inbound.refused => {
                 let from = inbound.identity.as_ref().map(|s| s.name.clone());
@@ -393,8 +400,8 @@
             }
             Some(Connection::Outbound(name)) => {
                 let from = Some(name.clone());
-                self.push_event(Event::Unread { from, why });
-                self.close(now, conn, Why::Lost);
+                self.push_event(Event::Rejected { from, why });
+                self.close(now, conn, BreakReason::ConnectionLost);
             }
             _ => {}
         }
@@ -415,15 +422,15 @@
                 }
                 self.runnable.insert(WorkItem::Peer(name));
             }
-            FrameType::Refusal { stream: None, why } => self.close(now, conn, Why::Refused(why)),
+            FrameType::Refusal { stream: None, why } => self.close(now, conn, BreakReason::Rejected(why)),
             FrameType::Datagram | FrameType::Hello { .. } | FrameType::Stream { .. } => {
-                self.push_event(Event::Unread { from: Some(name), why: Unread::OutOfOrder });
-                self.close(now, conn, Why::Lost);
+                self.push_event(Event::Rejected { from: Some(name), why: RejectReason::OutOfOrder });
+                self.close(now, conn, BreakReason::ConnectionLost);
             }
         }
     }
 
-    fn close(&mut self, now: Tenths, conn: ConnectionId, why: Why) {
+    fn close(&mut self, now: Tenths, conn: ConnectionId, why: BreakReason) {
         self.disconnected_because(now, conn, why);
         self.actions.push_back(Action::Close { conn });
     }
@@ -434,7 +441,7 @@
         let order = |s: &PeerIdentity| (s.incarnation, s.connection_number);
         let before = self.inbound_peers.get(&name).map(|(s, latest)| (order(s), *latest));
         if before.is_some_and(|(last, _)| last >= order(&identity)) {
-            return self.refuse_connection(now, conn, Some(name), Unread::Stale);
+            return self.refuse_connection(now, conn, Some(name), RejectReason::StaleConnection);
         }
         if before.is_none() && self.inbound_peers.len() >= self.bounds.peers {
             // Danger: a client can invent any number of names, so only a name without an open connection
@@ -443,13 +450,13 @@
                 self.inbound_peers.iter().find(|(_, (_, latest))| latest.is_none()).map(|(n, _)| n.clone());
             match evicted {
                 Some(evicted) => self.inbound_peers.remove(&evicted),
-                None => return self.refuse_connection(now, conn, Some(name), Unread::Full),
+                None => return self.refuse_connection(now, conn, Some(name), RejectReason::Full),
             };
         }
         // Danger: without this, messages still in flight on the older connection would arrive after those
         // sent on this one.
         if let Some((_, Some(older))) = before {
-            self.close(now, older, Why::Lost);
+            self.close(now, older, BreakReason::ConnectionLost);
         }
         if let Some(Connection::Inbound(inbound)) = self.connections.get_mut(&conn) {
             inbound.identity = Some(identity.clone());
@@ -457,7 +464,7 @@
         self.inbound_peers.insert(name, (identity, Some(conn)));
     }
 
-    fn refuse_connection(&mut self, now: Tenths, conn: ConnectionId, from: Option<Name>, why: Unread) {
+    fn refuse_connection(&mut self, now: Tenths, conn: ConnectionId, from: Option<Name>, why: RejectReason) {
         if let Some(Connection::Inbound(inbound)) = self.connections.get_mut(&conn) {
             inbound.refused = true;
         }
@@ -470,7 +477,7 @@
         conn: ConnectionId,
         from: Option<Name>,
         stream: Option<(StreamId, u64)>,
-        why: Unread,
+        why: RejectReason,
     ) {
         let to = from.as_ref().map_or("", Name::as_str);
         let frame = encode(&self.header(to, 0, FrameType::Refusal { stream, why: why.clone() }), &[]);
@@ -479,11 +486,11 @@
             // Danger: without this bound, replies to a peer that provokes refusals and never reads them
             // would accumulate here.
             match inbound.unsent_bytes > self.bounds.unsent_bytes {
-                true => self.close(now, conn, Why::Lost),
+                true => self.close(now, conn, BreakReason::ConnectionLost),
                 false => self.actions.push_back(Action::Write { conn, frame }),
             }
         }
-        self.push_event(Event::Unread { from, why });
+        self.push_event(Event::Rejected { from, why });
     }
 
     /// Returns the next event. A message counts as delivered by this.
@@ -550,8 +557,8 @@
     fn connection_action(&mut self, now: Tenths, conn: ConnectionId) -> (Option<Action>, Option<Tenths>) {
         let Some(Connection::Inbound(inbound)) = self.connections.get_mut(&conn) else { return (None, None) };
         let known = inbound.identity.is_some() && !inbound.refused;
-        let until =
-            inbound.last_received + if known { 2 * self.bounds.idle_timeout } else { self.bounds.patience };
+        let until = inbound.last_received
+            + if known { 2 * self.bounds.idle_timeout } else { self.bounds.ack_timeout };
         if now >= until {
             self.disconnected(now, conn);
             return (Some(Action::Close { conn }), None);
@@ -583,9 +590,9 @@
 const _: () = assert!(VERSION == 1, "a new version needs a refusal that the old one can read");
 
 /// Returns the stream's number, or None for datagrams.
-pub(crate) fn stream_of(way: Way) -> Option<StreamId> {
-    match way {
-        Way::Stream(id) => Some(id),
-        Way::Datagram => None,
+pub(crate) fn stream_of(channel: Channel) -> Option<StreamId> {
+    match channel {
+        Channel::Stream(id) => Some(id),
+        Channel::Datagram => None,
     }
 }
--- a/crates/link/src/tests.rs
+++ b/crates/link/src/tests.rs
@@ -5,7 +5,7 @@
 mod many;
 
 use super::*;
-use crate::fault::{Fault, Line, MAX_QUEUE_DELAY, REPEAT};
+use crate::fault::{Fault, Line, MAX_QUEUE_DELAY, RETRANSMIT_DELAY};
 use crate::outgoing::SendStream;
 use crate::redial::Dial;
 use crate::talk::{Action, ConnectionId, Endpoint};
@@ -34,11 +34,11 @@
 }
 
 #[rstest]
-#[case::udp(Parts::Udp)]
-#[case::tcp(Parts::Tcp)]
-#[case::udp_and_tcp(Parts::Both)]
-fn socket_transport_conforms_to_the_contract(#[case] parts: Parts) {
-    contract::check(|| Loopback::new(parts)).unwrap_or_else(|breach| panic!("{breach}"));
+#[case::udp(Protocols::Udp)]
+#[case::tcp(Protocols::Tcp)]
+#[case::udp_and_tcp(Protocols::Both)]
+fn socket_transport_conforms_to_the_contract(#[case] protocols: Protocols) {
+    contract::check(|| Loopback::new(protocols)).unwrap_or_else(|breach| panic!("{breach}"));
 }
 
 #[rstest]
@@ -61,7 +61,7 @@
 fn endpoint(me: &str, peer: &str) -> Endpoint {
     let me = Sender { name: name(me), incarnation: 1 };
     let mut endpoint = Endpoint::new(me, Kinds::new(&[(1, "note")]), Bounds::default(), 1);
-    endpoint.meet(0, &name(peer), "127.0.0.1:1".parse().unwrap()).unwrap();
+    endpoint.add_peer(0, &name(peer), "127.0.0.1:1".parse().unwrap()).unwrap();
     endpoint
 }
 
@@ -80,27 +80,30 @@
 }
 
 #[rstest]
-#[case::sequence_gap(frame(FrameType::Stream { stream: 1, epoch: 1, number: 3 }, b""), Unread::OutOfOrder)]
-#[case::repeated_number(frame(FrameType::Stream { stream: 1, epoch: 1, number: 1 }, b""), Unread::OutOfOrder)]
-#[case::epoch_starts_after_its_first_number(frame(FrameType::Stream { stream: 2, epoch: 1, number: 2 }, b""), Unread::OutOfOrder)]
-#[case::older_epoch(frame(FrameType::Stream { stream: 1, epoch: 0, number: 2 }, b""), Unread::OutOfOrder)]
-#[case::second_hello(frame(FrameType::Hello { connection_number: 9 }, b""), Unread::OutOfOrder)]
+#[case::sequence_gap(frame(FrameType::Stream { stream: 1, epoch: 1, number: 3 }, b""), RejectReason::OutOfOrder)]
+#[case::repeated_number(frame(FrameType::Stream { stream: 1, epoch: 1, number: 1 }, b""), RejectReason::OutOfOrder)]
+#[case::epoch_starts_after_its_first_number(frame(FrameType::Stream { stream: 2, epoch: 1, number: 2 }, b""), RejectReason::OutOfOrder)]
+#[case::older_epoch(frame(FrameType::Stream { stream: 1, epoch: 0, number: 2 }, b""), RejectReason::OutOfOrder)]
+#[case::second_hello(frame(FrameType::Hello { connection_number: 9 }, b""), RejectReason::OutOfOrder)]
 #[case::other_incarnation(
     encode(&Header { from: "a", incarnation: 2, to: "b", kind: 1, frame_type: FrameType::Stream { stream: 1, epoch: 1, number: 2 } }, b""),
-    Unread::OutOfOrder
+    RejectReason::OutOfOrder
 )]
 #[case::addressed_to_another_instance(
     encode(&Header { from: "a", incarnation: 1, to: "c", kind: 1, frame_type: FrameType::Stream { stream: 1, epoch: 1, number: 2 } }, b""),
-    Unread::WrongReceiver("c".into())
+    RejectReason::WrongReceiver("c".into())
 )]
-#[case::newer_protocol_version(vec![b'V', b'L', 2, 0, 0, 0, 0], Unread::Version { theirs: 2, ours: 1 })]
-#[case::foreign_protocol(b"GET / HTTP/1.1\r\n".to_vec(), Unread::UnknownProtocol)]
-fn invalid_frame_on_a_connection_is_refused_with_its_sender(#[case] bytes: Vec<u8>, #[case] why: Unread) {
+#[case::newer_protocol_version(vec![b'V', b'L', 2, 0, 0, 0, 0], RejectReason::Version { theirs: 2, ours: 1 })]
+#[case::foreign_protocol(b"GET / HTTP/1.1\r\n".to_vec(), RejectReason::UnknownProtocol)]
+fn invalid_frame_on_a_connection_is_refused_with_its_sender(
+    #[case] bytes: Vec<u8>,
+    #[case] why: RejectReason,
+) {
     let before = [
         frame(FrameType::Hello { connection_number: 1 }, b""),
         frame(FrameType::Stream { stream: 1, epoch: 1, number: 1 }, b"x"),
     ];
-    assert_eq!(events_at_b(&before, &bytes), [Event::Unread { from: Some(name("a")), why }]);
+    assert_eq!(events_at_b(&before, &bytes), [Event::Rejected { from: Some(name("a")), why }]);
 }
 
 #[rstest]
@@ -129,7 +132,7 @@
     b.frame_received(0, first, &hello(incarnation, older));
     b.frame_received(0, first, &frame(FrameType::Stream { stream: 1, epoch: 1, number: 1 }, b"late"));
     let events: Vec<Event> = std::iter::from_fn(|| b.next_event()).collect();
-    assert_eq!(events, [Event::Unread { from: Some(name("a")), why: Unread::Stale }]);
+    assert_eq!(events, [Event::Rejected { from: Some(name("a")), why: RejectReason::StaleConnection }]);
 }
 
 #[rstest]
@@ -191,7 +194,12 @@
 #[rstest]
 fn invented_names_do_not_evict_connected_peers() {
     let me = Sender { name: name("b"), incarnation: 1 };
-    let mut b = Endpoint::new(me, Kinds::default(), Bounds { peers: 2, calls: 4, ..Bounds::default() }, 1);
+    let mut b = Endpoint::new(
+        me,
+        Kinds::default(),
+        Bounds { peers: 2, inbound_connections: 4, ..Bounds::default() },
+        1,
+    );
     let hello = |from: &str| {
         encode(
             &Header {
@@ -211,7 +219,7 @@
     b.frame_received(0, connections[2], &hello("y"));
     b.frame_received(0, connections[3], &hello("z"));
     let events: Vec<Event> = std::iter::from_fn(|| b.next_event()).collect();
-    assert_eq!(events, [Event::Unread { from: Some(name("z")), why: Unread::Full }]);
+    assert_eq!(events, [Event::Rejected { from: Some(name("z")), why: RejectReason::Full }]);
 }
 
 #[rstest]
@@ -271,8 +279,8 @@
         )
     };
     let (mut a, mut b) = (start("a"), start("b"));
-    a.meet(0, &name("b"), network.address(&name("b"))).unwrap();
-    a.send(0, &name("b"), Way::Stream(1), 1, b"x").unwrap();
+    a.add_peer(0, &name("b"), network.address(&name("b"))).unwrap();
+    a.send(0, &name("b"), Channel::Stream(1), 1, b"x").unwrap();
     // a is polled until the message is delivered to b, and then not for 10 s.
     let delivered = (0..100).find(|now| a.poll(*now).is_none() && b.poll(*now).is_some());
     assert!(delivered.is_some_and(|now| b.poll(now).is_none()));
@@ -283,7 +291,7 @@
 fn oversized_frame_is_refused_with_a_reason() {
     let any = "127.0.0.1:0".parse().unwrap();
     let me = Sender { name: name("b"), incarnation: 1 };
-    let mut b = Sockets::bind(me, Kinds::default(), Bounds::default(), any, Parts::Tcp, 1).unwrap();
+    let mut b = Sockets::bind(me, Kinds::default(), Bounds::default(), any, Protocols::Tcp, 1).unwrap();
     let mut socket = std::net::TcpStream::connect(b.address()).unwrap();
     socket.write_all(&u32::MAX.to_be_bytes()).unwrap();
     socket.set_read_timeout(Some(Duration::from_millis(10))).unwrap();
@@ -293,7 +301,7 @@
         socket.read(&mut answer).ok()
     });
     let frame_type = decode(&answer[4..length.unwrap()]).map(|(header, _)| header.frame_type);
-    let why = Unread::TooLong { length: u64::from(u32::MAX), bound: 256 * 1_024 + MAX_OVERHEAD as u64 };
+    let why = RejectReason::TooLong { length: u64::from(u32::MAX), bound: 256 * 1_024 + MAX_OVERHEAD as u64 };
     assert_eq!(frame_type, Ok(FrameType::Refusal { stream: None, why }));
 }
 
@@ -367,7 +375,7 @@
     line.set(Fault { jitter: 500, drop: 0.2, ..Fault::default() });
     let at: Vec<Tenths> = (0..1_000).filter_map(|i| line.bytes(i, 100)).collect();
     assert_eq!(at.len(), 1_000);
-    assert!(at.is_sorted() && at.iter().zip(0..).any(|(at, sent)| at - sent >= REPEAT));
+    assert!(at.is_sorted() && at.iter().zip(0..).any(|(at, sent)| at - sent >= RETRANSMIT_DELAY));
     line.set(Fault { cut: true, ..Fault::default() });
     assert_eq!(line.bytes(2_000, 100), None);
 }
@@ -406,10 +414,10 @@
     let at = |i: u32| std::net::SocketAddr::from(([127, 1, (i >> 8) as u8, i as u8], 7_400));
     for i in 0..8_192 {
         let peer = name(&format!("router-{i}"));
-        assert_eq!(endpoint.meet(0, &peer, at(i)), Ok(()));
+        assert_eq!(endpoint.add_peer(0, &peer, at(i)), Ok(()));
         assert!(endpoint.datagram(&peer, 1, b"x").is_ok(), "{peer}");
     }
-    assert_eq!(endpoint.meet(0, &name("more"), at(8_192)), Err(Refused::TooMany { bound: 8_192 }));
-    endpoint.forget(0, &name("router-7"));
-    assert_eq!(endpoint.meet(0, &name("more"), at(8_192)), Ok(()));
+    assert_eq!(endpoint.add_peer(0, &name("more"), at(8_192)), Err(SendError::TooMany { bound: 8_192 }));
+    endpoint.remove_peer(0, &name("router-7"));
+    assert_eq!(endpoint.add_peer(0, &name("more"), at(8_192)), Ok(()));
 }
--- a/crates/link/src/tests/grounds.rs
+++ b/crates/link/src/tests/grounds.rs
@@ -1,10 +1,10 @@
 //! Environments for the contract.
 
-use crate::contract::{Ground, bounds};
+use crate::contract::{Environment, bounds};
 use crate::fault::Fault;
 use crate::{
-    Event, Kind, Kinds, MemoryTransport, Name, Parts, Refused, Sender, SimulatedNetwork, Sockets, Tenths,
-    Transport, Way,
+    Channel, Event, Kind, Kinds, MemoryTransport, Name, Protocols, SendError, Sender, SimulatedNetwork,
+    Sockets, Tenths, Transport,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, UdpSocket};
@@ -24,7 +24,7 @@
     }
 }
 
-impl Ground for Simulated {
+impl Environment for Simulated {
     type T = MemoryTransport;
 
     fn start(&mut self, me: Sender, kinds: Kinds) -> MemoryTransport {
@@ -43,12 +43,12 @@
         self.now
     }
 
-    fn pass(&mut self, time: Tenths) {
+    fn advance(&mut self, time: Tenths) {
         self.now += time;
     }
 
-    fn inject(&mut self, to: &Name, datagram: &[u8]) -> bool {
-        self.network.inject(self.now, to, datagram.to_vec());
+    fn inject_datagram(&mut self, to: &Name, datagram: &[u8]) -> bool {
+        self.network.inject_datagram(self.now, to, datagram.to_vec());
         true
     }
 
@@ -59,25 +59,25 @@
 
 /// The machine's loopback sockets.
 pub struct Loopback {
-    parts: Parts,
+    protocols: Protocols,
     started_at: Instant,
     addresses: BTreeMap<Name, SocketAddr>,
 }
 
 impl Loopback {
-    pub fn new(parts: Parts) -> Loopback {
-        Loopback { parts, started_at: Instant::now(), addresses: BTreeMap::new() }
+    pub fn new(protocols: Protocols) -> Loopback {
+        Loopback { protocols, started_at: Instant::now(), addresses: BTreeMap::new() }
     }
 }
 
-impl Ground for Loopback {
+impl Environment for Loopback {
     type T = Sockets;
 
     fn start(&mut self, me: Sender, kinds: Kinds) -> Sockets {
         let previous_address = self.addresses.get(&me.name).copied();
         let address = previous_address.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)));
         let sockets =
-            Sockets::bind(me.clone(), kinds, bounds(), address, self.parts, me.incarnation).unwrap();
+            Sockets::bind(me.clone(), kinds, bounds(), address, self.protocols, me.incarnation).unwrap();
         self.addresses.insert(me.name, sockets.address());
         sockets
     }
@@ -90,11 +90,11 @@
         self.started_at.elapsed().as_micros() as Tenths / 100
     }
 
-    fn pass(&mut self, time: Tenths) {
+    fn advance(&mut self, time: Tenths) {
         std::thread::sleep(Duration::from_micros(time as u64 * 100));
     }
 
-    fn inject(&mut self, to: &Name, datagram: &[u8]) -> bool {
+    fn inject_datagram(&mut self, to: &Name, datagram: &[u8]) -> bool {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         socket.send_to(datagram, self.addresses[to]).is_ok()
     }
@@ -130,25 +130,32 @@
         self.inner.me()
     }
 
-    fn carries(&self, way: Way) -> bool {
-        self.inner.carries(way)
+    fn supports(&self, channel: Channel) -> bool {
+        self.inner.supports(channel)
     }
 
-    fn meet(&mut self, now: Tenths, peer: &Name, address: SocketAddr) -> Result<(), Refused> {
-        self.inner.meet(now, peer, address)
+    fn add_peer(&mut self, now: Tenths, peer: &Name, address: SocketAddr) -> Result<(), SendError> {
+        self.inner.add_peer(now, peer, address)
     }
 
-    fn forget(&mut self, now: Tenths, peer: &Name) {
-        self.inner.forget(now, peer);
+    fn remove_peer(&mut self, now: Tenths, peer: &Name) {
+        self.inner.remove_peer(now, peer);
     }
 
-    fn send(&mut self, now: Tenths, to: &Name, way: Way, kind: Kind, body: &[u8]) -> Result<u64, Refused> {
-        match (self.inner.send(now, to, way, kind, body), way, self.defect) {
-            (Ok(number), Way::Stream(stream), Defect::AcknowledgesEarly) => {
+    fn send(
+        &mut self,
+        now: Tenths,
+        to: &Name,
+        channel: Channel,
+        kind: Kind,
+        body: &[u8],
+    ) -> Result<u64, SendError> {
+        match (self.inner.send(now, to, channel, kind, body), channel, self.defect) {
+            (Ok(number), Channel::Stream(stream), Defect::AcknowledgesEarly) => {
                 self.queued.push(Event::Acknowledged { to: to.clone(), stream, number });
                 Ok(number)
             }
-            (Err(Refused::Full { .. }), _, Defect::AcceptsBeyondBound) => {
+            (Err(SendError::Full { .. }), _, Defect::AcceptsBeyondBound) => {
                 self.accepted_over_bound += 1;
                 Ok(self.accepted_over_bound)
             }
@@ -193,7 +200,7 @@
     pub defect: Defect,
 }
 
-impl Ground for FaultyEnvironment {
+impl Environment for FaultyEnvironment {
     type T = Faulty;
 
     fn start(&mut self, me: Sender, kinds: Kinds) -> Faulty {
@@ -214,11 +221,11 @@
         self.inner.now()
     }
 
-    fn pass(&mut self, time: Tenths) {
-        self.inner.pass(time);
+    fn advance(&mut self, time: Tenths) {
+        self.inner.advance(time);
     }
 
-    fn inject(&mut self, to: &Name, datagram: &[u8]) -> bool {
-        self.inner.inject(to, datagram)
+    fn inject_datagram(&mut self, to: &Name, datagram: &[u8]) -> bool {
+        self.inner.inject_datagram(to, datagram)
     }
 }
--- a/crates/link/src/tests/many.rs
+++ b/crates/link/src/tests/many.rs
@@ -4,7 +4,7 @@
 
 use crate::contract::bounds;
 use crate::fault::Fault;
-use crate::{Event, Kinds, MemoryTransport, Name, Sender, SimulatedNetwork, Tenths, Transport, Way};
+use crate::{Channel, Event, Kinds, MemoryTransport, Name, Sender, SimulatedNetwork, Tenths, Transport};
 use nanorand::{Rng, WyRand};
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
@@ -55,7 +55,7 @@
                     );
                 }
             }
-            Event::Datagram { .. } | Event::Unread { .. } => {}
+            Event::Datagram { .. } | Event::Rejected { .. } => {}
         }
     }
 
@@ -115,7 +115,7 @@
     let me = Sender { name: name(i), incarnation };
     let mut memory = network.start(now, me, Kinds::new(&[(1, "note")]), bounds());
     for other in (0..NAMES.len()).filter(|o| *o != i) {
-        memory.meet(now, &name(other), network.address(&name(other))).unwrap();
+        memory.add_peer(now, &name(other), network.address(&name(other))).unwrap();
     }
     memory
 }
@@ -137,13 +137,13 @@
             }
             5 => paused[i] = now + rng.generate_range(0..20_000i64),
             6 if i != other => {
-                all[i].forget(now, &name(other));
-                all[i].meet(now, &name(other), network.address(&name(other))).unwrap();
+                all[i].remove_peer(now, &name(other));
+                all[i].add_peer(now, &name(other), network.address(&name(other))).unwrap();
             }
             7..=200 if i != other => {
                 let stream = rng.generate_range(0..STREAMS) as u16;
                 let body = vec![rng.generate(); rng.generate_range(0..3_000usize)];
-                if let Ok(number) = all[i].send(now, &name(other), Way::Stream(stream), 1, &body) {
+                if let Ok(number) = all[i].send(now, &name(other), Channel::Stream(stream), 1, &body) {
                     let key = (all[i].me().clone(), name(other), stream);
                     model.accepted.entry(key).or_default().insert(number, body);
                 }
--- a/crates/link/src/transport.rs
+++ b/crates/link/src/transport.rs
@@ -1,6 +1,6 @@
 //! The transport contract. [`crate::contract`] asserts what every implementation guarantees.
 
-use crate::message::{Event, Kind, Name, Refused, Sender, Tenths, Way};
+use crate::message::{Channel, Event, Kind, Name, SendError, Sender, Tenths};
 use std::net::SocketAddr;
 
 /// Messaging of one instance with its peers. Never blocks. The caller passes in the time, which must not go back.
@@ -15,18 +15,25 @@
     fn me(&self) -> &Sender;
 
     /// Whether this transport can send such messages at all.
-    fn carries(&self, way: Way) -> bool;
+    fn supports(&self, channel: Channel) -> bool;
 
     /// Adds a peer or sets its address. If the address differs from the previous one, the peer's streams break.
-    fn meet(&mut self, now: Tenths, peer: &Name, address: SocketAddr) -> Result<(), Refused>;
+    fn add_peer(&mut self, now: Tenths, peer: &Name, address: SocketAddr) -> Result<(), SendError>;
 
     /// Removes a peer. Its streams break; what it still sends is delivered.
-    fn forget(&mut self, now: Tenths, peer: &Name);
+    fn remove_peer(&mut self, now: Tenths, peer: &Name);
 
     /// Sends a message, or returns why it was not accepted. Returns the message's sequence number in its stream;
-    /// 0 for a datagram. Numbers start at 1 and grow by one; after the peer was forgotten, they start at a later
+    /// 0 for a datagram. Numbers start at 1 and grow by one; after the peer was removed, they start at a later
     /// number.
-    fn send(&mut self, now: Tenths, to: &Name, way: Way, kind: Kind, body: &[u8]) -> Result<u64, Refused>;
+    fn send(
+        &mut self,
+        now: Tenths,
+        to: &Name,
+        channel: Channel,
+        kind: Kind,
+        body: &[u8],
+    ) -> Result<u64, SendError>;
 
     /// Returns the next event, or None when there is none. A message counts as delivered when it is returned from
     /// here.
@@ -44,20 +51,27 @@
         (**self).me()
     }
 
-    fn carries(&self, way: Way) -> bool {
-        (**self).carries(way)
+    fn supports(&self, channel: Channel) -> bool {
+        (**self).supports(channel)
     }
 
-    fn meet(&mut self, now: Tenths, peer: &Name, address: SocketAddr) -> Result<(), Refused> {
-        (**self).meet(now, peer, address)
+    fn add_peer(&mut self, now: Tenths, peer: &Name, address: SocketAddr) -> Result<(), SendError> {
+        (**self).add_peer(now, peer, address)
     }
 
-    fn forget(&mut self, now: Tenths, peer: &Name) {
-        (**self).forget(now, peer);
+    fn remove_peer(&mut self, now: Tenths, peer: &Name) {
+        (**self).remove_peer(now, peer);
     }
 
-    fn send(&mut self, now: Tenths, to: &Name, way: Way, kind: Kind, body: &[u8]) -> Result<u64, Refused> {
-        (**self).send(now, to, way, kind, body)
+    fn send(
+        &mut self,
+        now: Tenths,
+        to: &Name,
+        channel: Channel,
+        kind: Kind,
+        body: &[u8],
+    ) -> Result<u64, SendError> {
+        (**self).send(now, to, channel, kind, body)
     }
 
     fn poll(&mut self, now: Tenths) -> Option<Event> {
--- a/crates/link/src/udp.rs
+++ b/crates/link/src/udp.rs
@@ -1,6 +1,6 @@
 //! Datagrams on a UDP socket.
 
-use crate::message::Refused;
+use crate::message::SendError;
 use mio::net::UdpSocket;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -19,10 +19,10 @@
         Datagrams { socket, buffer: vec![0; max_bytes + 1] }
     }
 
-    pub(crate) fn send(&self, bytes: &[u8], to: SocketAddr) -> Result<(), Refused> {
+    pub(crate) fn send(&self, bytes: &[u8], to: SocketAddr) -> Result<(), SendError> {
         match self.socket.send_to(bytes, to) {
             Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                Err(Refused::Full { waiting: bytes.len(), bound: 0 })
+                Err(SendError::Full { waiting: bytes.len(), bound: 0 })
             }
             // Any other error counts as a lost datagram.
             _ => Ok(()),
--- a/crates/router/src/fleet/host.rs
+++ b/crates/router/src/fleet/host.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use vetchkeel::Tenths;
 use vetchkeel_link::{
-    Bounds, Event, Kinds, Name as LinkName, Parts, Refused, Sender, Sockets, Transport, Waker, Way,
+    Bounds, Channel, Event, Kinds, Name as LinkName, Protocols, SendError, Sender, Sockets, Transport, Waker,
 };
 use vetchkeel_membership::wire::{LONGEST, decode, encode};
 use vetchkeel_membership::{Body, Change, Decision, Instance, MOST_INSTANCES, Membership, Message, Start};
@@ -71,7 +71,7 @@
         };
         let bounds = Bounds { datagram: MAX_DATAGRAM_BYTES, ..Bounds::default() };
         let kinds = Kinds::new(&[(MEMBERSHIP, "membership")]);
-        let sockets = Sockets::bind(sender, kinds, bounds, settings.address, Parts::Udp, seed)
+        let sockets = Sockets::bind(sender, kinds, bounds, settings.address, Protocols::Udp, seed)
             .map_err(|e| format!("expected to listen on {}: {e}", settings.address))?;
         let me = Instance { name, start, address: settings.address, zone: settings.zone.clone() };
         let seeds: Vec<SocketAddr> = settings.seeds.values().copied().collect();
@@ -137,7 +137,7 @@
                     }
                     Err(why) => crate::log!("fleet: a message was rejected: {why}"),
                 },
-                Some(Event::Unread { from, why }) => {
+                Some(Event::Rejected { from, why }) => {
                     let from = from.map_or_else(|| "an unknown sender".to_owned(), |name| name.to_string());
                     crate::log!("fleet: a message from {from} was rejected: {why}");
                 }
@@ -201,13 +201,13 @@
         let via = self.settings.via.iter().find(|(other, _)| other.as_str() == name.as_str());
         let address = via.map_or(to, |(_, at)| *at);
         let Ok(body) = encode(message) else { return };
-        if let Err(Refused::TooMany { .. }) = self.sockets.meet(now, &name, address) {
+        if let Err(SendError::TooMany { .. }) = self.sockets.add_peer(now, &name, address) {
             self.make_room(now);
         }
-        if self.sockets.meet(now, &name, address).is_ok() {
+        if self.sockets.add_peer(now, &name, address).is_ok() {
             self.link_peers.insert(name.clone());
         }
-        if let Err(why) = self.sockets.send(now, &name, Way::Datagram, MEMBERSHIP, &body) {
+        if let Err(why) = self.sockets.send(now, &name, Channel::Datagram, MEMBERSHIP, &body) {
             crate::log!("fleet: a message to {name} was not sent: {why}");
         }
     }
@@ -222,7 +222,7 @@
             std::mem::take(&mut self.link_peers).into_iter().partition(|name| present.contains(name));
         self.link_peers = kept;
         let gone: BTreeSet<LinkName> = gone;
-        gone.iter().for_each(|name| self.sockets.forget(now, name));
+        gone.iter().for_each(|name| self.sockets.remove_peer(now, name));
     }
 }
 
--- a/crates/router/src/fleet/host/tests.rs
+++ b/crates/router/src/fleet/host/tests.rs
@@ -59,7 +59,8 @@
         let body = Body::Ping { number: 1, to: name(i) };
         let asks = Message { fleet: 0, from: from.clone(), incarnation: 0, body, claims: Vec::new() };
         host.send(now, nobody, &asks);
-        let sent = link_name(&name(i)).map(|to| host.sockets.send(now, &to, Way::Datagram, MEMBERSHIP, b"x"));
+        let sent =
+            link_name(&name(i)).map(|to| host.sockets.send(now, &to, Channel::Datagram, MEMBERSHIP, b"x"));
         assert_eq!(sent, Some(Ok(0)), "r{i}");
     }
 }
