--- a/crates/audit/src/cold.rs
+++ b/crates/audit/src/cold.rs
@@ -40,7 +40,7 @@
         work: f64,
         f: &Figures,
     ) -> Option<Vec<(usize, f64)>> {
-        if self.reported || at - self.started >= f.cold_over {
+        if self.reported || at - self.started >= f.cold_duration {
             self.recent_work.clear();
             self.sum = 0.0;
             return None;
@@ -51,8 +51,10 @@
             self.sum -= work;
             self.recent_work.pop_front();
         }
-        let warm_fraction = (at - self.started).max(0) as f64 / f.cold_over.max(1) as f64;
-        let allowed = (f.cold_from + (1.0 - f.cold_from) * warm_fraction) * self.strength * f.span as f64;
+        let warm_fraction = (at - self.started).max(0) as f64 / f.cold_duration.max(1) as f64;
+        let allowed = (f.cold_start_capacity + (1.0 - f.cold_start_capacity) * warm_fraction)
+            * self.strength
+            * f.span as f64;
         if self.sum <= f.multiple * allowed {
             return None;
         }
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -37,9 +37,9 @@
     /// How long a router may still send to a member after learning that it is draining or gone.
     pub drain_grace: Micros,
     /// Part of its warm capacity that a member has when it starts.
-    pub cold_from: f64,
+    pub cold_start_capacity: f64,
     /// How long a member is cold after its start.
-    pub cold_over: Micros,
+    pub cold_duration: Micros,
     /// A cold member is overloaded by more than this multiple of its capacity within `span`.
     pub multiple: f64,
     pub span: Micros,
@@ -221,7 +221,7 @@
     }
 
     /// A client has disconnected before its timeout.
-    pub fn left(&mut self, command: u64) {
+    pub fn client_left(&mut self, command: u64) {
         if let Some(open) = self.get(command) {
             open.no_answer_required = true;
         }
@@ -324,7 +324,7 @@
 
     /// Discovery has reported a member to a router: whether it is draining or gone (`draining`), and when its process
     /// started (0: long ago).
-    pub fn listed(&mut self, at: Micros, router: usize, node: usize, draining: bool, started: Micros) {
+    pub fn member_listed(&mut self, at: Micros, router: usize, node: usize, draining: bool, started: Micros) {
         if let Some(cold) = self.cold.get_mut(&node).filter(|c| c.started <= started) {
             cold.report_start(router);
         }
@@ -336,7 +336,7 @@
     }
 
     /// An answer has reported to a router whether the member is primary.
-    pub fn answer_heard(&mut self, router: usize, node: usize, primary: bool) {
+    pub fn role_reported(&mut self, router: usize, node: usize, primary: bool) {
         if !self.ever_primary.contains(&node) {
             return;
         }
--- a/crates/audit/src/tests.rs
+++ b/crates/audit/src/tests.rs
@@ -10,8 +10,8 @@
         answer_slack: 20 * MS,
         order_slack: 0,
         drain_grace: 500 * MS,
-        cold_from: 0.25,
-        cold_over: 10_000 * MS,
+        cold_start_capacity: 0.25,
+        cold_duration: 10_000 * MS,
         multiple: 2.0,
         span: 1_000 * MS,
     })
@@ -32,7 +32,7 @@
 #[case::answered_twice(|a: &mut Auditor| { a.final_answer(1, 7, Final::Answered); a.final_answer(2, 7, Final::Failed); }, true)]
 #[case::sent_after_the_answer(|a: &mut Auditor| { a.final_answer(1, 7, Final::Failed); a.sent(2, 7, 0, 1.0); }, true)]
 #[case::just_in_time(|a: &mut Auditor| a.final_answer(1_020 * MS, 7, Final::Answered), false)]
-#[case::client_left(|a: &mut Auditor| a.left(7), false)]
+#[case::client_left(|a: &mut Auditor| a.client_left(7), false)]
 #[case::own_router_died(|a: &mut Auditor| a.router_died(1), false)]
 #[case::another_router_died(|a: &mut Auditor| a.router_died(0), true)]
 #[case::sent_before_the_answer(|a: &mut Auditor| { a.sent(1, 7, 0, 1.0); a.final_answer(1, 7, Final::Failed); }, false)]
@@ -88,9 +88,9 @@
     #[case] rules: Vec<u8>,
 ) {
     let mut a = auditor();
-    a.listed(100 * MS, informed, 4, true, 0);
+    a.member_listed(100 * MS, informed, 4, true, 0);
     if up {
-        a.listed(200 * MS, informed, 4, false, 0);
+        a.member_listed(200 * MS, informed, 4, false, 0);
     }
     accept(&mut a, 7, 1, false);
     a.sent(sent_ms * MS, 7, 4, 1.0);
@@ -111,7 +111,7 @@
 ) {
     let mut a = auditor();
     a.started(1, 3, 4.0);
-    (0..informed).for_each(|router| a.listed(1, router, 3, false, 1));
+    (0..informed).for_each(|router| a.member_listed(1, router, 3, false, 1));
     for router in 0..2 {
         accept(&mut a, 7 + router as u64, router, false);
         a.sent(2, 7 + router as u64, 3, (each_ms * MS) as f64);
@@ -138,7 +138,7 @@
         a.primary(0);
     }
     if informed {
-        a.answer_heard(1, 0, false);
+        a.role_reported(1, 0, false);
     }
     accept(&mut a, 7, 1, false);
     a.sent(10, 7, 0, 1.0);
--- a/crates/feeds/src/shelf.rs
+++ b/crates/feeds/src/shelf.rs
@@ -41,7 +41,7 @@
                 let log = log(*feed, at.epoch);
                 let next =
                     begun.iter().rev().find(|(l, _)| *l == log).map_or(store.head(&log).next, |(_, n)| *n);
-                let batch = if next == at.position { batch } else { batch.begin(&log, at.position) };
+                let batch = if next == at.position { batch } else { batch.reset_log(&log, at.position) };
                 begun.retain(|(l, _)| *l != log);
                 begun.push((log.clone(), at.position + 1));
                 batch.append(&log, at.position, payload)
@@ -50,7 +50,7 @@
                 begun.clear();
                 let dropped = logs(store, *feed).into_iter().fold(batch, |b, (_, l)| b.drop_log(&l));
                 begun.push((log(*feed, at.epoch), at.position));
-                dropped.begin(&log(*feed, at.epoch), at.position)
+                dropped.reset_log(&log(*feed, at.epoch), at.position)
             }
             Decision::Trim { feed, below } => {
                 logs(store, *feed).into_iter().fold(batch, |b, (epoch, l)| match epoch.cmp(&below.epoch) {
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -26,8 +26,8 @@
         answer_slack: setup.permits.answer_slack,
         order_slack: 0,
         drain_grace: plan.list.drain_grace,
-        cold_from: plan.warming.from,
-        cold_over: plan.warming.over,
+        cold_start_capacity: plan.warming.from,
+        cold_duration: plan.warming.over,
         multiple: plan.warming.multiple,
         span: plan.warming.span,
     }
--- a/crates/lab/src/loopback/listing.rs
+++ b/crates/lab/src/loopback/listing.rs
@@ -52,13 +52,13 @@
     /// The auditor hears what a router is told.
     fn list_audited(&mut self, router: usize, sheet: &Sheet) {
         for row in sheet.rows.iter() {
-            self.auditor.listed(self.now, router, row.node, row.phase != Phase::Up, row.started);
+            self.auditor.member_listed(self.now, router, row.node, row.phase != Phase::Up, row.started);
         }
         if sheet.whole {
             let named: Vec<usize> = sheet.rows.iter().map(|r| r.node).collect();
             let gone: Vec<usize> =
                 self.heard[router].iter().copied().filter(|n| !named.contains(n)).collect();
-            gone.into_iter().for_each(|node| self.auditor.listed(self.now, router, node, true, 0));
+            gone.into_iter().for_each(|node| self.auditor.member_listed(self.now, router, node, true, 0));
         }
         self.heard[router].extend(sheet.rows.iter().map(|r| r.node));
     }
--- a/crates/lab/src/loopback/members.rs
+++ b/crates/lab/src/loopback/members.rs
@@ -366,7 +366,7 @@
             Verdict::Full => Ending::Full,
             _ => Ending::Error,
         });
-        self.auditor.answer_heard(router, ended.node, ended.primary);
+        self.auditor.role_reported(router, ended.node, ended.primary);
         if commit
             && self.sessions
             && let Some(tried) = self.tries.get(flight.command)
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -417,10 +417,16 @@
         let mut named = vec![false; if sheet.whole { self.names.len() } else { 0 }];
         for row in sheet.rows.iter() {
             named.get_mut(row.node).into_iter().for_each(|n| *n = true);
-            self.auditor.listed(self.now, router, row.node, row.phase != emulated::Phase::Up, row.started);
+            self.auditor.member_listed(
+                self.now,
+                router,
+                row.node,
+                row.phase != emulated::Phase::Up,
+                row.started,
+            );
         }
         for node in (0..named.len()).filter(|n| !named[*n] && self.hosts[router].heard.contains(n)) {
-            self.auditor.listed(self.now, router, node, true, 0);
+            self.auditor.member_listed(self.now, router, node, true, 0);
         }
         self.hosts[router].heard.extend(sheet.rows.iter().map(|r| r.node));
         self.tell(router, |decider, now| decider.members_changed(now, sheet.whole, &entries));
--- a/crates/lab/src/sim/links.rs
+++ b/crates/lab/src/sim/links.rs
@@ -164,7 +164,7 @@
     pub(super) fn back(&mut self, n: u64, ended: Ended) {
         let Some(flight) = self.flights.get(n).filter(|f| f.open) else { return };
         let (router, command) = (flight.router, flight.command);
-        self.auditor.answer_heard(router, ended.node, ended.primary);
+        self.auditor.role_reported(router, ended.node, ended.primary);
         let ending = match ended.verdict {
             Verdict::Answered => Ending::Answered,
             Verdict::Error => Ending::Error,
--- a/crates/slopes/src/subsets.rs
+++ b/crates/slopes/src/subsets.rs
@@ -4,7 +4,7 @@
 use crate::list::{SET, ZONES};
 use crate::processor;
 use std::hint::black_box;
-use vetchkeel_subsets::{Member, Role, Rule, numbered, subset};
+use vetchkeel_subsets::{Member, Role, Rule, numbered_routers, subset};
 
 /// Routers by members: fleets that grow to the size that decides the design.
 const FLEETS: [(u64, usize); 6] =
@@ -29,7 +29,7 @@
 /// The least of three: what others do on the machine only adds.
 fn one_subset(_: &Means, fleet: usize, run: u32) -> Result<Vec<f64>, String> {
     let (routers, members) = FLEETS[fleet];
-    let all = numbered(routers);
+    let all = numbered_routers(routers);
     let members: Vec<Member> = (0..members).map(member).collect();
     let mut least = f64::INFINITY;
     for again in 0..3 {
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -13,7 +13,7 @@
 /// Maximum total bytes of payloads, names and values in one batch.
 pub const MAX_BATCH_BYTES: usize = 8 << 20;
 /// Maximum number of logs in one store.
-pub const LOGS: usize = 4_096;
+pub const MAX_LOGS: usize = 4_096;
 /// Maximum number of records in one store.
 pub const MAX_RECORDS: usize = 65_536;
 /// Overhead bytes that each entry counts towards the capacity in addition to its payload.
@@ -35,7 +35,7 @@
         below: u64,
     },
     /// Empties a log and sets its next position: the following append must be at `at`.
-    Begin {
+    Reset {
         log: String,
         at: u64,
     },
@@ -73,8 +73,8 @@
         self
     }
 
-    pub fn begin(mut self, log: &str, at: u64) -> Batch {
-        self.operations.push(Operation::Begin { log: log.to_owned(), at });
+    pub fn reset_log(mut self, log: &str, at: u64) -> Batch {
+        self.operations.push(Operation::Reset { log: log.to_owned(), at });
         self
     }
 
@@ -115,7 +115,7 @@
             let (name, what, bytes, bound) = match operation {
                 Operation::Append { log, payload, .. } => (log, "an entry", payload.len(), MAX_ENTRY_BYTES),
                 Operation::Put { key, value } => (key, "a record", value.len(), MAX_RECORD_BYTES),
-                Operation::Trim { log, .. } | Operation::Begin { log, .. } | Operation::Drop { log } => {
+                Operation::Trim { log, .. } | Operation::Reset { log, .. } | Operation::Drop { log } => {
                     (log, "an entry", 0, MAX_ENTRY_BYTES)
                 }
                 Operation::Remove { key } => (key, "a record", 0, MAX_RECORD_BYTES),
--- a/crates/store/src/contract.rs
+++ b/crates/store/src/contract.rs
@@ -12,7 +12,7 @@
     ("a rejected batch is not applied in part", batches_are_atomic),
     ("reading a trimmed position is an error, not an empty page", trimmed_is_an_error),
     ("applied batches survive reopening", survives_reopening),
-    ("a log that is begun again continues at the given position", begins_at_position),
+    ("a log that is reset continues at the given position", reset_sets_the_position),
     ("bounds are enforced, and trimming frees capacity", enforces_bounds),
 ];
 
@@ -140,10 +140,10 @@
     expect_eq("removed", (store.record("epoch"), store.logs()), (Ok(None), Vec::new()))
 }
 
-fn begins_at_position(medium: &mut dyn Medium) -> Result<(), String> {
+fn reset_sets_the_position(medium: &mut dyn Medium) -> Result<(), String> {
     let mut store = open(medium)?;
     apply(store.as_mut(), &numbered_entries("a", 0, 5))?;
-    apply(store.as_mut(), &Batch::new().begin("a", 900).append("a", 900, b"900"))?;
+    apply(store.as_mut(), &Batch::new().reset_log("a", 900).append("a", 900, b"900"))?;
     drop(store);
     let store = open(medium)?;
     expect_eq("the head", store.head("a"), Head { first: 900, next: 901 })?;
--- a/crates/store/src/embedded.rs
+++ b/crates/store/src/embedded.rs
@@ -228,7 +228,7 @@
             Ok(0)
         }
         Operation::Trim { log, below } => remove_entries_below(entries, log, *below),
-        Operation::Begin { log, .. } | Operation::Drop { log } => {
+        Operation::Reset { log, .. } | Operation::Drop { log } => {
             remove_entries_below(entries, log, u64::MAX)
         }
         Operation::Put { key, value } => {
--- a/crates/store/src/heads.rs
+++ b/crates/store/src/heads.rs
@@ -1,7 +1,7 @@
 //! Heads of the logs, and the validation of a batch against them. All implementations share it and run it before
 //! anything is written.
 
-use crate::{Batch, ENTRY_OVERHEAD_BYTES, LOGS, MAX_RECORDS, Operation, StoreError};
+use crate::{Batch, ENTRY_OVERHEAD_BYTES, MAX_LOGS, MAX_RECORDS, Operation, StoreError};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// First and next position of a log, which holds `first..next`.
@@ -59,7 +59,7 @@
                     }
                     head.first = head.first.max(*below);
                 }
-                Operation::Begin { log, at } => {
+                Operation::Reset { log, at } => {
                     *self.head_mut(&mut change, log) = Head { first: *at, next: *at }
                 }
                 Operation::Drop { log } => {
@@ -91,8 +91,8 @@
 
     fn check_counts(&self, change: &Change) -> Result<(), StoreError> {
         let logs = change.logs.iter().filter(|(log, head)| head.is_some() && !self.logs.contains_key(*log));
-        if self.logs.len() + logs.count() > LOGS {
-            return Err(StoreError::TooMany { what: "logs", bound: LOGS });
+        if self.logs.len() + logs.count() > MAX_LOGS {
+            return Err(StoreError::TooMany { what: "logs", bound: MAX_LOGS });
         }
         let keys = change.keys.iter().filter(|(key, put)| **put && !self.keys.contains(*key));
         if self.keys.len() + keys.count() > MAX_RECORDS {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -13,7 +13,7 @@
 mod memory;
 
 pub use batch::{
-    Batch, ENTRY_OVERHEAD_BYTES, LOGS, MAX_BATCH_BYTES, MAX_BATCH_OPERATIONS, MAX_ENTRY_BYTES,
+    Batch, ENTRY_OVERHEAD_BYTES, MAX_BATCH_BYTES, MAX_BATCH_OPERATIONS, MAX_ENTRY_BYTES, MAX_LOGS,
     MAX_NAME_BYTES, MAX_RECORD_BYTES, MAX_RECORDS, Operation,
 };
 pub use embedded::{EmbeddedMedium, EmbeddedStore, FORMAT_VERSION};
@@ -44,7 +44,7 @@
     }
 }
 
-/// Logs and records with atomic batches. Positions start at 0, or where [`Batch::begin`] set them; the head of a log
+/// Logs and records with atomic batches. Positions start at 0, or where [`Batch::reset_log`] set them; the head of a log
 /// that was never written is 0.
 pub trait Store: Send {
     /// Applies all operations in order, or none. The batch is durable when this returns `Ok`.
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -55,7 +55,7 @@
                 let kept = entries.split_off(below);
                 cost(std::mem::replace(entries, kept))
             }
-            Operation::Begin { log, .. } | Operation::Drop { log } => self.logs.remove(log).map_or(0, cost),
+            Operation::Reset { log, .. } | Operation::Drop { log } => self.logs.remove(log).map_or(0, cost),
             Operation::Put { key, value } => {
                 self.records.insert(key.clone(), value.clone());
                 0
--- a/crates/store/src/tests.rs
+++ b/crates/store/src/tests.rs
@@ -47,7 +47,7 @@
     TrimmedAsEmpty,
     LastBatchLost,
     LimitExceeded,
-    BeginAtZero,
+    ResetToZero,
     TrimIgnored,
 }
 
@@ -87,10 +87,10 @@
                 let previous = self.2.replace(batch.clone());
                 previous.map_or(Ok(()), |b| self.0.apply(&b))
             }
-            Fault::BeginAtZero => {
+            Fault::ResetToZero => {
                 let mut changed = Batch::new();
                 each().for_each(|o| match o {
-                    Operation::Begin { log, .. } => changed.push(Operation::Begin { log, at: 0 }),
+                    Operation::Reset { log, .. } => changed.push(Operation::Reset { log, at: 0 }),
                     other => changed.push(other),
                 });
                 self.0.apply(&changed)
@@ -140,7 +140,7 @@
 #[case(Fault::TrimmedAsEmpty, "reading a trimmed position")]
 #[case(Fault::LastBatchLost, "applied batches survive")]
 #[case(Fault::LimitExceeded, "entries are read in order")]
-#[case(Fault::BeginAtZero, "a log that is begun again")]
+#[case(Fault::ResetToZero, "a log that is reset")]
 #[case(Fault::TrimIgnored, "bounds are enforced")]
 fn contract_suite_reports_the_clause_a_faulty_store_violates(#[case] fault: Fault, #[case] clause: &str) {
     let failures =
--- a/crates/subsets/examples/measure.rs
+++ b/crates/subsets/examples/measure.rs
@@ -5,7 +5,7 @@
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
-use vetchkeel_subsets::{Member, Role, Router, Rule, fleet, numbered, subset};
+use vetchkeel_subsets::{Member, Role, Router, Rule, fleet, numbered_routers, subset};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 const SEEDS: u64 = 20;
@@ -315,7 +315,7 @@
         members.push(member(format!("p-{set}"), Role::Primary));
         members.extend(of.iter().map(|m| member(m.0.clone(), Role::Replica)));
     }
-    let all = numbered(routers);
+    let all = numbered_routers(routers);
     let mut times_ms: Vec<f64> = (0..201)
         .map(|_| {
             let from = Instant::now();
--- a/crates/subsets/examples/size.rs
+++ b/crates/subsets/examples/size.rs
@@ -3,7 +3,7 @@
 //! are in milliseconds of one thread.
 
 use std::time::Instant;
-use vetchkeel_subsets::{Member, Role, Router, Rule, Subsets, numbered, subset};
+use vetchkeel_subsets::{Member, Role, Router, Rule, Subsets, numbered_routers, subset};
 
 const SIZES: [(u64, usize); 5] = [(300, 120), (1_000, 1_000), (2_100, 1_000), (2_100, 2_450), (2_100, 4_900)];
 const SET_MEMBERS: usize = 5;
@@ -40,7 +40,7 @@
     for spread_zones in [false, true] {
         let rule = Rule { spread_zones, ..Rule::default() };
         for (routers, count) in SIZES {
-            let (routers, members) = (numbered(routers), members(count));
+            let (routers, members) = (numbered_routers(routers), members(count));
             let whole = times(9, |_| {
                 let sets = subset(7, &routers, &members, &rule).expect("a valid fleet");
                 assert_eq!(std::hint::black_box(sets).len(), count / SET_MEMBERS);
--- a/crates/subsets/src/lib.rs
+++ b/crates/subsets/src/lib.rs
@@ -12,7 +12,9 @@
 mod whole;
 
 pub use own::{OwnSubset, Subsets};
-pub use told::{InputError, MEMBERS_MOST, Member, ROUTERS_MOST, Role, Router, Rule, SET_MOST, numbered};
+pub use told::{
+    InputError, MAX_MEMBERS, MAX_ROUTERS, MAX_SET_MEMBERS, Member, Role, Router, Rule, numbered_routers,
+};
 pub use whole::{Subset, fleet, subset};
 
 #[cfg(test)]
--- a/crates/subsets/src/own.rs
+++ b/crates/subsets/src/own.rs
@@ -7,7 +7,7 @@
 //! that needs rebalancing before or after the change, is recomputed over all routers.
 
 use crate::set::Set;
-use crate::told::{InputError, MEMBERS_MOST, Member, ROUTERS_MOST, Role, Router, Rule, SET_MOST, check};
+use crate::told::{InputError, MAX_MEMBERS, MAX_ROUTERS, MAX_SET_MEMBERS, Member, Role, Router, Rule, check};
 use crate::weight::{Total, WeightUnit, WeightedRouter, weighted_routers};
 use crate::whole::pick_replicas;
 use std::collections::{BTreeMap, BTreeSet};
@@ -90,7 +90,7 @@
     /// On [`InputError`] nothing changes.
     pub fn set_router(&mut self, router: Router) -> Result<(), InputError> {
         router.check()?;
-        if !self.routers.contains_key(&router.number) && self.routers.len() >= ROUTERS_MOST {
+        if !self.routers.contains_key(&router.number) && self.routers.len() >= MAX_ROUTERS {
             return Err(InputError::TooManyRouters(self.routers.len() + 1));
         }
         let before = self.routers.insert(router.number, router.weight);
@@ -121,11 +121,11 @@
     pub fn set_member(&mut self, member: Member) -> Result<(), InputError> {
         member.check()?;
         let (known, number) = (self.members.get(&member.id).copied(), member.set);
-        if known.is_none() && self.members.len() >= MEMBERS_MOST {
+        if known.is_none() && self.members.len() >= MAX_MEMBERS {
             return Err(InputError::TooManyMembers(self.members.len() + 1));
         }
         let set_size = self.sets.get(&number).map_or(0, |state| state.members.len());
-        if known != Some(number) && set_size >= SET_MOST {
+        if known != Some(number) && set_size >= MAX_SET_MEMBERS {
             return Err(InputError::SetTooLarge(number));
         }
         if known.is_some_and(|known| known != number) {
--- a/crates/subsets/src/tests.rs
+++ b/crates/subsets/src/tests.rs
@@ -40,7 +40,7 @@
 ) {
     let members = members(balancers, 4, replicas, &[1.0, 2.0]);
     let rule = Rule { spread_zones, ..Rule::default() };
-    for sets in fleet(&numbered(balancers), &members, &rule).unwrap().values() {
+    for sets in fleet(&numbered_routers(balancers), &members, &rule).unwrap().values() {
         assert_eq!(sets.len(), 4);
         for subset in sets.values() {
             assert_eq!((subset.primaries.len(), subset.replicas.len()), (1, expected));
@@ -62,7 +62,9 @@
     let rule = Rule { replicas: picks, ..Rule::default() };
     let fair = balancers as f64 * picks as f64 / replicas as f64;
     let (max, min) = ((fair * 1.1).max(fair.ceil()), (fair * 0.88).min(fair.floor()));
-    for assigned in assigned(&numbered(balancers), &members(seed, 5, replicas, &[1.0]), &rule).values() {
+    for assigned in
+        assigned(&numbered_routers(balancers), &members(seed, 5, replicas, &[1.0]), &rule).values()
+    {
         assert!((min..=max).contains(assigned), "{assigned}, fair share {fair}");
     }
 }
@@ -98,8 +100,8 @@
     let (mut new, mut least_possible) = (0.0, 0.0);
     for seed in 0..10 {
         let (few, many) = (members(seed, 8, 9, &[1.0]), members(seed, 8, 9 + joined, &[1.0]));
-        let before = fleet(&numbered(300), &few, &rule).unwrap();
-        let after = fleet(&numbered(300 + routers), &many, &rule).unwrap();
+        let before = fleet(&numbered_routers(300), &few, &rule).unwrap();
+        let after = fleet(&numbered_routers(300 + routers), &many, &rule).unwrap();
         let ids = |sets: &BTreeMap<i64, Subset>, of: &[Member]| -> Vec<String> {
             sets.values().flat_map(|s| &s.replicas).map(|m| of[*m].id.clone()).collect()
         };
@@ -120,7 +122,7 @@
     #[values(false, true)] named: bool,
 ) {
     let name = |r: Router| if named { Router::named(&format!("r{}", r.number), 2.0) } else { r };
-    let mut routers: Vec<Router> = numbered(20).into_iter().map(name).collect();
+    let mut routers: Vec<Router> = numbered_routers(20).into_iter().map(name).collect();
     let mut members = members(seed, 5, 4, &[1.0, 3.0]);
     let ids = |subset: &Subset, of: &[Member]| -> Vec<String> {
         subset.primaries.iter().chain(&subset.replicas).map(|m| of[*m].id.clone()).collect()
@@ -144,13 +146,14 @@
 #[case::duplicate_member(|_: &mut Vec<Router>, m: &mut Vec<Member>, _: &mut Rule| { m[0].id = "a".into(); m[1].id = "a".into() }, InputError::DuplicateMember("a".into()))]
 #[case::rule_max_share_below_one(|_: &mut Vec<Router>, _: &mut Vec<Member>, rule: &mut Rule| rule.max_share = 0.9, InputError::Rule)]
 #[case::set_too_large(|_: &mut Vec<Router>, m: &mut Vec<Member>, _: &mut Rule| *m = members(0, 1, 128, &[1.0]), InputError::SetTooLarge(0))]
-#[case::too_many_routers(|r: &mut Vec<Router>, _: &mut Vec<Member>, _: &mut Rule| *r = numbered(8193), InputError::TooManyRouters(8193))]
+#[case::too_many_routers(|r: &mut Vec<Router>, _: &mut Vec<Member>, _: &mut Rule| *r = numbered_routers(8193), InputError::TooManyRouters(8193))]
 #[case::too_many_members(|_: &mut Vec<Router>, m: &mut Vec<Member>, _: &mut Rule| *m = members(0, 2731, 2, &[1.0]), InputError::TooManyMembers(8193))]
 fn invalid_inputs_are_rejected(
     #[case] invalidate: fn(&mut Vec<Router>, &mut Vec<Member>, &mut Rule),
     #[case] expected: InputError,
 ) {
-    let (mut routers, mut members, mut rule) = (numbered(3), members(0, 2, 3, &[1.0]), Rule::default());
+    let (mut routers, mut members, mut rule) =
+        (numbered_routers(3), members(0, 2, 3, &[1.0]), Rule::default());
     invalidate(&mut routers, &mut members, &mut rule);
     assert_eq!(subset(9, &routers, &members, &rule), Err(expected));
 }
@@ -161,8 +164,8 @@
 #[case::routers(8192, 1)]
 #[case::members(2, 2048)]
 fn maximum_sizes_are_accepted(#[case] routers: u64, #[case] sets: i64) {
-    let (routers, members) = (numbered(routers), members(7, sets, 3, &[1.0]));
-    assert!(routers.len().max(members.len()) == ROUTERS_MOST && ROUTERS_MOST == MEMBERS_MOST);
+    let (routers, members) = (numbered_routers(routers), members(7, sets, 3, &[1.0]));
+    assert!(routers.len().max(members.len()) == MAX_ROUTERS && MAX_ROUTERS == MAX_MEMBERS);
     let own = subset(1, &routers, &members, &Rule::default()).expect("within the bounds");
     assert!(own.len() == sets as usize && own.values().all(|subset| subset.replicas.len() == 2));
     let fair = routers.len() as f64 * 2.0 / 3.0;
@@ -291,14 +294,14 @@
 #[case::negative_router_weight(|own: &mut Subsets| own.set_router(Router { number: 9, weight: -1.0 }), InputError::Weight("router 9".into()))]
 #[case::own_router_removed(|own: &mut Subsets| own.remove_router(0), InputError::UnknownRouter(0))]
 #[case::member_weight_not_a_number(|own: &mut Subsets| own.set_member(Member { weight: f64::NAN, ..members(1, 1, 0, &[1.0]).remove(0) }), InputError::Weight("member n-09dbcf9d".into()))]
-#[case::too_many_members_in_a_set(|own: &mut Subsets| (0..=SET_MOST).try_for_each(|i| own.set_member(Member { id: format!("s{i}"), ..members(1, 1, 0, &[1.0]).remove(0) })), InputError::SetTooLarge(0))]
-#[case::too_many_routers(|own: &mut Subsets| (0..=ROUTERS_MOST as u64).try_for_each(|number| own.set_router(Router { number, weight: 1.0 })), InputError::TooManyRouters(8193))]
-#[case::too_many_members(|own: &mut Subsets| (0..=MEMBERS_MOST as i64).try_for_each(|set| own.set_member(Member { id: format!("s{set}"), set, ..members(1, 1, 0, &[1.0]).remove(0) })), InputError::TooManyMembers(8193))]
+#[case::too_many_members_in_a_set(|own: &mut Subsets| (0..=MAX_SET_MEMBERS).try_for_each(|i| own.set_member(Member { id: format!("s{i}"), ..members(1, 1, 0, &[1.0]).remove(0) })), InputError::SetTooLarge(0))]
+#[case::too_many_routers(|own: &mut Subsets| (0..=MAX_ROUTERS as u64).try_for_each(|number| own.set_router(Router { number, weight: 1.0 })), InputError::TooManyRouters(8193))]
+#[case::too_many_members(|own: &mut Subsets| (0..=MAX_MEMBERS as i64).try_for_each(|set| own.set_member(Member { id: format!("s{set}"), set, ..members(1, 1, 0, &[1.0]).remove(0) })), InputError::TooManyMembers(8193))]
 fn invalid_changes_are_rejected(
     #[case] invalidate: fn(&mut Subsets) -> Result<(), InputError>,
     #[case] expected: InputError,
 ) {
-    let mut own = Subsets::new(0, &numbered(3), &[], &Rule::default()).expect("valid");
+    let mut own = Subsets::new(0, &numbered_routers(3), &[], &Rule::default()).expect("valid");
     assert_eq!(invalidate(&mut own), Err(expected));
 }
 
@@ -307,7 +310,7 @@
 #[rstest]
 fn change_in_a_large_fleet_recomputes_only_affected_sets() {
     let initial = members(3, 50, 4, &[1.0]);
-    let mut own = Subsets::new(7, &numbered(2_100), &initial, &Rule::default()).unwrap();
+    let mut own = Subsets::new(7, &numbered_routers(2_100), &initial, &Rule::default()).unwrap();
     assert_eq!(std::iter::from_fn(|| own.next_change()).count(), 50);
     for number in 100..500 {
         own.remove_router(number).unwrap();
--- a/crates/subsets/src/told.rs
+++ b/crates/subsets/src/told.rs
@@ -7,9 +7,9 @@
 /// Maximum number of routers, of members, and of members in one set: above 2,100 routers and 4,900 members with room to
 /// grow. More are rejected, because the work grows with routers times members, and that of rebalancing also with the
 /// square of the set size.
-pub const ROUTERS_MOST: usize = 8_192;
-pub const MEMBERS_MOST: usize = 8_192;
-pub const SET_MOST: usize = 128;
+pub const MAX_ROUTERS: usize = 8_192;
+pub const MAX_MEMBERS: usize = 8_192;
+pub const MAX_SET_MEMBERS: usize = 128;
 
 /// One router of the fleet. `number` is its `me`; `weight` is its share of the traffic, in any unit common to all
 /// routers.
@@ -30,7 +30,7 @@
 
 /// The routers 0 to `balancers` (exclusive) with equal weights, for use when only their number is known from the
 /// settings.
-pub fn numbered(balancers: u64) -> Vec<Router> {
+pub fn numbered_routers(balancers: u64) -> Vec<Router> {
     (0..balancers).map(|number| Router { number, weight: 1.0 }).collect()
 }
 
@@ -78,7 +78,7 @@
 pub enum InputError {
     TooManyRouters(usize),
     TooManyMembers(usize),
-    /// This set has more than [`SET_MOST`] members.
+    /// This set has more than [`MAX_SET_MEMBERS`] members.
     SetTooLarge(i64),
     /// Two routers have this number.
     DuplicateRouter(u64),
@@ -95,9 +95,11 @@
 impl fmt::Display for InputError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            InputError::TooManyRouters(n) => write!(f, "found {n} routers, expected at most {ROUTERS_MOST}"),
-            InputError::TooManyMembers(n) => write!(f, "found {n} members, expected at most {MEMBERS_MOST}"),
-            InputError::SetTooLarge(set) => write!(f, "set {set}: expected at most {SET_MOST} members"),
+            InputError::TooManyRouters(n) => write!(f, "found {n} routers, expected at most {MAX_ROUTERS}"),
+            InputError::TooManyMembers(n) => write!(f, "found {n} members, expected at most {MAX_MEMBERS}"),
+            InputError::SetTooLarge(set) => {
+                write!(f, "set {set}: expected at most {MAX_SET_MEMBERS} members")
+            }
             InputError::DuplicateRouter(n) => write!(f, "duplicate router number {n}"),
             InputError::DuplicateMember(id) => write!(f, "duplicate member id {id}"),
             InputError::Weight(of) => write!(f, "weight of {of}: expected a number above 0"),
@@ -136,10 +138,10 @@
 }
 
 pub(crate) fn check(routers: &[Router], members: &[Member], rule: &Rule) -> Result<(), InputError> {
-    if routers.len() > ROUTERS_MOST {
+    if routers.len() > MAX_ROUTERS {
         return Err(InputError::TooManyRouters(routers.len()));
     }
-    if members.len() > MEMBERS_MOST {
+    if members.len() > MAX_MEMBERS {
         return Err(InputError::TooManyMembers(members.len()));
     }
     rule.check()?;
@@ -158,7 +160,7 @@
         }
         let count = set_sizes.entry(member.set).or_insert(0);
         *count += 1;
-        if *count > SET_MOST {
+        if *count > MAX_SET_MEMBERS {
             return Err(InputError::SetTooLarge(member.set));
         }
     }
