--- a/src/decide.rs
+++ b/src/decide.rs
@@ -8,8 +8,10 @@
 use crate::interface::*;
 use crate::member_clock::{MemberClock, OffsetEvidence};
 use crate::roles::ClaimStanding;
+use crate::setting_values::{
+    check_numbers, command_groups, customer_shares, setting_is, setting_or, tenths_from_ms,
+};
 use crate::state::*;
-use crate::told::{check_numbers, command_groups, customer_shares, setting_is, setting_or, tenths_from_ms};
 use evidence::RoleClaim;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,8 +7,8 @@
 mod member_clock;
 mod progress;
 mod roles;
+mod setting_values;
 mod state;
-mod told;
 
 pub use decide::Router;
 pub use interface::*;
