--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -5,13 +5,13 @@
 #[cfg(feature = "fleet")]
 mod configuration;
 #[cfg(feature = "fleet")]
-mod duty;
-#[cfg(feature = "fleet")]
 mod file;
 #[cfg(feature = "fleet")]
 mod host;
 #[cfg(feature = "fleet")]
 mod view;
+#[cfg(feature = "fleet")]
+mod worker;
 
 #[cfg(feature = "fleet")]
 pub use configuration::Configuration;
@@ -86,9 +86,9 @@
 
 #[cfg(feature = "fleet")]
 mod on {
-    use super::duty::{HealthChange, LoopSide, ThreadExit, Watchdog};
     use super::host::{Host, Request};
     use super::view::{FleetUpdate, RouterState, View};
+    use super::worker::{HealthChange, LoopSide, ThreadExit, Watchdog};
     use super::{file, name_of};
     use crate::Program;
     use calloop::LoopHandle;
--- a/crates/router/src/fleet/configuration.rs
+++ b/crates/router/src/fleet/configuration.rs
@@ -4,7 +4,7 @@
 mod file;
 mod host;
 
-use super::duty::{HealthChange, LoopSide, ThreadExit, Watchdog};
+use super::worker::{HealthChange, LoopSide, ThreadExit, Watchdog};
 use crate::Program;
 use calloop::LoopHandle;
 use calloop::ping::make_ping;
--- a/crates/router/src/fleet/configuration/host.rs
+++ b/crates/router/src/fleet/configuration/host.rs
@@ -3,7 +3,7 @@
 
 use super::file::ConfigurationSettings;
 use crate::Clock;
-use crate::fleet::duty::ThreadSide;
+use crate::fleet::worker::ThreadSide;
 use std::collections::VecDeque;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/router/src/fleet/host.rs
+++ b/crates/router/src/fleet/host.rs
@@ -1,8 +1,8 @@
 //! The thread that runs the membership protocol on the link's sockets. All decisions are made by the membership crate.
 
-use super::duty::ThreadSide;
 use super::file::{FleetSettings, MAX_NAMED_ROUTERS};
 use super::view::{FleetUpdate, View};
+use super::worker::ThreadSide;
 use crate::Clock;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/crates/router/src/fleet/host/tests.rs
+++ b/crates/router/src/fleet/host/tests.rs
@@ -1,5 +1,5 @@
-use super::super::duty::Heartbeat;
 use super::super::view::RouterState;
+use super::super::worker::Heartbeat;
 use super::*;
 use rstest::rstest;
 use rtrb::RingBuffer;
