--- a/tests/stale_reads/conditions.rs
+++ b/tests/stale_reads/conditions.rs
@@ -1,6 +1,6 @@
 //! The conditions of one simulation: sizes, faults, delays and clocks, all drawn at random from the seed.
 
-use super::draw::SeededRng;
+use super::rng::SeededRng;
 use vetchkeel::Tenths;
 
 pub const MILLISECOND: Tenths = 10;
--- a/tests/stale_reads/main.rs
+++ b/tests/stale_reads/main.rs
@@ -5,12 +5,12 @@
 //!     STALE_READS_SEEDS=1..2001 cargo test --release --test stale_reads -- --nocapture
 
 mod conditions;
-mod draw;
 mod members;
+mod rng;
 mod simulation;
 
 use conditions::{Conditions, Fault, MILLISECOND, SECOND};
-use draw::SeededRng;
+use rng::SeededRng;
 use rstest::rstest;
 use simulation::{Outcome, Simulation};
 use std::ops::Range;
--- a/tests/stale_reads/members.rs
+++ b/tests/stale_reads/members.rs
@@ -3,7 +3,7 @@
 //! the members' clock is the time of the simulation.
 
 use super::conditions::{Conditions, MILLISECOND, SECOND};
-use super::draw::SeededRng;
+use super::rng::SeededRng;
 use std::collections::VecDeque;
 use std::fmt;
 use vetchkeel::{Report, Tenths};
--- a/tests/stale_reads/simulation.rs
+++ b/tests/stale_reads/simulation.rs
@@ -2,8 +2,8 @@
 //! program that runs on sockets does.
 
 use super::conditions::{Conditions, Fault, MILLISECOND, SECOND};
-use super::draw::SeededRng;
 use super::members::{Members, SET_SIZE, StaleRead, random_hang};
+use super::rng::SeededRng;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use vetchkeel::*;
