--- a/crates/router/tests/soak/main.rs
+++ b/crates/router/tests/soak/main.rs
@@ -10,14 +10,15 @@
 mod clients;
 #[path = "../common/mod.rs"]
 mod common;
+mod disturbances;
 mod ledger;
 mod members;
 mod proxy;
 mod routers;
-mod troubles;
 
 use agents::Agent;
 use clients::Clients;
+use disturbances::Environment;
 use ledger::{Ledger, Outcome};
 use members::{MEMBERS, Member};
 use routers::Router;
@@ -26,7 +27,6 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering::Relaxed};
 use std::thread;
 use std::time::Duration;
-use troubles::Environment;
 
 /// Active clients at each router.
 const CLIENTS: usize = 5;
@@ -83,7 +83,7 @@
     if has_idle_crowd {
         threads.extend(routers.iter().map(|router| clients::crowd(router.clone(), finished.clone())));
     }
-    let send_delay_rate = troubles::send_delay_rate(seed);
+    let send_delay_rate = disturbances::send_delay_rate(seed);
     let role_changes = Default::default();
     let environment = Environment {
         routers: routers.clone(),
