--- a/crates/capacity/src/constants.rs
+++ b/crates/capacity/src/constants.rs
@@ -168,7 +168,7 @@
         "time of mending, which is with the square of it",
     ),
     bound(
-        "shared MOST_SEATS",
+        "shared MAX_ALLOTMENTS",
         4_096.0,
         "seats",
         ("crates/shared/src/budgets/terms.rs", "pub const MAX_ALLOTMENTS: usize = MOST_INSTANCES;"),
@@ -176,7 +176,7 @@
         FLEET_SIZE,
     ),
     bound(
-        "shared MOST_BORROWERS",
+        "shared MAX_BORROWERS",
         4_096.0,
         "borrowers a lender",
         ("crates/shared/src/budgets/lender.rs", "pub const MAX_BORROWERS: usize = MOST_INSTANCES;"),
@@ -184,7 +184,7 @@
         "seats of the terms",
     ),
     bound(
-        "shared counts MOST",
+        "shared counts MAX_TALLIES",
         16_384.0,
         "tallies",
         ("crates/shared/src/counts.rs", "pub const MAX_TALLIES: usize = 16_384;"),
@@ -192,7 +192,7 @@
         "routers times topics told",
     ),
     bound(
-        "shared judgements MOST",
+        "shared judgements MAX_JUDGEMENTS",
         65_536.0,
         "judgements",
         ("crates/shared/src/judgements.rs", "pub const MAX_JUDGEMENTS: usize = 65_536;"),
@@ -200,7 +200,7 @@
         "routers times the members of a zone; better, one voice a group of routers",
     ),
     bound(
-        "shared judgements MOST_MEMBERS",
+        "shared judgements MAX_MEMBERS",
         8_192.0,
         "members",
         ("crates/shared/src/judgements.rs", "pub const MAX_MEMBERS: usize = 8_192;"),
@@ -208,7 +208,7 @@
         "members listed",
     ),
     bound(
-        "shared turns MOST",
+        "shared turns MAX_TURNS",
         4_096.0,
         "turns open",
         ("crates/shared/src/turns.rs", "pub const MAX_TURNS: usize = 4_096;"),
@@ -240,7 +240,7 @@
         "control memory over peers",
     ),
     bound(
-        "fleet view MOST",
+        "fleet view MAX_NAMES",
         8_192.0,
         "names in the loop's view",
         ("crates/router/src/fleet/view.rs", "const MAX_NAMES: usize = 2 * MOST_INSTANCES;"),
@@ -248,7 +248,7 @@
         "instances that membership knows",
     ),
     bound(
-        "fleet ADDRESSES",
+        "fleet MAX_NAMED_ADDRESSES",
         16_384.0,
         "addresses with names",
         (
@@ -259,7 +259,7 @@
         "instances that membership knows",
     ),
     bound(
-        "fleet EVENTS",
+        "fleet MAX_EVENTS_PER_TURN",
         4_096.0,
         "datagrams before decisions",
         ("crates/router/src/fleet/host.rs", "const MAX_EVENTS_PER_TURN: usize = 4_096;"),
@@ -267,7 +267,7 @@
         "instances: all may speak at once",
     ),
     bound(
-        "fleet TOLD",
+        "fleet MAX_PENDING_UPDATES",
         256.0,
         "changes in the ring",
         ("crates/router/src/fleet.rs", "const MAX_PENDING_UPDATES: usize = 256;"),
@@ -280,7 +280,7 @@
         "of the memory",
         ("crates/router/src/limits.rs", "const STAYING_PART: f64 = 0.125;"),
         |w| w.at.clients() * STAYING_COST / w.at.router.room.memory,
-        "bytes a client as measured (STAYING_COST is 2 KiB)",
+        "bytes a client as measured (BYTES_PER_CLIENT is 2 KiB)",
     ),
     bound(
         "router CLIENTS_PART of sockets",
@@ -299,7 +299,7 @@
         "clients of a router that comes back; net.core.somaxconn bounds it too",
     ),
     told(
-        "router ACCEPTED_MOST",
+        "router MAX_ACCEPTS",
         64.0,
         "connections a turn",
         ("crates/router/src/clients/crowd.rs", "const MAX_ACCEPTS: usize = 64;"),
@@ -309,7 +309,7 @@
         "time of a turn that commands in hand may wait",
     ),
     told(
-        "router PATIENCE, SILENT_LEAST",
+        "router READ_TIMEOUT, MIN_SILENCE",
         10.0,
         "s",
         ("crates/router/src/clients.rs", "const READ_TIMEOUT: Tenths = 100_000;"),
@@ -317,7 +317,7 @@
         "client timeout",
     ),
     told(
-        "watch SILENCE_MOST",
+        "watch MAX_SILENCE",
         3.0,
         "s",
         ("crates/router/src/watch.rs", "const MAX_SILENCE: Tenths = 30_000;"),
@@ -325,7 +325,7 @@
         "bytes of what is asked for again over control bytes a second; resume from the version held",
     ),
     bound(
-        "watch FIRST_MOST",
+        "watch RESPONSE_TIMEOUT",
         1.0,
         "s for the whole list",
         ("crates/router/src/watch.rs", "const RESPONSE_TIMEOUT: Tenths = 10_000;"),
@@ -333,7 +333,7 @@
         "bytes of the list over control bytes a second",
     ),
     bound(
-        "watch START_MOST",
+        "watch STARTUP_LIST_TIMEOUT",
         1.0,
         "s for the whole list at a start",
         ("crates/router/src/watch.rs", "const STARTUP_LIST_TIMEOUT: Tenths = 10_000;"),
@@ -341,7 +341,7 @@
         "the same; a start serves by the list kept, and takes only what changed",
     ),
     bound(
-        "watch UNTOLD_MOST",
+        "watch READY_WITHOUT_LIST_AFTER",
         5.0,
         "s without a list at a start",
         ("crates/router/src/watch.rs", "const READY_WITHOUT_LIST_AFTER: Tenths = 50_000;"),
