--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -43,7 +43,7 @@
             StoreError::Full { capacity, needed } => {
                 write!(
                     f,
-                    "the store is full: its capacity is {capacity} bytes and the batch needs {needed}; trim first"
+                    "the store is full: capacity {capacity} bytes, {needed} bytes needed with this batch; trim first"
                 )
             }
             StoreError::Version { found, supported } => {
--- a/crates/subsets/src/weight.rs
+++ b/crates/subsets/src/weight.rs
@@ -8,7 +8,7 @@
 /// fits.
 const BITS: i32 = 47;
 
-/// The largest power of two that is not above the heaviest weight; integer weights are fractions of it.
+/// The largest power of two that is not above the heaviest weight. Integer weights count in units of 2^-47 of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct WeightUnit(f64);
 
