--- a/crates/router/src/watch.rs
+++ b/crates/router/src/watch.rs
@@ -327,8 +327,8 @@
                 self.members_changed(false, &[]);
             }
             for value in values {
-                let sheet = parse_list(&value).map_err(|why| self.request_full_list(previous, why))?;
-                self.apply_value(previous, sheet)?;
+                let list = parse_list(&value).map_err(|why| self.request_full_list(previous, why))?;
+                self.apply_value(previous, list)?;
             }
             fed.map_err(|why| self.request_full_list(previous, why))?;
             if ended {
@@ -340,31 +340,31 @@
     /// Applies a list or a change from a watch. Danger: an older version would undo later changes, such as a drain, so it is
     /// rejected. If the agent has restarted its version numbers, the full list that is requested next has an older version
     /// again and is accepted.
-    fn apply_value(&mut self, previous: bool, sheet: MemberList) -> Result<(), String> {
+    fn apply_value(&mut self, previous: bool, list: MemberList) -> Result<(), String> {
         let watch = if previous { &mut self.watch.previous } else { &mut self.watch.current };
         let Some(connection) = watch else { return Ok(()) };
         let version_before = if previous { connection.version } else { self.watch.version };
         let confirmed =
-            sheet.whole && connection.full && !connection.list_received && self.watch.version_regressed;
-        if sheet.version < version_before && !confirmed {
+            list.whole && connection.full && !connection.list_received && self.watch.version_regressed;
+        if list.version < version_before && !confirmed {
             self.watch.version_regressed |= !previous;
             return Err(
-                self.request_full_list(previous, format!("version {} after {version_before}", sheet.version))
+                self.request_full_list(previous, format!("version {} after {version_before}", list.version))
             );
         }
-        (connection.version, connection.list_received) = (sheet.version, true);
+        (connection.version, connection.list_received) = (list.version, true);
         if !previous {
             // Danger: if the flag were cleared when the request is sent, a watch that breaks before its list arrives would
             // lose the request for the full list.
             self.watch.request_full &= !connection.full;
-            (self.watch.version, self.watch.version_regressed) = (sheet.version, false);
+            (self.watch.version, self.watch.version_regressed) = (list.version, false);
             self.close_previous_watch();
             match self.watch.known_at_start.take() {
-                Some(known_at_start) if !sheet.whole => self.apply_list(known_at_start),
+                Some(known_at_start) if !list.whole => self.apply_list(known_at_start),
                 _ => {}
             }
         }
-        self.apply_list(sheet);
+        self.apply_list(list);
         self.finish_startup();
         Ok(())
     }
@@ -376,12 +376,12 @@
     }
 
     /// Applies a list or a change, from the watch or from the configuration.
-    pub fn apply_list(&mut self, sheet: MemberList) {
-        for why in &sheet.row_errors {
+    pub fn apply_list(&mut self, list: MemberList) {
+        for why in &list.row_errors {
             log!("member list: {why}");
         }
         self.counters.lists += 1;
-        for row in &sheet.rows {
+        for row in &list.rows {
             self.watch.sets.insert(row.entry.set);
             let gone = row.entry.phase == Phase::Removed;
             // A member that is gone was draining before, or has no work left.
@@ -390,7 +390,7 @@
             }
             self.update_member(&row.entry.node, row.address, row.entry.started, gone);
         }
-        let entries: Vec<MemberEntry> = sheet.rows.into_iter().map(|r| r.entry).collect();
-        self.members_changed(sheet.whole, &entries);
+        let entries: Vec<MemberEntry> = list.rows.into_iter().map(|r| r.entry).collect();
+        self.members_changed(list.whole, &entries);
     }
 }
--- a/crates/scale/src/simulated/agents.rs
+++ b/crates/scale/src/simulated/agents.rs
@@ -112,9 +112,9 @@
         let segments = piece.bytes.len().div_ceil(1_460);
         self.tally.heard(router, Duty::List, piece.bytes.len() + segments * HEADERS);
         if hollow.reads {
-            let sheets = self.costs.of(Role::List, || hollow.watch.read(now, &piece.bytes));
-            match sheets {
-                Ok(sheets) => sheets.iter().for_each(|sheet| self.sheet_told(router, sheet)),
+            let lists = self.costs.of(Role::List, || hollow.watch.read(now, &piece.bytes));
+            match lists {
+                Ok(lists) => lists.iter().for_each(|list| self.member_list_told(router, list)),
                 Err(_) => {
                     hollow.watch.broken();
                     hollow.list_failed(now);
@@ -122,19 +122,19 @@
             }
         } else {
             hollow.watch.came(now);
-            if let Some(Ok(sheet)) = piece.shared() {
-                self.sheet_told(router, sheet);
+            if let Some(Ok(list)) = piece.shared() {
+                self.member_list_told(router, list);
             }
         }
         self.pull_list(router);
     }
 
-    fn sheet_told(&mut self, router: usize, sheet: &MemberList) {
+    fn member_list_told(&mut self, router: usize, list: &MemberList) {
         let now = self.now;
         let Some(hollow) = &mut self.routers[router] else { return };
-        hollow.watch.told(sheet);
-        let entries: Vec<MemberEntry> = sheet.rows.iter().map(|row| row.entry.clone()).collect();
-        self.costs.of(Role::Module, || hollow.list_told(now, sheet.whole, &entries));
+        hollow.watch.told(list);
+        let entries: Vec<MemberEntry> = list.rows.iter().map(|row| row.entry.clone()).collect();
+        self.costs.of(Role::Module, || hollow.list_told(now, list.whole, &entries));
         if let Some(judgements) = &mut hollow.judgements {
             for entry in entries.iter().filter(|entry| entry.phase == Phase::Up && entry.started > 0) {
                 if let Ok(name) = Name::new(&entry.node) {
--- a/crates/scale/src/simulated/watch.rs
+++ b/crates/scale/src/simulated/watch.rs
@@ -13,20 +13,20 @@
 pub(super) struct Piece {
     pub(super) bytes: Vec<u8>,
     line: Option<String>,
-    sheet: OnceCell<Result<MemberList, String>>,
+    list: OnceCell<Result<MemberList, String>>,
 }
 
 impl Piece {
     /// What lies in front of the chunk, and the line of the list; none is a beat.
     pub(super) fn new(head: &[u8], line: Option<String>) -> Rc<Piece> {
         let chunk = crate::list::chunk(line.as_deref().unwrap_or(""));
-        Rc::new(Piece { bytes: [head, &chunk].concat(), line, sheet: OnceCell::new() })
+        Rc::new(Piece { bytes: [head, &chunk].concat(), line, list: OnceCell::new() })
     }
 
     /// The rows, read once.
     pub(super) fn shared(&self) -> Option<&Result<MemberList, String>> {
         let line = self.line.as_ref()?;
-        Some(self.sheet.get_or_init(|| parse_list(line.as_bytes())))
+        Some(self.list.get_or_init(|| parse_list(line.as_bytes())))
     }
 }
 
@@ -79,9 +79,9 @@
         self.silent_at = Some(now + SILENCE_MOST);
     }
 
-    pub(super) fn told(&mut self, sheet: &MemberList) {
-        self.version = sheet.version;
-        self.ask_all &= !sheet.whole;
+    pub(super) fn told(&mut self, list: &MemberList) {
+        self.version = list.version;
+        self.ask_all &= !list.whole;
     }
 
     /// It is silent: all will be asked for.
--- a/crates/scale/src/tests/list.rs
+++ b/crates/scale/src/tests/list.rs
@@ -13,9 +13,9 @@
 
 #[rstest]
 fn every_set_has_one_primary_and_members_in_both_zones() {
-    let sheet = read(&list().whole());
+    let member_list = read(&list().whole());
     for set in 0..3 {
-        let rows: Vec<_> = sheet.rows.iter().filter(|row| row.entry.set == set).collect();
+        let rows: Vec<_> = member_list.rows.iter().filter(|row| row.entry.set == set).collect();
         assert_eq!(rows.iter().filter(|row| row.entry.primary).count(), 1);
         assert_ne!(rows[0].entry.zone, rows[1].entry.zone);
     }
@@ -42,6 +42,9 @@
     let mut list = list();
     list.change(&[0], |row| row.listed = false);
     list.change(&[5], |row| row.started_ms = 7);
-    let told = list.since(version).map(|line| read(&line)).map(|sheet| (sheet.whole, sheet.rows.len()));
+    let told = list
+        .since(version)
+        .map(|line| read(&line))
+        .map(|member_list| (member_list.whole, member_list.rows.len()));
     assert_eq!(told, expected);
 }
--- a/crates/slopes/src/list.rs
+++ b/crates/slopes/src/list.rs
@@ -69,8 +69,8 @@
     vetchkeel_discovery::parse_list(value)
 }
 
-pub fn entries(sheet: MemberList) -> Vec<MemberEntry> {
-    sheet.rows.into_iter().map(|row| row.entry).collect()
+pub fn entries(list: MemberList) -> Vec<MemberEntry> {
+    list.rows.into_iter().map(|row| row.entry).collect()
 }
 
 /// A whole list as the agent sends it, with its head.
