--- a/crates/capacity/src/constants.rs
+++ b/crates/capacity/src/constants.rs
@@ -144,7 +144,7 @@
         "bytes of a view over control bytes a second",
     ),
     bound(
-        "subsets ROUTERS_MOST",
+        "subsets MAX_ROUTERS",
         8_192.0,
         "routers",
         ("crates/subsets/src/told.rs", "pub const MAX_ROUTERS: usize = 8_192;"),
@@ -152,7 +152,7 @@
         "time that a subset may take over its time a router and member",
     ),
     bound(
-        "subsets MEMBERS_MOST",
+        "subsets MAX_MEMBERS",
         8_192.0,
         "members",
         ("crates/subsets/src/told.rs", "pub const MAX_MEMBERS: usize = 8_192;"),
@@ -160,7 +160,7 @@
         "the same",
     ),
     bound(
-        "subsets SET_MOST",
+        "subsets MAX_SET_MEMBERS",
         128.0,
         "members a set",
         ("crates/subsets/src/told.rs", "pub const MAX_SET_MEMBERS: usize = 128;"),
@@ -224,7 +224,7 @@
         FLEET_SIZE,
     ),
     bound(
-        "link Bounds.calls",
+        "link Bounds.inbound_connections",
         2_048.0,
         "connections from others",
         ("crates/link/src/talk.rs", "inbound_connections: 2_048,"),
@@ -427,7 +427,7 @@
         "subscriptions of a lost gateway over the time they may be without one",
     ),
     bound(
-        "store LOGS",
+        "store MAX_LOGS",
         4_096.0,
         "logs",
         ("crates/store/src/batch.rs", "pub const MAX_LOGS: usize = 4_096;"),
--- a/crates/capacity/src/tests.rs
+++ b/crates/capacity/src/tests.rs
@@ -649,8 +649,8 @@
 
 #[rstest]
 #[case::routers("membership MOST_INSTANCES", 4_096.0 / 2_100.0)]
-#[case::members("subsets MEMBERS_MOST", 8_192.0 / 4_900.0)]
-#[case::a_set("subsets SET_MOST", 32.0)]
+#[case::members("subsets MAX_MEMBERS", 8_192.0 / 4_900.0)]
+#[case::a_set("subsets MAX_SET_MEMBERS", 32.0)]
 #[case::clients("router BACKLOG", 1_024.0 * 2_100.0 / 15e6)]
 #[case::routers_by_a_zone("shared judgements MAX_JUDGEMENTS", (65_536.0f64 / (2_100.0 * 4_900.0 / 11.0)).sqrt())]
 fn a_constant_gives_way_at_its_share(#[case] name: &str, #[case] share: f64) {
